--- a/skylarkfold/_commands.py
+++ b/skylarkfold/_commands.py
@@ -280,9 +280,9 @@
         :returns: 1 if no line names the flow.
         """
         explain = _load('explain')
-        story = explain.tell(str(flow), _read_logs(logs))
-        print(explain.format_story(story), end='')
-        return 0 if story.events else 1
+        history = explain.build_history(str(flow), _read_logs(logs))
+        print(explain.format_history(history), end='')
+        return 0 if history.events else 1
 
     def timeline(self, *logs: str) -> int:
         """Tell what happened to a fleet from the logs of its instances.
--- a/skylarkfold/_cores.py
+++ b/skylarkfold/_cores.py
@@ -88,22 +88,22 @@
     listed = node_module.list_message_types
     return node_module.Node(
         [
-            node_module.Part(
+            node_module.CoreBinding(
                 cores.membership,
                 listed(membership.MESSAGES),
-                membership.FIRST_CALL,
+                membership.FIRST_CALL_NUMBER,
             ),
-            node_module.Part(
+            node_module.CoreBinding(
                 cores.distribution,
                 listed(distribution.MESSAGES),
-                distribution.FIRST_CALL,
+                distribution.FIRST_CALL_NUMBER,
             ),
-            node_module.Part(cores.store, first_call=0),
-            node_module.Part(cores.assembly),
-            node_module.Part(
+            node_module.CoreBinding(cores.store, first_call_number=0),
+            node_module.CoreBinding(cores.assembly),
+            node_module.CoreBinding(
                 cores.flows, listed(flows.MESSAGES), events=_FLOW_EVENTS
             ),
-            node_module.Part(
+            node_module.CoreBinding(
                 cores.requests,
                 listed(requests.MESSAGES),
                 events=_REQUEST_EVENTS,
--- a/skylarkfold/_edges.py
+++ b/skylarkfold/_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets of one instance, put together."""
+"""The sockets of one instance."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Edges:
-    """All that does I/O for one instance.
+class Sockets:
+    """All components that do I/O for one instance.
 
     :param runtime: what the others share.
     :param upstream_socket: datagrams to and from upstreams.
@@ -32,16 +32,16 @@
     attempts: edge.UpstreamClient
     prober: edge.Prober
     platform: edge.PlatformClient
-    caller: edge.PlatformCaller
+    caller: edge.PlatformCallRunner
     listeners: edge.Listeners
     peers: edge.PeerStreams
 
 
-def build_edges(
+def build_sockets(
     settings: settings_module.EntrySettings,
     runtime: edge.Runtime,
     cores: _cores.Cores,
-) -> Edges:
+) -> Sockets:
     """Make all sockets of an instance; none is open yet.
 
     :param settings: the instance's settings.
@@ -64,7 +64,7 @@
         streams,
         requests,
     )
-    return Edges(
+    return Sockets(
         runtime=runtime,
         upstream_socket=upstream_socket,
         streams=streams,
@@ -72,7 +72,7 @@
         attempts=edge.UpstreamClient(runtime, settings.edge),
         prober=edge.Prober(runtime, settings.edge),
         platform=platform,
-        caller=edge.PlatformCaller(runtime, platform),
+        caller=edge.PlatformCallRunner(runtime, platform),
         listeners=listeners,
         peers=_build_peers(settings, runtime, cores),
     )
@@ -86,7 +86,9 @@
     tls = settings.peers.tls
     contexts = (None, None)
     if tls is not None:
-        contexts = edge.make_contexts(tls.certificate, tls.key, tls.authority)
+        contexts = edge.make_tls_contexts(
+            tls.certificate, tls.key, tls.authority
+        )
     return edge.PeerStreams(
         runtime,
         settings.edge,
--- a/skylarkfold/admission/__init__.py
+++ b/skylarkfold/admission/__init__.py
@@ -5,14 +5,14 @@
 can't be served in time.
 """
 
-from skylarkfold.admission._precedence import Precedence
+from skylarkfold.admission._precedence import PriorityScheduler
 from skylarkfold.admission._queue import AdmissionQueue
 from skylarkfold.admission._results import Admitted
 from skylarkfold.admission._results import Expired
 from skylarkfold.admission._results import Queued
 from skylarkfold.admission._results import Refusal
 from skylarkfold.admission._results import RefusalCode
-from skylarkfold.admission._results import Waiting
+from skylarkfold.admission._results import WaitingCounts
 from skylarkfold.admission._settings import AdmissionSettings
 
 __all__ = [
@@ -20,9 +20,9 @@
     'AdmissionSettings',
     'Admitted',
     'Expired',
-    'Precedence',
+    'PriorityScheduler',
     'Queued',
     'Refusal',
     'RefusalCode',
-    'Waiting',
+    'WaitingCounts',
 ]
--- a/skylarkfold/admission/_precedence.py
+++ b/skylarkfold/admission/_precedence.py
@@ -8,7 +8,7 @@
 from skylarkfold import request
 
 
-class Precedence:
+class PriorityScheduler:
     """Chooses between classes that wait.
 
     The highest class goes first. A class that waits and was passed over
--- a/skylarkfold/admission/_queue.py
+++ b/skylarkfold/admission/_queue.py
@@ -101,7 +101,7 @@
                 self._forget(entry)
         return True
 
-    def record_service(
+    def record_service_time(
         self, now: float, service_name: str, elapsed_seconds: float
     ) -> None:
         """Note how long an answered attempt took.
@@ -122,16 +122,16 @@
         """List the services that requests wait for, sorted by name."""
         return sorted(name for name, each in self._queues.items() if len(each))
 
-    def count_waiting(self, service_name: str) -> _results.Waiting:
+    def count_waiting(self, service_name: str) -> _results.WaitingCounts:
         """Count what waits for a service.
 
         :param service_name: the service.
         :returns: a count for each class.
         """
         queue = self._queues.get(service_name)
-        return _results.Waiting() if queue is None else queue.count()
+        return _results.WaitingCounts() if queue is None else queue.count()
 
-    def foretell_retry(
+    def estimate_retry(
         self, now: float, service_name: str, priority: request_module.Priority
     ) -> float:
         """Foretell when a request of a class would be taken.
@@ -241,8 +241,8 @@
         self, now: float, queue: _service_queue.ServiceQueue
     ) -> _results.Queued:
         waiting = queue.list_waiting()
-        priority = queue.precedence.choose(waiting)
-        queue.precedence.record_turn(priority, waiting)
+        priority = queue.scheduler.choose(waiting)
+        queue.scheduler.record_turn(priority, waiting)
         line = queue.lines[priority]
         entry = line.get_first()
         line.interval.record_turn(now, len(line) > 1)
--- a/skylarkfold/admission/_results.py
+++ b/skylarkfold/admission/_results.py
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingCounts:
     """How many requests of each class wait for one service."""
 
     alerts: int = 0
--- a/skylarkfold/admission/_service_queue.py
+++ b/skylarkfold/admission/_service_queue.py
@@ -56,11 +56,11 @@
     :param floor_share: the least share of turns for lower classes.
     """
 
-    __slots__ = ('lines', 'precedence', 'service_time')
+    __slots__ = ('lines', 'scheduler', 'service_time')
 
     def __init__(self, floor_share: float) -> None:
         self.lines = {each: Line() for each in request_module.Priority}
-        self.precedence = _precedence.Precedence(floor_share)
+        self.scheduler = _precedence.PriorityScheduler(floor_share)
         self.service_time = _estimate.ServiceTime()
 
     @property
@@ -75,9 +75,9 @@
         """List the classes that have a request."""
         return [each for each, line in self.lines.items() if len(line)]
 
-    def count(self) -> _results.Waiting:
+    def count(self) -> _results.WaitingCounts:
         """Count what waits in each class."""
-        return _results.Waiting(*map(len, self.lines.values()))
+        return _results.WaitingCounts(*map(len, self.lines.values()))
 
     def find_newest_of_lowest(self) -> _results.Queued | None:
         """Find the entry that is missed least: newest of the lowest class."""
--- a/skylarkfold/affinity/__init__.py
+++ b/skylarkfold/affinity/__init__.py
@@ -9,15 +9,15 @@
 """
 
 from skylarkfold.affinity._core import AffinityCore
-from skylarkfold.affinity._effect import AskPeers
 from skylarkfold.affinity._effect import Drop
 from skylarkfold.affinity._effect import Forward
+from skylarkfold.affinity._effect import NotifyPeers
 from skylarkfold.affinity._effect import Probe
 from skylarkfold.affinity._effect import ProbeOutcome
+from skylarkfold.affinity._effect import QueryPeers
 from skylarkfold.affinity._effect import Reason
-from skylarkfold.affinity._effect import Record
+from skylarkfold.affinity._effect import RecordDecision
 from skylarkfold.affinity._effect import Reset
-from skylarkfold.affinity._effect import TellPeers
 from skylarkfold.affinity._evacuation import Evacuations
 from skylarkfold.affinity._packet import format_flow
 from skylarkfold.affinity._packet import pack_address
@@ -31,19 +31,19 @@
 __all__ = [
     'AffinityCore',
     'AffinitySettings',
-    'AskPeers',
     'Drop',
     'Evacuations',
     'Forward',
+    'NotifyPeers',
     'Packet',
     'Probe',
     'ProbeOutcome',
+    'QueryPeers',
     'Reason',
-    'Record',
+    'RecordDecision',
     'Reset',
     'Route',
     'RouteTable',
-    'TellPeers',
     'Upstream',
     'WarmUp',
     'format_flow',
--- a/skylarkfold/affinity/_core.py
+++ b/skylarkfold/affinity/_core.py
@@ -53,10 +53,10 @@
         self,
         zone: str,
         settings: _settings.AffinitySettings,
-        room: rooms.InstanceRoom | None = None,
+        room: rooms.InstanceHeadroom | None = None,
     ) -> None:
         self._zone = zone
-        self.room = room or rooms.InstanceRoom()
+        self.room = room or rooms.InstanceHeadroom()
         self._settings = settings
         self.tally = _tally.Tally()
         self._routes = _route.EMPTY
@@ -113,12 +113,12 @@
         words = _words.PeerWords(
             settings, self._directory, self._suspects, self._peer_loads
         )
-        self.take_load = words.take_load
+        self.handle_load = words.handle_load
         self.list_loads = words.list_loads
-        self.take_heard = words.take_heard
-        self.list_heard = words.list_heard
-        self.take_lost = words.take_lost
-        self.take_probe = self._suspects.take_probe
+        self.handle_last_seen = words.handle_last_seen
+        self.list_last_seen = words.list_last_seen
+        self.handle_unreachable = words.handle_unreachable
+        self.handle_probe_result = self._suspects.handle_probe_result
         self.note_present = self._presence.note_present
         self._certainty = _certainty.Certainty(settings)
         self.note_confirmed = self._certainty.note
@@ -160,7 +160,7 @@
             self.link.set_routes(routes)
         details = {'version': routes.version, 'routes': len(routes)}
         effects: list[object] = [
-            _effect.Record('routes', 'in-force', details=details)
+            _effect.RecordDecision('routes', 'in-force', details=details)
         ]
         effects += self._presence.set_services(now, routes.services)
         return effects + self._release(now)
@@ -189,7 +189,9 @@
         effects = self._presence.set_evacuations(now, evacuations)
         return effects + self._release(now)
 
-    def take_packet(self, now: float, packet: _packet.Packet) -> list[object]:
+    def handle_packet(
+        self, now: float, packet: _packet.Packet
+    ) -> list[object]:
         """Decide on one packet of a caller.
 
         :param now: the time in seconds.
@@ -209,7 +211,7 @@
         if route is not None:
             flow.is_routed = True
             if self.link is not None and not route.is_preferred:
-                self.link.take_packet(now, flow, packet, route)
+                self.link.handle_packet(now, flow, packet, route)
         elif self._is_removed(now, flow):
             self._flows.remove(flow)
             return self._refuse(packet, Reason.ROUTE_REMOVED)
@@ -335,7 +337,7 @@
             if ended is not None:
                 return ended
             self._suspects.recheck(standing)
-        self._health.take_packet(now, flow, packet)
+        self._health.handle_packet(now, flow, packet)
         if packet.is_last:
             flow.is_closed = True
             _flow.end_work(flow, now)
@@ -396,5 +398,5 @@
             return []
         effects: list[object] = []
         for packet in self._held.release(now):
-            effects += self.take_packet(now, packet)
+            effects += self.handle_packet(now, packet)
         return effects
--- a/skylarkfold/affinity/_effect.py
+++ b/skylarkfold/affinity/_effect.py
@@ -76,10 +76,10 @@
         self.reason = reason
 
 
-class AskPeers:
+class QueryPeers:
     """Ask the peers of this zone when they last heard an upstream.
 
-    What they say comes back through ``AffinityCore.take_heard``.
+    What they say comes back through ``AffinityCore.handle_last_seen``.
     """
 
     __slots__ = ('upstream',)
@@ -88,10 +88,10 @@
         self.upstream = upstream
 
 
-class TellPeers:
+class NotifyPeers:
     """Tell the peers of this zone that an upstream was found lost.
 
-    They look for themselves; see ``AffinityCore.take_lost``.
+    They look for themselves; see ``AffinityCore.handle_unreachable``.
     """
 
     __slots__ = ('upstream',)
@@ -103,7 +103,7 @@
 class Probe:
     """Find out whether an upstream takes connections.
 
-    The end comes back through ``AffinityCore.take_probe``.
+    The end comes back through ``AffinityCore.handle_probe_result``.
 
     :param upstream: which one.
     :param timeout_seconds: when it has failed.
@@ -123,7 +123,7 @@
         self.is_control = is_control
 
 
-class Record:
+class RecordDecision:
     """Write a log line for a decision.
 
     :param kind: what was decided: ``open``, ``doubt``, ``reset`` ...
--- a/skylarkfold/affinity/_ending.py
+++ b/skylarkfold/affinity/_ending.py
@@ -117,7 +117,7 @@
         }
         name = standing.upstream.name
         return [
-            _effect.Record('reset', reason, flow.key, name, details),
+            _effect.RecordDecision('reset', reason, flow.key, name, details),
             _effect.Reset(flow.key, flow.acknowledged),
         ]
 
--- a/skylarkfold/affinity/_evidence.py
+++ b/skylarkfold/affinity/_evidence.py
@@ -34,7 +34,7 @@
     def __init__(
         self,
         settings: _settings.AffinitySettings,
-        room: rooms.InstanceRoom,
+        room: rooms.InstanceHeadroom,
     ) -> None:
         self._settings = settings
         self._room = room
@@ -61,7 +61,7 @@
         :param placed_at: when it was sent the packet.
         """
         if now - placed_at <= self._settings.open_patience_seconds:
-            self._room.note_probe(now, True)
+            self._room.record_probe(now, True)
 
     def note_unopened(
         self, standing: _standing.Standing, placed_at: float
@@ -73,7 +73,7 @@
         """
         self._unexplained.append((placed_at, standing))
 
-    def note_probe(
+    def record_probe(
         self, now: float, standing: _standing.Standing, outcome: str
     ) -> None:
         """Learn from the end of a probe.
@@ -84,7 +84,7 @@
         """
         if outcome == Outcome.ALIVE:
             standing.alive_at = now
-            self._room.note_probe(now, True)
+            self._room.record_probe(now, True)
         elif outcome == Outcome.SILENT:
             sent_at = now - self._settings.probe_timeout_seconds
             self._unexplained.append((sent_at, standing))
@@ -98,7 +98,7 @@
         for _ in range(len(self._unexplained)):
             sent_at, standing = self._unexplained.popleft()
             if max(standing.last_heard, standing.alive_at) > sent_at:
-                self._room.note_probe(now, False)
+                self._room.record_probe(now, False)
             elif sent_at >= oldest:
                 self._unexplained.append((sent_at, standing))
 
--- a/skylarkfold/affinity/_health.py
+++ b/skylarkfold/affinity/_health.py
@@ -20,9 +20,9 @@
 from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _suspects
 from skylarkfold.affinity import _tally
-from skylarkfold import lean
+from skylarkfold import light_imports
 
-if lean.TYPE_CHECKING:
+if light_imports.TYPE_CHECKING:
     from skylarkfold.affinity import _sharing
 
 _NEVER = float('-inf')
@@ -99,7 +99,7 @@
             service = flow.standing.upstream.service
             self.sharing.note_open(service, seconds)
 
-    def take_packet(
+    def handle_packet(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
     ) -> None:
         """Learn from a packet that is forwarded.
@@ -233,7 +233,7 @@
 
 def _record_doubt(
     now: float, flow: _flow.Flow, since: float, reason: str
-) -> _effect.Record:
+) -> _effect.RecordDecision:
     standing = flow.standing
     details = {
         'waited_ms': _ending.to_ms(now - since),
@@ -241,4 +241,4 @@
         'health': standing.health,
     }
     name = standing.upstream.name
-    return _effect.Record('doubt', reason, flow.key, name, details)
+    return _effect.RecordDecision('doubt', reason, flow.key, name, details)
--- a/skylarkfold/affinity/_link.py
+++ b/skylarkfold/affinity/_link.py
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        gate: rooms.BulkGate,
+        gate: rooms.BulkAdmission,
         refusals: _refusal.Refusals,
         tally: _tally.Tally,
     ) -> None:
@@ -68,7 +68,7 @@
         :param version: of the routes.
         :returns: effects; None to send it to an upstream.
         """
-        verdict = self._gate.judge(now, packet, route.aim_seconds)
+        verdict = self._gate.decide(now, packet, route.aim_seconds)
         if verdict is None:
             return None
         if verdict.outcome == verdict.WAITS:
@@ -76,7 +76,9 @@
             details = _list_details(verdict)
             reason = Reason.LINK_FULL
             return [
-                _effect.Record('hold', reason, packet.flow, details=details)
+                _effect.RecordDecision(
+                    'hold', reason, packet.flow, details=details
+                )
             ]
         if verdict.outcome == verdict.REPEATED:
             return self._drop(Reason.REPEATED)
@@ -90,7 +92,7 @@
         """
         self._gate.begin(now, packet)
 
-    def take_packet(
+    def handle_packet(
         self,
         now: float,
         flow: _flow.Flow,
@@ -109,7 +111,7 @@
         is_start = bool(flow.tried)
         if flow.sent is not None:
             is_start = flow.waiting_since is None
-        self._gate.take_packet(now, packet, route.address, is_start)
+        self._gate.handle_packet(now, packet, route.address, is_start)
 
     def release(self, now: float) -> Iterator[_packet.Packet]:
         """Give back first packets as there is room for them.
@@ -161,7 +163,7 @@
         waits.observe(seconds)
 
     def _refuse(
-        self, packet: _packet.Packet, verdict: rooms.Verdict, version: int
+        self, packet: _packet.Packet, verdict: rooms.BulkDecision, version: int
     ) -> list[object]:
         if packet.acknowledged:
             # Of a copy, another instance may have placed the first one.
@@ -175,7 +177,7 @@
         return [_effect.Drop(reason)]
 
 
-def _list_details(verdict: rooms.Verdict) -> dict[str, object]:
+def _list_details(verdict: rooms.BulkDecision) -> dict[str, object]:
     return {
         'bytes': verdict.on_way,
         'waiting': verdict.waiting,
@@ -186,7 +188,7 @@
 
 
 def build_gate(
-    room: rooms.InstanceRoom | None,
+    room: rooms.InstanceHeadroom | None,
     refusals: _refusal.Refusals,
     tally: _tally.Tally,
 ) -> LinkGate | None:
@@ -202,4 +204,4 @@
         return None
     if not room.settings.bulk_share:
         return None
-    return LinkGate(rooms.BulkGate(room.settings, room), refusals, tally)
+    return LinkGate(rooms.BulkAdmission(room.settings, room), refusals, tally)
--- a/skylarkfold/affinity/_load.py
+++ b/skylarkfold/affinity/_load.py
@@ -9,7 +9,7 @@
 from skylarkfold import upstream_load
 
 _Load = upstream_load.UpstreamLoad
-_NOTHING = upstream_load.NOTHING
+_NOTHING = upstream_load.NO_LOAD
 
 
 class PeerLoads:
@@ -90,7 +90,7 @@
     standing: _standing.Standing, load: _Load, before: _Load
 ) -> None:
     answers = standing.remote_answers + load.answers - before.answers
-    if answers < upstream_load.LEAST_ANSWERS:
+    if answers < upstream_load.MINIMUM_ANSWERS:
         standing.remote_answers = standing.remote_slowness = 0.0
         return
     standing.remote_answers = answers
--- a/skylarkfold/affinity/_opening.py
+++ b/skylarkfold/affinity/_opening.py
@@ -58,7 +58,7 @@
         limit: _warm_up.WarmUpLimit,
         refusals: _refusal.Refusals,
         tally: _tally.Tally,
-        room: rooms.InstanceRoom,
+        room: rooms.InstanceHeadroom,
         unseen: _unseen.Unseen | None,
     ) -> None:
         self._zone = zone
@@ -137,7 +137,7 @@
             details['speed'] = round(standing.speed, 2)
         name = standing.upstream.name
         return [
-            _effect.Record('open', reason, flow.key, name, details),
+            _effect.RecordDecision('open', reason, flow.key, name, details),
             _effect.Forward(standing.upstream, flow.first),
         ]
 
--- a/skylarkfold/affinity/_packet.py
+++ b/skylarkfold/affinity/_packet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 # Positions in a packed flow: the caller's address and port, then the
 # service's, as they stand in an IP header.
@@ -89,7 +89,7 @@
     :raises OSError: if the host is no IPv4 address.
     :raises OverflowError: if the port is none.
     """
-    return lean.pack_host(host) + port.to_bytes(2, 'big')
+    return light_imports.inet_aton(host) + port.to_bytes(2, 'big')
 
 
 def format_host(packed: bytes) -> str:
@@ -98,7 +98,7 @@
     :param packed: 4 bytes.
     :returns: for example ``192.0.2.7``.
     """
-    return lean.format_host(packed)
+    return light_imports.inet_ntoa(packed)
 
 
 def format_address(packed: bytes) -> str:
--- a/skylarkfold/affinity/_presence.py
+++ b/skylarkfold/affinity/_presence.py
@@ -182,7 +182,7 @@
 
     def _record_evacuation(
         self, reason: str, zone: str, revision: revisions.Revision
-    ) -> _effect.Record:
+    ) -> _effect.RecordDecision:
         here = [each for each in self._directory if each.upstream.zone == zone]
         details = {
             'zone': zone,
@@ -190,7 +190,7 @@
             'upstreams': len(here),
             'flows': sum(each.flows for each in here),
         }
-        return _effect.Record('evacuation', reason, details=details)
+        return _effect.RecordDecision('evacuation', reason, details=details)
 
     def _compute_end(self, former: _standing.Standing) -> float:
         """Tell when a start that has ended was there for certain.
@@ -204,16 +204,18 @@
         return present_at - self._settings.entry_seconds
 
 
-def _record_list(changes: list[_directory.EntryChange]) -> _effect.Record:
+def _record_list(
+    changes: list[_directory.EntryChange],
+) -> _effect.RecordDecision:
     zones: dict[str, int] = {}
     for change in changes:
         zone = change.standing.upstream.zone
         zones[zone] = zones.get(zone, 0) + 1
     details = {'upstreams': len(changes), 'zones': zones}
-    return _effect.Record('upstream', 'listed', details=details)
+    return _effect.RecordDecision('upstream', 'listed', details=details)
 
 
-def _record_change(change: _directory.EntryChange) -> _effect.Record:
+def _record_change(change: _directory.EntryChange) -> _effect.RecordDecision:
     standing = change.standing if change.former is None else change.former
     upstream = change.standing.upstream
     details = {
@@ -225,6 +227,6 @@
     }
     if upstream.born is not None:
         details['born'] = upstream.born
-    return _effect.Record(
+    return _effect.RecordDecision(
         'upstream', change.kind, upstream=upstream.name, details=details
     )
--- a/skylarkfold/affinity/_refusal.py
+++ b/skylarkfold/affinity/_refusal.py
@@ -9,9 +9,9 @@
 from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _tally
 from skylarkfold.affinity import _work
-from skylarkfold import lean
+from skylarkfold import light_imports
 
-if lean.TYPE_CHECKING:
+if light_imports.TYPE_CHECKING:
     from skylarkfold import shares
 
 
@@ -44,7 +44,9 @@
         self._tally.count(_tally.RESET, reason)
         known = {'version': version, **(details or {})}
         return [
-            _effect.Record('reset', reason, packet.flow, details=known),
+            _effect.RecordDecision(
+                'reset', reason, packet.flow, details=known
+            ),
             _effect.Reset(packet.flow, packet.acknowledged),
         ]
 
--- a/skylarkfold/affinity/_route.py
+++ b/skylarkfold/affinity/_route.py
@@ -115,7 +115,7 @@
         idle_seconds: float = 15.0,
         services: Iterable[str] = (),
         warm_ups: Mapping[str, _warm_up.WarmUp] | None = None,
-        revision: revisions.Revision = revisions.NONE,
+        revision: revisions.Revision = revisions.ZERO,
     ) -> None:
         self.version = version
         self.revision = revision
--- a/skylarkfold/affinity/_share_switch.py
+++ b/skylarkfold/affinity/_share_switch.py
@@ -9,9 +9,9 @@
 from skylarkfold.affinity import _health
 from skylarkfold.affinity import _refusal
 from skylarkfold.affinity import _route
-from skylarkfold import lean
+from skylarkfold import light_imports
 
-if lean.TYPE_CHECKING:
+if light_imports.TYPE_CHECKING:
     from skylarkfold.affinity import _sharing
     from skylarkfold import shares
 
--- a/skylarkfold/affinity/_sharing.py
+++ b/skylarkfold/affinity/_sharing.py
@@ -68,7 +68,7 @@
         self._refusals = refusals
         self._find_route = find_route
         self._digests: dict[str, int] = {}
-        self._rooms: dict[int, shares.Room] = {}
+        self._rooms: dict[int, shares.Capacity] = {}
         self._next_rooms = float('-inf')
 
     def take_first(
@@ -99,7 +99,7 @@
         caller = _packet.get_caller(packet.flow)
         priority = route.priority
         self.callers.note(now, digest, priority, caller, seconds)
-        over = self.callers.judge(now, digest, priority, caller)
+        over = self.callers.check_share(now, digest, priority, caller)
         if over is None or not over.refuses(hashed):
             return []
         return self._refusals.refuse_over_share(
@@ -134,7 +134,7 @@
             known = self._path_times[service] = _work.WorkTime()
         known.note(seconds)
 
-    def refresh(self, now: float, fleet: shares.Fleet) -> None:
+    def refresh(self, now: float, fleet: shares.FleetSize) -> None:
         """Work out the shares and what peers are told.
 
         :param now: the time; several times a second.
@@ -148,9 +148,9 @@
 
     def _measure_rooms(
         self, now: float, wanted: set[int]
-    ) -> dict[int, shares.Room]:
+    ) -> dict[int, shares.Capacity]:
         # A service without an upstream has no room to share.
-        rooms = {digest: shares.Room(0.0) for digest in wanted}
+        rooms = {digest: shares.Capacity(0.0) for digest in wanted}
         if not wanted:
             return rooms
         for standing in self._directory:
@@ -171,7 +171,7 @@
     def _digest(self, service: str) -> int:
         digest = self._digests.get(service)
         if digest is None:
-            digest = self._digests[service] = shares.digest_service(service)
+            digest = self._digests[service] = shares.hash_service(service)
         return digest
 
 
--- a/skylarkfold/affinity/_speed.py
+++ b/skylarkfold/affinity/_speed.py
@@ -139,7 +139,10 @@
         """
         if times <= 0.0:
             return
-        least, most = -upstream_load.MOST_FASTNESS, upstream_load.MOST_SLOWNESS
+        least, most = (
+            -upstream_load.MAXIMUM_FASTNESS,
+            upstream_load.MAXIMUM_SLOWNESS,
+        )
         logarithm = min(max(math.log(times), least), most)
         if standing.evidence is None:
             standing.evidence = _speed_evidence.SpeedEvidence(now)
@@ -223,7 +226,7 @@
     own.fade(now)
     own.note_waiting(now, standing.waiting)
     answers = own.answers + standing.remote_answers
-    if answers < upstream_load.LEAST_ANSWERS:
+    if answers < upstream_load.MINIMUM_ANSWERS:
         standing.evidence = None
     return answers, own.slowness + standing.remote_slowness
 
@@ -276,4 +279,6 @@
     if before != 1.0:
         details['lasted_ms'] = round(lasted * 1000)
     name = standing.upstream.name
-    return [_effect.Record('speed', reason, upstream=name, details=details)]
+    return [
+        _effect.RecordDecision('speed', reason, upstream=name, details=details)
+    ]
--- a/skylarkfold/affinity/_speed_evidence.py
+++ b/skylarkfold/affinity/_speed_evidence.py
@@ -75,8 +75,10 @@
             :class:`skylarkfold.upstream_load.UpstreamLoad`.
         """
         self.fade(now)
-        if self.answers < upstream_load.LEAST_ANSWERS:
+        if self.answers < upstream_load.MINIMUM_ANSWERS:
             return 0.0, 0.0
-        answers = min(self.answers, upstream_load.MOST_ANSWERS)
-        mean = min(self.slowness / self.answers, upstream_load.MOST_MEAN)
+        answers = min(self.answers, upstream_load.MAXIMUM_ANSWERS)
+        mean = min(
+            self.slowness / self.answers, upstream_load.MAXIMUM_MEAN_SLOWNESS
+        )
         return answers, answers * mean
--- a/skylarkfold/affinity/_suspects.py
+++ b/skylarkfold/affinity/_suspects.py
@@ -52,7 +52,7 @@
         directory: _directory.Directory,
         ending: _ending.Ending,
         tally: _tally.Tally,
-        room: rooms.InstanceRoom,
+        room: rooms.InstanceHeadroom,
     ) -> None:
         self._zone = zone
         self._settings = settings
@@ -85,9 +85,9 @@
         self.evidence.note_doubt(now, standing)
         standing.probe_due = now + self._settings.ask_seconds
         self._suspects[standing.upstream.name] = standing
-        return [_effect.AskPeers(standing.upstream)]
+        return [_effect.QueryPeers(standing.upstream)]
 
-    def take_heard(
+    def handle_last_seen(
         self, now: float, standing: _standing.Standing, at: float
     ) -> None:
         """Take when a peer last heard an upstream.
@@ -100,7 +100,7 @@
         if standing.health == Health.DOUBTED and self._is_answering(standing):
             self._dismiss(now, standing)
 
-    def take_lost(
+    def handle_unreachable(
         self, now: float, standing: _standing.Standing
     ) -> list[object]:
         """Take that a peer of this zone found an upstream out of reach.
@@ -126,7 +126,7 @@
         self._suspects[standing.upstream.name] = standing
         return self._probe(now, standing)
 
-    def take_probe(
+    def handle_probe_result(
         self,
         now: float,
         name: str,
@@ -151,7 +151,7 @@
             standing.upstream.incarnation,
         ):
             return self._take_control(now, name)
-        self.evidence.note_probe(now, standing, outcome)
+        self.evidence.record_probe(now, standing, outcome)
         effects = []
         if is_control is not False:
             effects = self._take_control(now, name)
@@ -227,7 +227,7 @@
         self._histograms[_tally.DOUBT_SECONDS].observe(silent)
         effects: list[object] = [self._record(now, standing, outcome)]
         if standing.is_proven:
-            effects.append(_effect.TellPeers(standing.upstream))
+            effects.append(_effect.NotifyPeers(standing.upstream))
         effects += self._ending.end_flows(now, [standing])
         return effects + self._doubt_zone(now, standing)
 
@@ -355,7 +355,7 @@
 
     def _record(
         self, now: float, standing: _standing.Standing, outcome: str
-    ) -> _effect.Record:
+    ) -> _effect.RecordDecision:
         details = {
             'probe': outcome,
             'heard_ms_ago': _ending.to_ms(now - standing.last_heard),
@@ -365,6 +365,6 @@
             'zone': standing.upstream.zone,
         }
         name = standing.upstream.name
-        return _effect.Record(
+        return _effect.RecordDecision(
             'health', standing.health, upstream=name, details=details
         )
--- a/skylarkfold/affinity/_upstream.py
+++ b/skylarkfold/affinity/_upstream.py
@@ -58,8 +58,8 @@
         slots: int = 1,
         is_draining: bool = False,
         warm_up_seconds: float = 0.0,
-        created: revisions.Revision = revisions.NONE,
-        revision: revisions.Revision = revisions.NONE,
+        created: revisions.Revision = revisions.ZERO,
+        revision: revisions.Revision = revisions.ZERO,
         born: int | None = None,
         sequence: int = 0,
     ) -> None:
--- a/skylarkfold/affinity/_words.py
+++ b/skylarkfold/affinity/_words.py
@@ -37,7 +37,7 @@
         self._suspects = suspects
         self._peer_loads = peer_loads
 
-    def take_load(
+    def handle_load(
         self,
         now: float,
         source: str,
@@ -74,7 +74,7 @@
                 )
         return loads
 
-    def list_heard(
+    def list_last_seen(
         self, now: float, incarnations: Iterable[int]
     ) -> dict[int, float]:
         """Answer a peer that doubts some upstreams.
@@ -94,7 +94,7 @@
                 heard[incarnation] = age
         return heard
 
-    def take_heard(self, now: float, heard: dict[int, float]) -> None:
+    def handle_last_seen(self, now: float, heard: dict[int, float]) -> None:
         """Take what a peer has heard of upstreams in doubt.
 
         :param now: the time.
@@ -103,9 +103,9 @@
         for incarnation, age in heard.items():
             standing = self._directory.find_incarnation(incarnation)
             if standing is not None:
-                self._suspects.take_heard(now, standing, now - age)
+                self._suspects.handle_last_seen(now, standing, now - age)
 
-    def take_lost(
+    def handle_unreachable(
         self, now: float, incarnations: Iterable[int]
     ) -> list[object]:
         """Take that a peer of this zone found upstreams out of reach.
@@ -118,5 +118,5 @@
         for incarnation in incarnations:
             standing = self._directory.find_incarnation(incarnation)
             if standing is not None:
-                effects += self._suspects.take_lost(now, standing)
+                effects += self._suspects.handle_unreachable(now, standing)
         return effects
--- a/skylarkfold/assembly.py
+++ b/skylarkfold/assembly.py
@@ -5,8 +5,8 @@
 from skylarkfold import effect
 from skylarkfold import errors
 from skylarkfold import event
+from skylarkfold import platform_api
 from skylarkfold import settings
-from skylarkfold import stored
 from skylarkfold import teams
 
 CLAIMS_PREFIX = '/claims/'
@@ -37,7 +37,7 @@
             return self._publish(received.revision)
         return []
 
-    def _take(self, changed: stored.StoredObject) -> list[object]:
+    def _take(self, changed: platform_api.StoredObject) -> list[object]:
         team = teams.parse_team(changed.path)
         if team is not None:
             return self._take_subtree(team, changed)
@@ -46,7 +46,7 @@
         return []
 
     def _take_subtree(
-        self, team: str, changed: stored.StoredObject
+        self, team: str, changed: platform_api.StoredObject
     ) -> list[object]:
         self._changed = True
         if changed.value is None:
@@ -65,7 +65,7 @@
             ]
         return []
 
-    def _take_claim(self, changed: stored.StoredObject) -> None:
+    def _take_claim(self, changed: platform_api.StoredObject) -> None:
         self._changed = True
         if changed.value is None:
             self._claims.pop(changed.path, None)
--- a/skylarkfold/backoff.py
+++ b/skylarkfold/backoff.py
@@ -5,10 +5,10 @@
 
 import xxhash
 
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 
-class Jitter(lean.Protocol):
+class Jitter(light_imports.Protocol):
     """A source of pauses that differ, for example ``random.Random``."""
 
     def uniform(self, least: float, most: float) -> float:
@@ -54,7 +54,7 @@
         '_generator',
         '_maximum_seconds',
         'failures',
-        'open_at',
+        'retry_at',
     )
 
     def __init__(
@@ -67,9 +67,9 @@
         self._maximum_seconds = maximum_seconds
         self._generator = generator
         self.failures = 0
-        self.open_at = float('-inf')
+        self.retry_at = float('-inf')
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Lengthen the pause.
 
         :param now: the time in seconds of a monotonic clock.
@@ -77,9 +77,9 @@
         pause = self._first_seconds * 2.0 ** min(self.failures, 30)
         pause = min(pause, self._maximum_seconds)
         self.failures += 1
-        self.open_at = now + pause * self._generator.uniform(0.5, 1.0)
+        self.retry_at = now + pause * self._generator.uniform(0.5, 1.0)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """End the pause."""
         self.failures = 0
-        self.open_at = float('-inf')
+        self.retry_at = float('-inf')
--- a/skylarkfold/daemon.py
+++ b/skylarkfold/daemon.py
@@ -10,8 +10,8 @@
 from aiohttp import web
 
 from skylarkfold import _cores
-from skylarkfold import _edges
-from skylarkfold import _performer
+from skylarkfold import _effect_executor
+from skylarkfold import _sockets
 from skylarkfold import configuration as configuration_module
 from skylarkfold import edge
 from skylarkfold import effect
@@ -57,13 +57,15 @@
             settings.log.packets,
         )
         self._runtime.handle = self.handle
-        self._edges = _edges.build_edges(settings, self._runtime, self._cores)
-        self._performer = _performer.Performer(self._edges)
-        self._performer.register(effect.StopFinished, self._end_hand_on)
-        self._performer.register(
+        self._sockets = _sockets.build_sockets(
+            settings, self._runtime, self._cores
+        )
+        self._executor = _effect_executor.EffectExecutor(self._sockets)
+        self._executor.register(effect.StopFinished, self._end_hand_on)
+        self._executor.register(
             effect.PublishMembership, self._note_membership
         )
-        self._performer.register(effect.PublishConfiguration, self._configure)
+        self._executor.register(effect.PublishConfiguration, self._configure)
 
     async def run(self) -> None:
         """Serve until a planned stop is finished.
@@ -80,14 +82,14 @@
 
     async def _open(self) -> None:
         await self._listen()
-        await self._edges.attempts.open()
-        await self._edges.platform.open()
+        await self._sockets.attempts.open()
+        await self._sockets.platform.open()
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         self._runtime.start(self._tick())
         self._runtime.start(self._flush())
-        self._runtime.start(self._edges.prober.run())
+        self._runtime.start(self._sockets.prober.run())
         self._runtime.start(self._listen_again())
 
     async def _listen(self) -> None:
@@ -97,24 +99,24 @@
         admin = self._settings.admin_address
         try:
             await loop.create_datagram_endpoint(
-                lambda: self._edges.upstream_socket, local_addr=(host, 0)
+                lambda: self._sockets.upstream_socket, local_addr=(host, 0)
             )
-            await self._edges.peers.listen(instance.peer_address)
+            await self._sockets.peers.listen(instance.peer_address)
             if admin is not None:
                 self._admin = await edge.listen_admin(admin, self.describe)
         except OSError as error:
             raise errors.AddressInUseError(str(error)) from error
 
     async def _close(self) -> None:
-        await self._edges.listeners.close()
-        await self._edges.streams.close()
-        await self._edges.peers.close()
+        await self._sockets.listeners.close()
+        await self._sockets.streams.close()
+        await self._sockets.peers.close()
         await self._runtime.cancel_all()
-        await self._edges.attempts.close()
-        await self._edges.platform.close()
+        await self._sockets.attempts.close()
+        await self._sockets.platform.close()
         if self._admin is not None:
             await self._admin.cleanup()
-        self._edges.upstream_socket.close()
+        self._sockets.upstream_socket.close()
         while self._decisions.flush():
             pass
         self._counters.flush()
@@ -123,7 +125,7 @@
     def stop(self) -> None:
         """Begin a planned stop; :meth:`run` returns once it is done."""
         _logger.info('stopping %s', self._settings.instance.name)
-        self._runtime.start(self._edges.listeners.stop_accepting())
+        self._runtime.start(self._sockets.listeners.stop_accepting())
         loop = asyncio.get_running_loop()
         loop.call_later(self._settings.edge.stop_seconds, self._leave)
         self.handle(event.StopRequested())
@@ -138,7 +140,7 @@
         """
         try:
             for wanted in self._node.handle(self._runtime.clock(), received):
-                self._performer.perform(wanted)
+                self._executor.execute(wanted)
         except Exception:
             self._counters.add(metric.NODE_FAILURES)
             _logger.exception('an event failed: %s', type(received).__name__)
@@ -152,14 +154,14 @@
 
     def _configure(self, wanted: effect.PublishConfiguration) -> None:
         self._configuration = wanted.configuration
-        self._edges.prober.configure(wanted.configuration)
-        self._edges.streams.configure(wanted.configuration)
+        self._sockets.prober.configure(wanted.configuration)
+        self._sockets.streams.configure(wanted.configuration)
         if self._was_ready:
             self._start_listeners()
 
     def _start_listeners(self) -> None:
         self._runtime.start(
-            self._edges.listeners.configure(self._configuration)
+            self._sockets.listeners.configure(self._configuration)
         )
 
     async def _tick(self) -> None:
@@ -172,7 +174,11 @@
     def _check_stopped(self) -> None:
         # Streams can't be handed on: they may end by themselves until the
         # stop's limit.
-        if not self._handed_on or self._edges.streams or self._edges.requests:
+        if (
+            not self._handed_on
+            or self._sockets.streams
+            or self._sockets.requests
+        ):
             return
         self._leave()
 
@@ -182,7 +188,7 @@
             return
         self._has_left = True
         for wanted in self._cores.membership.leave(self._runtime.clock()):
-            self._performer.perform(wanted)
+            self._executor.execute(wanted)
         loop = asyncio.get_running_loop()
         loop.call_later(_GOODBYE_SECONDS, self._stopped.set)
 
@@ -193,7 +199,7 @@
         self._runtime.start(self._begin_to_serve())
 
     async def _begin_to_serve(self) -> None:
-        await self._edges.listeners.configure(self._configuration)
+        await self._sockets.listeners.configure(self._configuration)
         self._is_listening = True
         _logger.info('ready %s', self._settings.instance.name)
         print(f'ready {self._settings.instance.name}', flush=True)
@@ -201,8 +207,8 @@
     async def _listen_again(self) -> None:
         while True:
             await asyncio.sleep(_LISTEN_AGAIN_SECONDS)
-            if self._was_ready and self._edges.listeners.has_failed:
-                await self._edges.listeners.configure(self._configuration)
+            if self._was_ready and self._sockets.listeners.has_failed:
+                await self._sockets.listeners.configure(self._configuration)
 
     async def _flush(self) -> None:
         last_metrics = 0.0
@@ -220,7 +226,7 @@
 
     @property
     def _is_serving(self) -> bool:
-        if not self._is_listening or self._edges.listeners.has_failed:
+        if not self._is_listening or self._sockets.listeners.has_failed:
             return False
         return self._cores.is_ready
 
--- a/skylarkfold/late_log.py
+++ b/skylarkfold/deferred_log.py
@@ -1,4 +1,4 @@
-"""The log of instances, whose library is loaded when there is time for it.
+"""The log of instances, which defers loading ``logging``.
 
 Loading ``logging`` takes a sixth of an instance's start (33 of 200 million
 instructions), and after a restart of everything callers wait for each tenth
@@ -20,21 +20,21 @@
 ERROR = 40
 
 
-class Line:
+class LogLine:
     """One line with when it was said.
 
     :ivar created: the time of day.
     :ivar at: the time of a monotonic clock.
     :ivar fields: what decided it, by name.
     :ivar is_budgeted: whether it is about one flow of many.
-    :ivar failure: an exception with its traceback, None for none.
+    :ivar exception_info: an exception with its traceback, None for none.
     """
 
     __slots__ = (
         'arguments',
         'at',
         'created',
-        'failure',
+        'exception_info',
         'fields',
         'is_budgeted',
         'level',
@@ -48,7 +48,7 @@
         arguments: tuple[object, ...],
         fields: dict[str, object],
         is_budgeted: bool,
-        failure: tuple | None,
+        exception_info: tuple | None,
     ) -> None:
         self.created = time.time()
         self.at = time.monotonic()
@@ -57,22 +57,22 @@
         self.arguments = arguments
         self.fields = fields
         self.is_budgeted = is_budgeted
-        self.failure = failure
+        self.exception_info = exception_info
 
 
-class LateLogger:
+class DeferredLogger:
     """Hands lines to the standard library's logger, at once or later.
 
-    :ivar left_out: lines that found no room while they were held.
+    :ivar dropped: lines that did not fit into the buffer.
     """
 
-    __slots__ = ('_held', '_limit', '_logger', 'left_out')
+    __slots__ = ('_held', '_limit', '_logger', 'dropped')
 
     def __init__(self) -> None:
-        self._held: collections.deque[Line] | None = None
+        self._held: collections.deque[LogLine] | None = None
         self._limit = 0
         self._logger: object = None
-        self.left_out = 0
+        self.dropped = 0
 
     def hold(self, limit: int) -> None:
         """Have lines wait from now on.
@@ -96,7 +96,7 @@
         *arguments: object,
         fields: dict[str, object] | None = None,
         is_budgeted: bool = False,
-        failure: tuple | None = None,
+        exception_info: tuple | None = None,
     ) -> None:
         """Say a line.
 
@@ -105,17 +105,22 @@
         :param arguments: what to put there.
         :param fields: what decided it, by name.
         :param is_budgeted: whether it is about one flow of many.
-        :param failure: an exception with its traceback.
+        :param exception_info: an exception with its traceback.
         """
-        line = Line(
-            level, message, arguments, fields or {}, is_budgeted, failure
+        line = LogLine(
+            level,
+            message,
+            arguments,
+            fields or {},
+            is_budgeted,
+            exception_info,
         )
         if self._held is None:
             self._hand_over(line)
         elif len(self._held) < self._limit:
             self._held.append(line)
         else:
-            self.left_out += 1
+            self.dropped += 1
 
     def debug(self, message: str, *arguments: object) -> None:
         """Say a line that only developers need."""
@@ -132,9 +137,9 @@
 
     def exception(self, message: str) -> None:
         """Say a line about the exception that is being handled."""
-        self.log(ERROR, message, failure=sys.exc_info())
+        self.log(ERROR, message, exception_info=sys.exc_info())
 
-    def _hand_over(self, line: Line) -> None:
+    def _hand_over(self, line: LogLine) -> None:
         import logging
 
         if self._logger is None:
@@ -152,10 +157,10 @@
                 'at': line.at,
                 'fields': line.fields,
                 'is_budgeted': line.is_budgeted,
-                'exc_info': line.failure,
+                'exc_info': line.exception_info,
             }
         )
         self._logger.handle(record)
 
 
-LOGGER = LateLogger()
+LOGGER = DeferredLogger()
--- a/skylarkfold/distribution/__init__.py
+++ b/skylarkfold/distribution/__init__.py
@@ -1,7 +1,7 @@
 """Brings the platform's objects to every instance, oldest never last."""
 
 from skylarkfold.distribution._core import DistributionCore
-from skylarkfold.distribution._feed import FIRST_CALL
+from skylarkfold.distribution._feed import FIRST_CALL_NUMBER
 from skylarkfold.distribution._messages import Busy
 from skylarkfold.distribution._messages import Delta
 from skylarkfold.distribution._messages import Fetch
@@ -15,7 +15,7 @@
     'Delta',
     'DistributionCore',
     'DistributionSettings',
-    'FIRST_CALL',
+    'FIRST_CALL_NUMBER',
     'Fetch',
     'Item',
     'MESSAGES',
--- a/skylarkfold/distribution/_core.py
+++ b/skylarkfold/distribution/_core.py
@@ -20,9 +20,9 @@
 from skylarkfold import member
 from skylarkfold import membership as membership_package
 from skylarkfold import metric
+from skylarkfold import object_cache
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
-from skylarkfold import shelf as shelf_module
-from skylarkfold import stored
 
 _NEVER = -1
 
@@ -47,11 +47,11 @@
     ) -> None:
         self._instance = instance
         self._settings = settings
-        self._shelf = shelf_module.Shelf(settings.tombstones)
+        self._cache = object_cache.ObjectCache(settings.tombstones)
         self._feed = _feed.Feed(settings, seed)
         self._fetcher = _fetcher.Fetcher(settings)
         self._comparison = _comparison.Comparison(settings)
-        self._server = _server.Server(settings, self._shelf)
+        self._server = _server.Server(settings, self._cache)
         self._retained = _retained.RetainedObjects(settings)
         self._neighbours: tuple[str, ...] = ()
         self._membership = member.EMPTY
@@ -67,7 +67,7 @@
     @property
     def revision(self) -> int:
         """The position: all changes up to this revision are known."""
-        return self._shelf.position
+        return self._cache.position
 
     @property
     def is_ready(self) -> bool:
@@ -85,13 +85,13 @@
             return None
         return now - self._confirmed
 
-    def get(self, path: str) -> stored.StoredObject | None:
+    def get(self, path: str) -> platform_api.StoredObject | None:
         """Find an object.
 
         :param path: its path.
         :returns: its newest known form, None if unknown or deleted.
         """
-        found = self._shelf.get(path)
+        found = self._cache.get(path)
         if found is None or found.value is None:
             return None
         return found
@@ -113,7 +113,7 @@
     def _(self, event_: event.Tick, now: float) -> list[object]:
         effects = self._note_pause(now)
         effects += self._watch(now)
-        effects += self._fetcher.retry(now, self._shelf.position)
+        effects += self._fetcher.retry(now, self._cache.position)
         effects += self._server.serve(now)
         effects += self._give_up()
         if now >= self._next_announcement:
@@ -141,7 +141,7 @@
     def _(self, event_: event.PeerLost, now: float) -> list[object]:
         self._server.forget(event_.peer)
         self._comparison.forget(event_.peer)
-        return self._fetcher.lose(event_.peer, now, self._shelf.position)
+        return self._fetcher.lose(event_.peer, now, self._cache.position)
 
     @_take.register
     def _(self, event_: event.StopRequested, now: float) -> list[object]:
@@ -175,7 +175,7 @@
     def _(
         self, message: _messages.Position, sender: str, now: float
     ) -> list[object]:
-        position = self._shelf.position
+        position = self._cache.position
         self._note_age(message, now)
         if message.revision < position:
             return [effect.SendToPeer(sender, self._describe(now))]
@@ -193,22 +193,22 @@
     def _(
         self, message: _messages.Busy, sender: str, now: float
     ) -> list[object]:
-        return self._fetcher.lose(sender, now, self._shelf.position)
+        return self._fetcher.lose(sender, now, self._cache.position)
 
     @_take_message.register
     def _(
         self, message: _messages.Delta, sender: str, now: float
     ) -> list[object]:
-        if not self._fetcher.accepts(sender, message, self._shelf.position):
+        if not self._fetcher.accepts(sender, message, self._cache.position):
             return [effect.CountMetric(metric.DISTRIBUTION_GAP)]
         try:
             objects = _packing.unpack(message.packed)
         except errors.DecodeError:
             malformed = effect.CountMetric(metric.DISTRIBUTION_MALFORMED)
-            lost = self._fetcher.lose(sender, now, self._shelf.position)
+            lost = self._fetcher.lose(sender, now, self._cache.position)
             return [malformed, *lost]
         effects = self._keep(now, objects)
-        absent = self._fetcher.absorb(message, objects, self._shelf)
+        absent = self._fetcher.absorb(message, objects, self._cache)
         effects += self._keep(now, absent, is_absent=True)
         if message.is_last:
             self._wake()
@@ -216,11 +216,11 @@
         if message.is_last or not message.is_snapshot:
             effects += self._advance(message.revision, now, sender)
         return effects + self._fetcher.proceed(
-            sender, now, self._shelf.position
+            sender, now, self._cache.position
         )
 
     def _take_news(self, news: _feed.News, now: float) -> list[object]:
-        if news.revision < self._shelf.position:
+        if news.revision < self._cache.position:
             return [effect.CountMetric(metric.DISTRIBUTION_STALE)]
         effects = self._keep(now, news.objects, is_listed=news.is_listing)
         if news.is_listing:
@@ -232,15 +232,15 @@
 
     def _drop_absent(self, news: _feed.News, now: float) -> list[object]:
         present = (each.path for each in news.objects)
-        absent = self._shelf.list_absent(news.revision, present)
-        self._shelf.raise_floor(news.revision)
+        absent = self._cache.list_absent(news.revision, present)
+        self._cache.raise_floor(news.revision)
         buried = [_bury(each, news.revision) for each in absent]
         return self._keep(now, buried, is_absent=True)
 
     def _keep(
         self,
         now: float,
-        candidates: Iterable[stored.StoredObject],
+        candidates: Iterable[platform_api.StoredObject],
         is_listed: bool = False,
         is_absent: bool = False,
     ) -> list[object]:
@@ -248,8 +248,8 @@
         for each in candidates:
             if not each.path.startswith(self._settings.kept_prefixes):
                 continue
-            known = self._shelf.get(each.path)
-            if not self._shelf.put(each, is_listed=is_listed):
+            known = self._cache.get(each.path)
+            if not self._cache.put(each, is_listed=is_listed):
                 continue
             is_fresh = self._is_fresh(each)
             if self._retained.stands(now, known, each, is_absent, is_fresh):
@@ -260,9 +260,9 @@
                 effects.append(effect.PublishObject(each))
         return effects
 
-    def _is_fresh(self, candidate: stored.StoredObject) -> bool:
+    def _is_fresh(self, candidate: platform_api.StoredObject) -> bool:
         """Tell whether an object was written since an era is known here."""
-        position = self._shelf.position
+        position = self._cache.position
         era = revisions.get_era(candidate.revision)
         is_known_era = revisions.get_era(position) == era
         return is_known_era and candidate.revision > position
@@ -274,13 +274,13 @@
         effects: list[object] = []
         for path in self._retained.expire(self._confirmed):
             effects.append(effect.CountMetric(metric.DISTRIBUTION_GIVEN_UP))
-            found = self._shelf.get(path)
+            found = self._cache.get(path)
             if found is not None:
                 effects.append(effect.PublishObject(found))
         return effects
 
     def _advance(self, revision: int, now: float, source: str) -> list[object]:
-        if not self._shelf.advance(revision):
+        if not self._cache.advance(revision):
             return []
         reached = effect.PublishRevision(revision)
         return [reached, *self._announce(now, source)]
@@ -297,19 +297,19 @@
     def _describe(self, now: float) -> _messages.Position:
         age = self.compute_age(now)
         return _messages.Position(
-            revision=self._shelf.position,
+            revision=self._cache.position,
             age_milliseconds=_NEVER if age is None else int(age * 1000),
-            digest=self._shelf.compute_digest(),
+            digest=self._cache.compute_digest(),
         )
 
     def _compare(
         self, message: _messages.Position, sender: str, now: float
     ) -> list[object]:
         self._wake()
-        if message.digest == self._shelf.compute_digest():
+        if message.digest == self._cache.compute_digest():
             self._comparison.forget(sender)
             return []
-        revision = self._shelf.position
+        revision = self._cache.position
         if self._comparison.note_difference(sender, revision, now):
             self._feed.want_listing()
         return [effect.CountMetric(metric.DISTRIBUTION_DIGEST_DIFFERS)]
@@ -325,7 +325,7 @@
         must_call = self._feed.must_list or self._must_watch(now)
         if self._is_stopping or not must_call:
             return []
-        return self._feed.call(now, self._shelf.position)
+        return self._feed.call(now, self._cache.position)
 
     def _must_watch(self, now: float) -> bool:
         settings = self._settings
@@ -355,5 +355,9 @@
         self._woken = None
 
 
-def _bury(each: stored.StoredObject, revision: int) -> stored.StoredObject:
-    return stored.StoredObject(each.path, each.version + 1, revision, None)
+def _bury(
+    each: platform_api.StoredObject, revision: int
+) -> platform_api.StoredObject:
+    return platform_api.StoredObject(
+        each.path, each.version + 1, revision, None
+    )
--- a/skylarkfold/distribution/_feed.py
+++ b/skylarkfold/distribution/_feed.py
@@ -7,9 +7,9 @@
 
 from skylarkfold.distribution import _settings
 from skylarkfold import effect
-from skylarkfold import stored
+from skylarkfold import platform_api
 
-FIRST_CALL = 1 << 41
+FIRST_CALL_NUMBER = 1 << 41
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
     base: int
     revision: int
-    objects: tuple[stored.StoredObject, ...]
+    objects: tuple[platform_api.StoredObject, ...]
     is_listing: bool
 
 
@@ -39,8 +39,8 @@
     __slots__ = (
         '_backoff',
         '_call',
-        '_must_list',
         '_is_listed',
+        '_must_list',
         '_next_call',
         '_next_time',
         '_random',
@@ -53,9 +53,9 @@
     ) -> None:
         self._settings = settings
         self._random = random.Random(seed)
-        self._next_call = FIRST_CALL
+        self._next_call = FIRST_CALL_NUMBER
         self._call: int | None = None
-        self._request: stored.PlatformCall | None = None
+        self._request: platform_api.PlatformCall | None = None
         self._next_time = 0.0
         self._backoff = settings.least_backoff_seconds
         self._is_listed = False
@@ -83,12 +83,12 @@
         self._call = self._next_call
         self._next_call += 1
         timeout = self._settings.call_timeout_seconds
-        if isinstance(self._request, stored.WatchObjects):
+        if isinstance(self._request, platform_api.WatchObjects):
             timeout += self._request.wait_seconds
         return [effect.CallPlatform(self._call, self._request, timeout)]
 
     def take(
-        self, now: float, call: int, answer: stored.PlatformAnswer
+        self, now: float, call: int, answer: platform_api.PlatformAnswer
     ) -> News | None:
         """Take the answer to a call.
 
@@ -101,29 +101,29 @@
         if call != self._call:
             return None
         request, self._call = self._request, None
-        if answer.status is not stored.PlatformStatus.OK:
-            refused = answer.status is stored.PlatformStatus.REFUSED
+        if answer.status is not platform_api.PlatformStatus.OK:
+            refused = answer.status is platform_api.PlatformStatus.REFUSED
             self._must_list |= refused
             self._pause(now)
             return None
-        if isinstance(request, stored.WatchObjects):
+        if isinstance(request, platform_api.WatchObjects):
             return self._take_watch(now, request, answer)
         return self._take_listing(now, answer)
 
-    def _choose_request(self, position: int) -> stored.PlatformCall:
+    def _choose_request(self, position: int) -> platform_api.PlatformCall:
         settings = self._settings
         is_new = position == 0 and not self._is_listed
         if is_new or self._must_list:
-            return stored.ListObjects(settings.prefix)
-        return stored.WatchObjects(
+            return platform_api.ListObjects(settings.prefix)
+        return platform_api.WatchObjects(
             settings.prefix, position, settings.wait_seconds
         )
 
     def _take_watch(
         self,
         now: float,
-        request: stored.WatchObjects,
-        answer: stored.PlatformAnswer,
+        request: platform_api.WatchObjects,
+        answer: platform_api.PlatformAnswer,
     ) -> News | None:
         if answer.revision < request.revision:
             self._pause(now)
@@ -132,7 +132,7 @@
         return News(request.revision, answer.revision, answer.objects, False)
 
     def _take_listing(
-        self, now: float, answer: stored.PlatformAnswer
+        self, now: float, answer: platform_api.PlatformAnswer
     ) -> News | None:
         self._is_listed = True
         self._must_list = False
--- a/skylarkfold/distribution/_fetcher.py
+++ b/skylarkfold/distribution/_fetcher.py
@@ -7,8 +7,8 @@
 from skylarkfold.distribution import _messages
 from skylarkfold.distribution import _settings
 from skylarkfold import effect
-from skylarkfold import shelf as shelf_module
-from skylarkfold import stored
+from skylarkfold import object_cache
+from skylarkfold import platform_api
 
 
 class Fetcher:
@@ -69,14 +69,14 @@
     def absorb(
         self,
         delta: _messages.Delta,
-        objects: Iterable[stored.StoredObject],
-        shelf: shelf_module.Shelf,
-    ) -> list[stored.StoredObject]:
+        objects: Iterable[platform_api.StoredObject],
+        cache: object_cache.ObjectCache,
+    ) -> list[platform_api.StoredObject]:
         """Advance the cursor and find objects that a snapshot lacks.
 
         :param delta: an accepted page.
         :param objects: its objects, which are kept already.
-        :param shelf: this instance's objects.
+        :param cache: this instance's objects.
         :returns: deletions that follow from a finished snapshot.
         """
         begin, self._cursor = self._cursor, max(self._cursor, delta.revision)
@@ -84,13 +84,13 @@
             return []
         present = {each.path for each in objects}
         end = min(delta.revision, delta.floor)
-        for each in shelf.list_absent(end, present):
+        for each in cache.list_absent(end, present):
             if each.revision > begin:
                 self._absent[each.path] = each.revision
         if not delta.is_last:
             return []
-        shelf.raise_floor(delta.floor)
-        return self._settle_absent(delta.floor, shelf)
+        cache.raise_floor(delta.floor)
+        return self._settle_absent(delta.floor, cache)
 
     def proceed(self, sender: str, now: float, position: int) -> list[object]:
         """Ask for the next page, or end.
@@ -156,14 +156,16 @@
         ]
 
     def _settle_absent(
-        self, floor: int, shelf: shelf_module.Shelf
-    ) -> list[stored.StoredObject]:
+        self, floor: int, cache: object_cache.ObjectCache
+    ) -> list[platform_api.StoredObject]:
         absent, self._absent = self._absent, {}
         gone = []
         for path, revision in absent.items():
-            known = shelf.get(path)
+            known = cache.get(path)
             if known is not None and known.revision == revision:
                 gone.append(
-                    stored.StoredObject(path, known.version + 1, floor, None)
+                    platform_api.StoredObject(
+                        path, known.version + 1, floor, None
+                    )
                 )
         return gone
--- a/skylarkfold/distribution/_packing.py
+++ b/skylarkfold/distribution/_packing.py
@@ -14,14 +14,14 @@
 from skylarkfold import codec
 from skylarkfold.distribution import _messages
 from skylarkfold import errors
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 _LEVEL = 1
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(tuple[_messages.Item, ...])
 
 
-def pack(objects: Iterable[stored.StoredObject]) -> bytes:
+def pack(objects: Iterable[platform_api.StoredObject]) -> bytes:
     """Pack objects.
 
     :param objects: the objects.
@@ -34,7 +34,7 @@
     return zlib.compress(_encoder.encode(items), _LEVEL)
 
 
-def unpack(packed: bytes) -> tuple[stored.StoredObject, ...]:
+def unpack(packed: bytes) -> tuple[platform_api.StoredObject, ...]:
     """Unpack objects.
 
     :param packed: their bytes.
@@ -47,7 +47,9 @@
     except (zlib.error, msgspec.MsgspecError, ValueError) as error:
         raise errors.DecodeError(str(error)) from error
     return tuple(
-        stored.StoredObject(each.path, each.version, each.revision, each.value)
+        platform_api.StoredObject(
+            each.path, each.version, each.revision, each.value
+        )
         for each in items
     )
 
--- a/skylarkfold/distribution/_retained.py
+++ b/skylarkfold/distribution/_retained.py
@@ -7,8 +7,8 @@
 from __future__ import annotations
 
 from skylarkfold.distribution import _settings
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
-from skylarkfold import stored
 
 
 class RetainedObjects:
@@ -26,13 +26,13 @@
 
     def __init__(self, settings: _settings.DistributionSettings) -> None:
         self._settings = settings
-        self._forms: dict[str, tuple[stored.StoredObject, float]] = {}
+        self._forms: dict[str, tuple[platform_api.StoredObject, float]] = {}
 
     def stands(
         self,
         now: float,
-        known: stored.StoredObject | None,
-        candidate: stored.StoredObject,
+        known: platform_api.StoredObject | None,
+        candidate: platform_api.StoredObject,
         is_absent: bool,
         is_fresh: bool,
     ) -> bool:
@@ -77,15 +77,15 @@
 
 
 def _is_former(
-    known: stored.StoredObject, candidate: stored.StoredObject
+    known: platform_api.StoredObject, candidate: platform_api.StoredObject
 ) -> bool:
     era = revisions.get_era(known.revision)
     return era < revisions.get_era(candidate.revision)
 
 
 def _is_later(
-    held: stored.StoredObject,
-    candidate: stored.StoredObject,
+    held: platform_api.StoredObject,
+    candidate: platform_api.StoredObject,
     is_absent: bool,
 ) -> bool:
     if candidate.value is None:
--- a/skylarkfold/distribution/_server.py
+++ b/skylarkfold/distribution/_server.py
@@ -7,8 +7,8 @@
 from skylarkfold.distribution import _settings
 from skylarkfold import effect
 from skylarkfold import metric
-from skylarkfold import shelf as shelf_module
-from skylarkfold import stored
+from skylarkfold import object_cache
+from skylarkfold import platform_api
 
 _ITEM_BYTES = 64
 
@@ -20,18 +20,18 @@
     made of the newest objects when it asks.
 
     :param settings: the distribution's settings.
-    :param shelf: this instance's objects.
+    :param cache: this instance's objects.
     """
 
-    __slots__ = ('_budget', '_refilled', '_settings', '_shelf', '_waiting')
+    __slots__ = ('_budget', '_cache', '_refilled', '_settings', '_waiting')
 
     def __init__(
         self,
         settings: _settings.DistributionSettings,
-        shelf: shelf_module.Shelf,
+        cache: object_cache.ObjectCache,
     ) -> None:
         self._settings = settings
-        self._shelf = shelf
+        self._cache = cache
         self._waiting: dict[str, tuple[float, _messages.Fetch]] = {}
         self._budget = float(settings.serve_bytes_per_second)
         self._refilled = 0.0
@@ -86,28 +86,28 @@
         self._budget = min(float(rate), self._budget + max(0.0, gained))
 
     def _answer(self, peer: str, fetch: _messages.Fetch) -> object:
-        shelf = self._shelf
-        is_snapshot = fetch.position < shelf.floor
+        cache = self._cache
+        is_snapshot = fetch.position < cache.floor
         base = fetch.cursor if is_snapshot else fetch.position
         base = max(base, fetch.cursor)
-        found = shelf.list_after(base)
+        found = cache.list_after(base)
         page = self._cut(found)
-        end = shelf.position
+        end = cache.position
         if len(page) < len(found):
             end = min(end, page[-1].revision)
         delta = _messages.Delta(
             base=base,
             revision=max(end, base),
             is_snapshot=is_snapshot,
-            is_last=end >= shelf.position,
-            floor=shelf.floor,
+            is_last=end >= cache.position,
+            floor=cache.floor,
             packed=_packing.pack(page),
         )
         return effect.SendToPeer(peer, delta)
 
     def _cut(
-        self, found: list[stored.StoredObject]
-    ) -> list[stored.StoredObject]:
+        self, found: list[platform_api.StoredObject]
+    ) -> list[platform_api.StoredObject]:
         page, total = [], 0
         for each in found:
             total += _weigh(each)
@@ -121,5 +121,5 @@
         return page
 
 
-def _weigh(each: stored.StoredObject) -> int:
+def _weigh(each: platform_api.StoredObject) -> int:
     return _ITEM_BYTES + len(each.path) + len(each.value or b'')
--- a/skylarkfold/edge/_datagram.py
+++ b/skylarkfold/edge/_datagram.py
@@ -37,7 +37,7 @@
     def __init__(self, runtime: _runtime.Runtime) -> None:
         self._runtime = runtime
         self._transport: asyncio.DatagramTransport | None = None
-        self._listeners: dict[endpoint.Endpoint, Listener] = {}
+        self._listeners: dict[endpoint.Endpoint, DatagramListener] = {}
         self._senders: dict[
             endpoint.Endpoint, frozenset[endpoint.Endpoint]
         ] = {}
@@ -49,7 +49,7 @@
     def configure(
         self,
         configuration: configuration_module.Configuration,
-        listeners: dict[endpoint.Endpoint, Listener],
+        listeners: dict[endpoint.Endpoint, DatagramListener],
     ) -> None:
         """Accept answers from the configuration's upstreams only.
 
@@ -107,7 +107,7 @@
             self._transport.close()
 
 
-class Listener(asyncio.DatagramProtocol):
+class DatagramListener(asyncio.DatagramProtocol):
     """The socket of one service towards its callers.
 
     :param runtime: what all parts of the daemon share.
--- a/skylarkfold/edge/_listeners.py
+++ b/skylarkfold/edge/_listeners.py
@@ -25,7 +25,7 @@
 
     def __init__(self, service: service_module.Service) -> None:
         self.service = service
-        self.datagrams: _datagram.Listener | None = None
+        self.datagrams: _datagram.DatagramListener | None = None
         self.streams: asyncio.Server | None = None
         self.requests: web.AppRunner | None = None
 
@@ -128,10 +128,10 @@
 
     async def _open_datagrams(
         self, host: str, service: service_module.Service
-    ) -> _datagram.Listener:
+    ) -> _datagram.DatagramListener:
         loop = asyncio.get_running_loop()
         _, listener = await loop.create_datagram_endpoint(
-            lambda: _datagram.Listener(
+            lambda: _datagram.DatagramListener(
                 self._runtime, service, self._router, self._upstreams
             ),
             local_addr=(host, service.address.port),
@@ -140,7 +140,7 @@
 
     def _map_listeners(
         self,
-    ) -> dict[endpoint.Endpoint, _datagram.Listener]:
+    ) -> dict[endpoint.Endpoint, _datagram.DatagramListener]:
         return {
             opened.service.address: opened.datagrams
             for opened in self._opened.values()
--- a/skylarkfold/edge/_platform.py
+++ b/skylarkfold/edge/_platform.py
@@ -17,8 +17,8 @@
 from skylarkfold import errors
 from skylarkfold import event
 from skylarkfold import metric
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
-from skylarkfold import stored
 
 _ERA_HEADER = 'Store-Era'
 
@@ -29,9 +29,9 @@
     revision: int
     value: str | None
 
-    def convert(self) -> stored.StoredObject:
+    def convert(self) -> platform_api.StoredObject:
         value = self.value
-        return stored.StoredObject(
+        return platform_api.StoredObject(
             self.path,
             self.version,
             self.revision,
@@ -61,47 +61,47 @@
 
 
 _STATUSES = {
-    200: stored.PlatformStatus.OK,
-    201: stored.PlatformStatus.OK,
-    204: stored.PlatformStatus.OK,
-    404: stored.PlatformStatus.NOT_FOUND,
-    412: stored.PlatformStatus.CONFLICT,
+    200: platform_api.PlatformStatus.OK,
+    201: platform_api.PlatformStatus.OK,
+    204: platform_api.PlatformStatus.OK,
+    404: platform_api.PlatformStatus.NOT_FOUND,
+    412: platform_api.PlatformStatus.CONFLICT,
 }
-_UNKNOWN = stored.PlatformAnswer(stored.PlatformStatus.UNKNOWN)
-_REFUSED = stored.PlatformAnswer(stored.PlatformStatus.REFUSED)
+_UNKNOWN = platform_api.PlatformAnswer(platform_api.PlatformStatus.UNKNOWN)
+_REFUSED = platform_api.PlatformAnswer(platform_api.PlatformStatus.REFUSED)
 
 
-def _judge_status(status: int) -> stored.PlatformStatus:
+def _judge_status(status: int) -> platform_api.PlatformStatus:
     if status in _STATUSES:
         return _STATUSES[status]
     # A server error may come after the write took effect.
     if status >= 500:
-        return stored.PlatformStatus.UNKNOWN
-    return stored.PlatformStatus.REFUSED
+        return platform_api.PlatformStatus.UNKNOWN
+    return platform_api.PlatformStatus.REFUSED
 
 
-def _convert_objects(body: bytes) -> stored.PlatformAnswer:
+def _convert_objects(body: bytes) -> platform_api.PlatformAnswer:
     listed = msgspec.json.decode(body, type=_Objects)
-    return stored.PlatformAnswer(
-        stored.PlatformStatus.OK,
+    return platform_api.PlatformAnswer(
+        platform_api.PlatformStatus.OK,
         tuple(each.convert() for each in listed.objects),
         listed.revision,
     )
 
 
-def _convert_object(body: bytes) -> stored.PlatformAnswer:
+def _convert_object(body: bytes) -> platform_api.PlatformAnswer:
     single = msgspec.json.decode(body, type=_Object).convert()
-    return stored.PlatformAnswer(
-        stored.PlatformStatus.OK, (single,), single.revision
+    return platform_api.PlatformAnswer(
+        platform_api.PlatformStatus.OK, (single,), single.revision
     )
 
 
-def _convert_instances(body: bytes) -> stored.PlatformAnswer:
+def _convert_instances(body: bytes) -> platform_api.PlatformAnswer:
     listed = msgspec.json.decode(body, type=_Instances)
-    return stored.PlatformAnswer(
-        stored.PlatformStatus.OK,
+    return platform_api.PlatformAnswer(
+        platform_api.PlatformStatus.OK,
         instances=tuple(
-            stored.ListedInstance(
+            platform_api.ListedInstance(
                 each.name, each.zone, each.region, each.address, each.leaving
             )
             for each in listed.instances
@@ -109,7 +109,9 @@
     )
 
 
-def _stamp(answer: stored.PlatformAnswer, era: int) -> stored.PlatformAnswer:
+def _stamp(
+    answer: platform_api.PlatformAnswer, era: int
+) -> platform_api.PlatformAnswer:
     """Put the store's era into all revisions of an answer."""
     return dataclasses.replace(
         answer,
@@ -122,7 +124,7 @@
 
 
 def _place(number: int, era: int) -> int:
-    if not 0 <= number <= revisions.MOST_NUMBER:
+    if not 0 <= number <= revisions.MAXIMUM_NUMBER:
         raise ValueError('a revision is out of range')
     # Messages hold plain integers only.
     return int(revisions.Revision(number, era))
@@ -157,8 +159,8 @@
             await self._session.close()
 
     async def call(
-        self, request: stored.PlatformCall, timeout_seconds: float
-    ) -> stored.PlatformAnswer:
+        self, request: platform_api.PlatformCall, timeout_seconds: float
+    ) -> platform_api.PlatformAnswer:
         """Perform one call.
 
         :param request: what to ask.
@@ -176,22 +178,28 @@
 
     @functools.singledispatchmethod
     async def _perform(
-        self, request: stored.PlatformCall
-    ) -> stored.PlatformAnswer:
+        self, request: platform_api.PlatformCall
+    ) -> platform_api.PlatformAnswer:
         raise NotImplementedError(type(request))
 
     @_perform.register
-    async def _(self, request: stored.ReadObject) -> stored.PlatformAnswer:
+    async def _(
+        self, request: platform_api.ReadObject
+    ) -> platform_api.PlatformAnswer:
         path = self._quote(request.path)
         return await self._get(f'/objects{path}', _convert_object)
 
     @_perform.register
-    async def _(self, request: stored.ListObjects) -> stored.PlatformAnswer:
+    async def _(
+        self, request: platform_api.ListObjects
+    ) -> platform_api.PlatformAnswer:
         query = urllib.parse.urlencode({'prefix': request.prefix})
         return await self._get(f'/objects?{query}', _convert_objects)
 
     @_perform.register
-    async def _(self, request: stored.WatchObjects) -> stored.PlatformAnswer:
+    async def _(
+        self, request: platform_api.WatchObjects
+    ) -> platform_api.PlatformAnswer:
         query = urllib.parse.urlencode(
             {
                 'prefix': request.prefix,
@@ -208,11 +216,15 @@
         return answer
 
     @_perform.register
-    async def _(self, request: stored.ListInstances) -> stored.PlatformAnswer:
+    async def _(
+        self, request: platform_api.ListInstances
+    ) -> platform_api.PlatformAnswer:
         return await self._get('/instances', _convert_instances)
 
     @_perform.register
-    async def _(self, request: stored.WriteObject) -> stored.PlatformAnswer:
+    async def _(
+        self, request: platform_api.WriteObject
+    ) -> platform_api.PlatformAnswer:
         headers = {'If-Match': f'"{request.expected_version}"'}
         if request.expected_version == 0:
             headers = {'If-None-Match': '*'}
@@ -228,32 +240,32 @@
             body = await response.read()
             status = _judge_status(response.status)
             era = self._read_era(response)
-        if status is not stored.PlatformStatus.OK or not body:
-            return stored.PlatformAnswer(status, revision=_place(0, era))
+        if status is not platform_api.PlatformStatus.OK or not body:
+            return platform_api.PlatformAnswer(status, revision=_place(0, era))
         return _stamp(_convert_object(body), era)
 
     def _read_era(self, response: aiohttp.ClientResponse) -> int:
         text = response.headers.get(_ERA_HEADER)
         if text is None:
             return self._era
-        era = revisions.read_era(text)
+        era = revisions.parse_era(text)
         self._era = max(self._era, era)
         return era
 
-    async def _get(self, path: str, convert) -> stored.PlatformAnswer:
+    async def _get(self, path: str, convert) -> platform_api.PlatformAnswer:
         async with self._session.get(self._url + path) as response:
             body = await response.read()
             status = _judge_status(response.status)
             era = self._read_era(response)
-        if status is not stored.PlatformStatus.OK:
-            return stored.PlatformAnswer(status, revision=_place(0, era))
+        if status is not platform_api.PlatformStatus.OK:
+            return platform_api.PlatformAnswer(status, revision=_place(0, era))
         return _stamp(convert(body), era)
 
     def _quote(self, path: str) -> str:
         return urllib.parse.quote(path, safe='/:')
 
 
-class PlatformCaller:
+class PlatformCallRunner:
     """Performs the node's platform calls and feeds the answers back.
 
     :param runtime: what all parts of the daemon share.
--- a/skylarkfold/edge/_tls.py
+++ b/skylarkfold/edge/_tls.py
@@ -19,7 +19,9 @@
     client: ssl.SSLContext
 
 
-def make_contexts(certificate: str, key: str, authority: str) -> TlsContexts:
+def make_tls_contexts(
+    certificate: str, key: str, authority: str
+) -> TlsContexts:
     """Read the certificates that peers prove themselves with.
 
     Names are checked against the greeting by the receiver, not against
--- a/skylarkfold/effect.py
+++ b/skylarkfold/effect.py
@@ -10,9 +10,9 @@
 from skylarkfold import event as event_module
 from skylarkfold import member
 from skylarkfold import message as message_module
+from skylarkfold import platform_api
 from skylarkfold import request as request_module
 from skylarkfold import service as service_module
-from skylarkfold import stored
 
 
 class Reason(enum.StrEnum):
@@ -126,7 +126,7 @@
     """
 
     call: int
-    request: stored.PlatformCall
+    request: platform_api.PlatformCall
     timeout_seconds: float
 
 
@@ -138,7 +138,7 @@
     subsystems as :class:`skylarkfold.event.WriteEnded`.
     """
 
-    write: stored.WriteObject
+    write: platform_api.WriteObject
 
 
 @dataclasses.dataclass(slots=True)
@@ -159,7 +159,7 @@
 class PublishObject:
     """Tell the other subsystems of a newer object."""
 
-    stored: stored.StoredObject
+    stored: platform_api.StoredObject
 
 
 @dataclasses.dataclass(slots=True)
--- a/skylarkfold/event.py
+++ b/skylarkfold/event.py
@@ -8,8 +8,8 @@
 from skylarkfold import endpoint
 from skylarkfold import member
 from skylarkfold import message as message_module
+from skylarkfold import platform_api
 from skylarkfold import request as request_module
-from skylarkfold import stored
 
 
 @dataclasses.dataclass(slots=True)
@@ -142,7 +142,7 @@
     """
 
     call: int
-    answer: stored.PlatformAnswer
+    answer: platform_api.PlatformAnswer
 
 
 @dataclasses.dataclass(slots=True)
@@ -156,7 +156,7 @@
 class ObjectChanged:
     """A newer version of an object of the system's own is known here."""
 
-    stored: stored.StoredObject
+    stored: platform_api.StoredObject
 
 
 @dataclasses.dataclass(slots=True)
@@ -170,7 +170,7 @@
 class WriteRequested:
     """Another core of this instance wants a conditional write."""
 
-    write: stored.WriteObject
+    write: platform_api.WriteObject
 
 
 @dataclasses.dataclass(slots=True)
@@ -191,8 +191,8 @@
     """
 
     path: str
-    status: stored.PlatformStatus
-    current: stored.StoredObject | None
+    status: platform_api.PlatformStatus
+    current: platform_api.StoredObject | None
     may_have_stood: bool = False
 
 
--- a/skylarkfold/explain/__init__.py
+++ b/skylarkfold/explain/__init__.py
@@ -1,23 +1,23 @@
 """Stories from the log lines of several instances: a flow's, a fleet's."""
 
-from skylarkfold.explain._clocks import align
+from skylarkfold.explain._clocks import align_clocks
 from skylarkfold.explain._line import Line
 from skylarkfold.explain._line import read_lines
-from skylarkfold.explain._story import Story
-from skylarkfold.explain._story import tell
-from skylarkfold.explain._text import format_story
+from skylarkfold.explain._story import build_history
+from skylarkfold.explain._story import FlowHistory
+from skylarkfold.explain._text import format_history
 from skylarkfold.explain._timeline import Entry
 from skylarkfold.explain._timeline import format_entries
 from skylarkfold.explain._timeline import list_entries
 
 __all__ = [
     'Entry',
+    'FlowHistory',
     'Line',
-    'Story',
-    'align',
+    'align_clocks',
+    'build_history',
     'format_entries',
-    'format_story',
+    'format_history',
     'list_entries',
     'read_lines',
-    'tell',
 ]
--- a/skylarkfold/explain/_clocks.py
+++ b/skylarkfold/explain/_clocks.py
@@ -27,7 +27,7 @@
         self.marks = marks
 
 
-def align(lines: Iterable[_line.Line]) -> tuple[str, dict[str, Clock]]:
+def align_clocks(lines: Iterable[_line.Line]) -> tuple[str, dict[str, Clock]]:
     """Set the instances' clocks against one of them.
 
     :param lines: the lines of all instances.
--- a/skylarkfold/explain/_story.py
+++ b/skylarkfold/explain/_story.py
@@ -44,7 +44,7 @@
         self.is_flow = is_flow
 
 
-class Story:
+class FlowHistory:
     """All that is known of one flow.
 
     :param flow: the flow, as far as it was given.
@@ -83,7 +83,7 @@
         return found
 
 
-def tell(flow: str, lines: Iterable[_line.Line]) -> Story:
+def build_history(flow: str, lines: Iterable[_line.Line]) -> FlowHistory:
     """Put the story of a flow together.
 
     :param flow: ``CALLER:PORT>ADDRESS:PORT``, or the caller's part of it.
@@ -91,11 +91,11 @@
     :returns: the story; without events if no line names the flow.
     """
     known = list(lines)
-    reference, clocks = _clocks.align(known)
+    reference, clocks = _clocks.align_clocks(known)
     times = {id(line): _clocks.adjust(line, clocks) for line in known}
     own = [line for line in known if _names(line, flow)]
     if not own:
-        return Story(flow, [], clocks, reference)
+        return FlowHistory(flow, [], clocks, reference)
     begin = min(times[id(line)] for line in own)
     instances = {line.instance for line in own}
     upstreams = {line.get('upstream') for line in own} - {''}
@@ -113,7 +113,7 @@
     events += _find_knowledge(known, times, instances, begin)
     # Lines of one instance keep their order, whatever its clock does.
     events.sort(key=lambda event: (event.at, event.line.place))
-    return Story(flow, events, clocks, reference)
+    return FlowHistory(flow, events, clocks, reference)
 
 
 def _names(line: _line.Line, flow: str) -> bool:
--- a/skylarkfold/explain/_timeline.py
+++ b/skylarkfold/explain/_timeline.py
@@ -73,7 +73,7 @@
     :returns: entries in the order in which they began.
     """
     known = list(lines)
-    _, clocks = _clocks.align(known)
+    _, clocks = _clocks.align_clocks(known)
     timed = [
         (_clocks.adjust(line, clocks), line)
         for line in known
--- a/skylarkfold/flows/_catalog.py
+++ b/skylarkfold/flows/_catalog.py
@@ -9,8 +9,8 @@
 from skylarkfold.flows import _settings
 from skylarkfold.flows import _state
 from skylarkfold.flows import _table
+from skylarkfold import platform_api
 from skylarkfold import service as service_module
-from skylarkfold import stored
 
 
 class Catalog:
@@ -79,7 +79,7 @@
             state.adopt(now, known, known.serial)
 
     def take(
-        self, now: float, known: stored.StoredObject
+        self, now: float, known: platform_api.StoredObject
     ) -> _state.ServiceState | None:
         """Take an object of the platform.
 
@@ -111,7 +111,7 @@
     def _note_stored(
         self,
         name: str,
-        known: stored.StoredObject,
+        known: platform_api.StoredObject,
         version: int,
         serial: int,
     ) -> None:
--- a/skylarkfold/flows/_core.py
+++ b/skylarkfold/flows/_core.py
@@ -24,8 +24,8 @@
 from skylarkfold.flows import _upkeep
 from skylarkfold import instance as instance_module
 from skylarkfold import metric
+from skylarkfold import platform_api
 from skylarkfold import service as service_module
-from skylarkfold import stored
 
 MAXIMUM_SLOT_BYTES = _ranking.SLOT_COUNT // 8
 
@@ -316,7 +316,7 @@
                 yield from self._tell_proposers(now, state.name, told)
 
     def _take_object(
-        self, now: float, known: stored.StoredObject
+        self, now: float, known: platform_api.StoredObject
     ) -> list[object]:
         try:
             state = self._catalog.take(now, known)
--- a/skylarkfold/flows/_proposer.py
+++ b/skylarkfold/flows/_proposer.py
@@ -17,7 +17,7 @@
 from skylarkfold.flows import _settings
 from skylarkfold.flows import _state
 from skylarkfold.flows import _table
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 MAXIMUM_BACKOFF_SECONDS = 30.0
 WRITE_TIMEOUT_SECONDS = 60.0
@@ -166,7 +166,7 @@
 
     def end_write(
         self, now: float, state: _state.ServiceState, ended: event.WriteEnded
-    ) -> stored.StoredObject | None:
+    ) -> platform_api.StoredObject | None:
         """Take the outcome of a write of this instance.
 
         :param now: the time.
@@ -179,10 +179,10 @@
         proposal.pending = None
         proposal.writing_until = 0.0
         proposal.due_since = None
-        if ended.status is stored.PlatformStatus.OK:
+        if ended.status is platform_api.PlatformStatus.OK:
             proposal.failures = 0
             return ended.current or _build_stored(state, pending)
-        if ended.status is stored.PlatformStatus.CONFLICT:
+        if ended.status is platform_api.PlatformStatus.CONFLICT:
             proposal.failures = 0
             return ended.current
         proposal.failures += 1
@@ -279,7 +279,7 @@
         planned = msgspec.structs.replace(planned, serial=serial)
         proposal.pending = planned
         proposal.writing_until = now + WRITE_TIMEOUT_SECONDS
-        write = stored.WriteObject(
+        write = platform_api.WriteObject(
             path=_table.build_path(state.name),
             value=_table.encode(planned),
             expected_version=state.in_store.version,
@@ -302,10 +302,10 @@
 
 def _build_stored(
     state: _state.ServiceState, pending: _table.BucketTable | None
-) -> stored.StoredObject | None:
+) -> platform_api.StoredObject | None:
     if pending is None:
         return None
-    return stored.StoredObject(
+    return platform_api.StoredObject(
         path=_table.build_path(state.name),
         version=state.in_store.version + 1,
         revision=0,
--- a/skylarkfold/forwarder/__init__.py
+++ b/skylarkfold/forwarder/__init__.py
@@ -6,19 +6,19 @@
 """
 
 from skylarkfold.forwarder._daemon import Forwarder
-from skylarkfold.forwarder._own import OwnSettings
-from skylarkfold.forwarder._own import parse_own_settings
-from skylarkfold.forwarder._own import read_own_settings
-from skylarkfold.forwarder._own import take_machine
+from skylarkfold.forwarder._own import apply_machine_settings
+from skylarkfold.forwarder._own import ForwarderSettings
+from skylarkfold.forwarder._own import parse_forwarder_settings
+from skylarkfold.forwarder._own import read_forwarder_settings
 from skylarkfold.forwarder._platform import Platform
 from skylarkfold.forwarder._platform import Store
 
 __all__ = [
     'Forwarder',
-    'OwnSettings',
+    'ForwarderSettings',
     'Platform',
     'Store',
-    'parse_own_settings',
-    'read_own_settings',
-    'take_machine',
+    'apply_machine_settings',
+    'parse_forwarder_settings',
+    'read_forwarder_settings',
 ]
--- a/skylarkfold/forwarder/_daemon.py
+++ b/skylarkfold/forwarder/_daemon.py
@@ -5,6 +5,7 @@
 import gc
 
 from skylarkfold import affinity
+from skylarkfold import deferred_log
 from skylarkfold import errors
 from skylarkfold.forwarder import _departure
 from skylarkfold.forwarder import _gauges
@@ -21,8 +22,7 @@
 from skylarkfold.forwarder import _rhythm
 from skylarkfold.forwarder import _sharing
 from skylarkfold.forwarder import _store_link
-from skylarkfold import late_log
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold import machine
 from skylarkfold import reactor
 from skylarkfold import relay
@@ -59,14 +59,14 @@
         self,
         settings: machine.MachineSettings,
         file: machine.SettingsFile,
-        own: _own.OwnSettings,
+        own: _own.ForwarderSettings,
         platform: _platform.Platform,
-        packets: lean.Socket,
+        packets: light_imports.Socket,
     ) -> None:
         self._settings = settings
         self._file = file
         self._knowledge = _knowledge.Knowledge(platform, settings)
-        _own.take_machine(own, settings)
+        _own.apply_machine_settings(own, settings)
         own.relay.topics = self._knowledge.topics
         own.relay.shared_topics = self._knowledge.shared_topics
         own.relay.lasting_topics = self._knowledge.lasting_topics
@@ -76,7 +76,7 @@
         self._reporter = _reporter.Reporter(
             settings.name, own.log, platform.list_counters
         )
-        room = rooms.InstanceRoom(own.room, settings.link_bytes_per_second)
+        room = rooms.InstanceHeadroom(own.room, settings.link_bytes_per_second)
         self._link = _link.LinkCount(room)
         self._affinity = affinity.AffinityCore(
             settings.zone, own.affinity, room
@@ -114,22 +114,22 @@
             affinity.Forward: self._forward,
             affinity.Reset: self._reset,
             affinity.Drop: _ignore,
-            affinity.AskPeers: self._questions.ask,
+            affinity.QueryPeers: self._questions.ask,
             affinity.Probe: self._probe,
-            affinity.Record: self._reporter.record,
-            affinity.TellPeers: self._questions.tell,
-            relay.AbandonCall: self._store.abandon,
+            affinity.RecordDecision: self._reporter.record,
+            affinity.NotifyPeers: self._questions.tell,
+            relay.CancelCall: self._store.cancel,
             relay.CallStore: self._store.call,
-            relay.Changed: self._store.take_change,
+            relay.TopicChanged: self._store.take_change,
             relay.Fetch: self._peers.fetch,
-            relay.Note: self._note,
-            relay.TakeCallers: lambda wanted: self._sharing.take(
+            relay.RecordEvent: self._note,
+            relay.CallerDemandReported: lambda wanted: self._sharing.take(
                 self._loop.now(), wanted
             ),
-            relay.TakeHeard: self._take_heard,
-            relay.TakeLoad: self._take_load,
-            relay.TakeLost: self._take_lost,
-            relay.TellHeard: self._tell_heard,
+            relay.LastSeenReported: self._take_heard,
+            relay.PeerLoadReported: self._take_load,
+            relay.UnreachableReported: self._take_lost,
+            relay.LastSeenRequested: self._tell_heard,
             relay.SendBeacon: self._peers.send,
         }
         self._servers = [
@@ -147,9 +147,9 @@
         """Serve until a planned stop is finished."""
         loop = self._loop
         loop.watch(self._packets, reactor.READ, lambda _: self._take_packets())
-        loop.on_signal(lean.SIGTERM, self._stop)
-        loop.on_signal(lean.SIGINT, self._stop)
-        loop.on_signal(lean.SIGHUP, self._reload)
+        loop.on_signal(light_imports.SIGTERM, self._stop)
+        loop.on_signal(light_imports.SIGINT, self._stop)
+        loop.on_signal(light_imports.SIGHUP, self._reload)
         loop.call_every(_LOAD_SECONDS, self._tell_load)
         loop.call_every(_FLUSH_SECONDS, self._flush)
         loop.call_every(_COUNTERS_SECONDS, self._say_counters)
@@ -192,7 +192,7 @@
             settings = self._file.reread(is_forced)
         except errors.SettingsError as error:
             self._reporter.log(
-                'settings', late_log.ERROR, reason='kept', error=str(error)
+                'settings', deferred_log.ERROR, reason='kept', error=str(error)
             )
             return
         if settings is None:
@@ -224,7 +224,7 @@
             if packet is None:
                 self.count(_metrics.PACKET_MALFORMED)
                 continue
-            self._perform(self._affinity.take_packet(now, packet))
+            self._perform(self._affinity.handle_packet(now, packet))
         self._link.note(now)
         self._follow_up(now)
 
@@ -263,19 +263,21 @@
             # is lost, as it may be on any link, and its sender repeats.
             self.count(f'{_metrics.SEND_FAILED}.{error.errno}')
 
-    def _take_lost(self, wanted: relay.TakeLost) -> None:
+    def _take_lost(self, wanted: relay.UnreachableReported) -> None:
         now = self._loop.now()
-        self._perform(self._affinity.take_lost(now, wanted.incarnations))
+        self._perform(
+            self._affinity.handle_unreachable(now, wanted.incarnations)
+        )
         self._follow_up(now)
 
-    def _tell_heard(self, wanted: relay.TellHeard) -> None:
+    def _tell_heard(self, wanted: relay.LastSeenRequested) -> None:
         now = self._loop.now()
-        heard = self._affinity.list_heard(now, wanted.incarnations)
+        last_seen = self._affinity.list_last_seen(now, wanted.incarnations)
         announcer = self._relay.announcer
-        self._perform(announcer.answer(now, wanted.host, heard))
+        self._perform(announcer.answer(now, wanted.host, last_seen))
 
-    def _take_heard(self, wanted: relay.TakeHeard) -> None:
-        self._affinity.take_heard(self._loop.now(), wanted.heard)
+    def _take_heard(self, wanted: relay.LastSeenReported) -> None:
+        self._affinity.handle_last_seen(self._loop.now(), wanted.last_seen)
 
     def _probe(self, wanted: affinity.Probe) -> None:
         _probe.probe(self._loop, wanted, self._take_probe)
@@ -286,22 +288,22 @@
         self.count(f'{_metrics.PROBE}.{outcome}')
         now = self._loop.now()
         self._perform(
-            self._affinity.take_probe(
+            self._affinity.handle_probe_result(
                 now, upstream.name, outcome, upstream.incarnation, is_control
             )
         )
         self._follow_up(now)
 
-    def take_beacon(self, host: str, beacon: relay.Beacon) -> None:
+    def handle_beacon(self, host: str, beacon: relay.Beacon) -> None:
         """Take a peer's beacon.
 
         :param host: where it came from.
         :param beacon: the beacon.
         """
         now = self._loop.now()
-        self._perform(self._relay.take_beacon(now, host, beacon))
+        self._perform(self._relay.handle_beacon(now, host, beacon))
 
-    def take_fetch(
+    def handle_fetch(
         self, topic: int, position: revisions.Revision
     ) -> relay.Page | None:
         """Answer a peer that lacks something.
@@ -310,15 +312,15 @@
         :param position: the peer's position.
         :returns: the page, None for none.
         """
-        return self._relay.take_fetch(self._loop.now(), topic, position)
+        return self._relay.handle_fetch(self._loop.now(), topic, position)
 
-    def take_page(self, fetch: relay.Fetch, page: relay.Page | None) -> None:
+    def handle_page(self, fetch: relay.Fetch, page: relay.Page | None) -> None:
         """Take the end of a fetch.
 
         :param fetch: what was asked.
         :param page: the answer, None for none.
         """
-        self._perform(self._relay.take_page(self._loop.now(), fetch, page))
+        self._perform(self._relay.handle_page(self._loop.now(), fetch, page))
 
     def count(self, name: str) -> None:
         """Count an event.
@@ -327,9 +329,9 @@
         """
         self._reporter.count(name)
 
-    def _take_load(self, wanted: relay.TakeLoad) -> None:
+    def _take_load(self, wanted: relay.PeerLoadReported) -> None:
         now = self._loop.now()
-        self._affinity.take_load(now, wanted.source, wanted.loads)
+        self._affinity.handle_load(now, wanted.source, wanted.loads)
 
     def _tell_load(self) -> None:
         now = self._loop.now()
@@ -339,7 +341,7 @@
             mates = self._relay.peers.list_mates()
             self._affinity.set_mates(now, self._settings.name, mates)
 
-    def _note(self, wanted: relay.Note) -> None:
+    def _note(self, wanted: relay.RecordEvent) -> None:
         self.count(f'{_metrics.RELAY}.{wanted.reason}')
         self._reporter.log('relay', reason=wanted.reason, **wanted.details)
 
--- a/skylarkfold/forwarder/_lines.py
+++ b/skylarkfold/forwarder/_lines.py
@@ -14,9 +14,9 @@
 import select
 import time
 
-from skylarkfold import budget
+from skylarkfold import deferred_log
 from skylarkfold.forwarder import _own
-from skylarkfold import late_log
+from skylarkfold import token_bucket
 
 # A pipe that is ready takes this much without blocking (POSIX).
 _PORTION_BYTES = 4096
@@ -40,19 +40,19 @@
         self._instance = instance
         self._settings = settings
         self._descriptor = descriptor
-        self._budget = budget.CallBudget(
+        self._budget = token_bucket.TokenBucket(
             settings.lines_per_second, settings.burst_lines
         )
         self._lines: collections.deque[bytes] = collections.deque()
         self._rest = b''
-        self.left_out = 0
+        self.dropped = 0
         self._left_out_said = 0
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a record; its fields are in ``record.fields``."""
         is_full = len(self._lines) >= self._settings.waiting_lines
         if is_full or not self._may_write(record):
-            self.left_out += 1
+            self.dropped += 1
             return
         fields = {
             'time': round(record.created, 3),
@@ -97,9 +97,9 @@
         return True
 
     def _say_left_out(self) -> None:
-        count = self.left_out - self._left_out_said
+        count = self.dropped - self._left_out_said
         if count and len(self._lines) < self._settings.waiting_lines:
-            self._left_out_said = self.left_out
+            self._left_out_said = self.dropped
             fields = {
                 'time': round(time.time(), 3),
                 'level': 'warning',
@@ -123,7 +123,7 @@
     :returns: the handler, to be flushed now and then.
     """
     handler = LineHandler(instance, settings)
-    logger = logging.getLogger(late_log.NAME)
+    logger = logging.getLogger(deferred_log.NAME)
     logger.handlers[:] = [handler]
     logger.propagate = False
     logger.setLevel(logging.INFO)
--- a/skylarkfold/forwarder/_link.py
+++ b/skylarkfold/forwarder/_link.py
@@ -16,7 +16,7 @@
 
     __slots__ = ('_received', '_room', '_sent')
 
-    def __init__(self, room: rooms.InstanceRoom) -> None:
+    def __init__(self, room: rooms.InstanceHeadroom) -> None:
         self._room = room
         self._received = 0
         self._sent = 0
@@ -41,5 +41,5 @@
         :param now: the time.
         """
         if self._received or self._sent:
-            self._room.note_traffic(now, self._received, self._sent)
+            self._room.record_traffic(now, self._received, self._sent)
             self._received = self._sent = 0
--- a/skylarkfold/forwarder/_own.py
+++ b/skylarkfold/forwarder/_own.py
@@ -9,12 +9,12 @@
 from skylarkfold import affinity
 from skylarkfold import errors
 from skylarkfold import files
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold import machine
 from skylarkfold import relay
 from skylarkfold import room as rooms
 
-if lean.TYPE_CHECKING:
+if light_imports.TYPE_CHECKING:
     from skylarkfold import shares
 
 _COMMENT = '//'
@@ -48,7 +48,7 @@
         self.waiting_lines = waiting_lines
 
 
-class OwnSettings:
+class ForwarderSettings:
     """All of them.
 
     :param metrics_port: where metrics are shown; 0 for nowhere.
@@ -99,7 +99,7 @@
 }
 
 
-def read_own_settings(path: str) -> OwnSettings:
+def read_forwarder_settings(path: str) -> ForwarderSettings:
     """Read the settings.
 
     :param path: the file; empty for all defaults.
@@ -108,17 +108,19 @@
         be read or used.
     """
     if not path:
-        return OwnSettings()
+        return ForwarderSettings()
     try:
         text = files.read_bytes(path).decode()
     except UnicodeDecodeError as error:
         raise errors.SettingsUnreadableError(str(error), path) from None
-    own = parse_own_settings(text, path)
+    own = parse_forwarder_settings(text, path)
     own.path = path
     return own
 
 
-def take_machine(own: OwnSettings, settings: machine.MachineSettings) -> None:
+def apply_machine_settings(
+    own: ForwarderSettings, settings: machine.MachineSettings
+) -> None:
     """Take the bounds that the platform's settings file names.
 
     :param own: the settings to complete.
@@ -138,13 +140,13 @@
     )
 
 
-def parse_own_settings(text: str, source: str) -> OwnSettings:
+def parse_forwarder_settings(text: str, source: str) -> ForwarderSettings:
     """Read the settings from a text.
 
     :param text: JSON with comment lines.
     :param source: the file, for messages.
     :returns: the settings.
-    :raises SettingsError: as :func:`read_own_settings` does.
+    :raises SettingsError: as :func:`read_forwarder_settings` does.
     """
     # Comments become empty lines, so that errors name the right line.
     lines = [
@@ -172,7 +174,7 @@
         else:
             known = ', '.join(sorted([*_SECTIONS, 'metrics_port', 'shares']))
             raise errors.UnknownFieldError(f'known: {known}', source, place)
-    return OwnSettings(**values)
+    return ForwarderSettings(**values)
 
 
 def _convert(kind: type, fields: object, source: str, path: str) -> object:
@@ -201,7 +203,7 @@
 def _parse(text: str) -> object:
     """Read JSON; networks that are named twice contradict one another."""
     if _NETWORKS not in text:
-        return lean.parse_json(text)
+        return light_imports.parse_json(text)
     import json
 
     return json.loads(text, object_pairs_hook=_build_object)
--- a/skylarkfold/forwarder/_peers.py
+++ b/skylarkfold/forwarder/_peers.py
@@ -4,10 +4,10 @@
 
 
 from skylarkfold import datagram
+from skylarkfold import deferred_log
 from skylarkfold import errors
 from skylarkfold.forwarder import _metrics
-from skylarkfold import late_log
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold import reactor
 from skylarkfold import relay
 from skylarkfold import revision as revisions
@@ -18,21 +18,21 @@
 _FETCH_BYTES = 64
 _SERVE_SECONDS = 2.0
 
-_logger = late_log.LOGGER
+_logger = deferred_log.LOGGER
 
 
-class Listener(lean.Protocol):
+class Listener(light_imports.Protocol):
     """What takes the peers' messages."""
 
-    def take_beacon(self, host: str, beacon: relay.Beacon) -> None:
+    def handle_beacon(self, host: str, beacon: relay.Beacon) -> None:
         """Take a beacon."""
 
-    def take_fetch(
+    def handle_fetch(
         self, topic: int, position: revisions.Revision
     ) -> relay.Page | None:
         """Answer a fetch."""
 
-    def take_page(self, fetch: relay.Fetch, page: relay.Page | None) -> None:
+    def handle_page(self, fetch: relay.Fetch, page: relay.Page | None) -> None:
         """Take the end of a fetch."""
 
     def count(self, name: str) -> None:
@@ -83,7 +83,7 @@
 
     def close(self) -> None:
         """Close both sockets."""
-        self._loop.forget(self._socket)
+        self._loop.unwatch(self._socket)
         self._socket.close()
         self._server.close()
 
@@ -98,7 +98,7 @@
             except errors.DecodeError:
                 self._listener.count(_metrics.BEACON_MALFORMED)
                 continue
-            self._listener.take_beacon(sender[0], beacon)
+            self._listener.handle_beacon(sender[0], beacon)
 
     def _accept(self, stream: reactor.Stream) -> None:
         _Service(self._loop, stream, self._listener)
@@ -136,7 +136,7 @@
             except errors.DecodeError as error:
                 self._listener.count(_metrics.PAGE_MALFORMED)
                 _logger.warning('a page is malformed: %s', error)
-        self._listener.take_page(self._wanted, page)
+        self._listener.handle_page(self._wanted, page)
 
 
 class _Service:
@@ -166,7 +166,7 @@
                 self._listener.count(_metrics.FETCH_MALFORMED)
                 self._stream.close('malformed')
             return
-        page = self._listener.take_fetch(topic, position)
+        page = self._listener.handle_fetch(topic, position)
         if page is not None:
             self._stream.write(relay.encode_page(page))
         self._stream.finish()
--- a/skylarkfold/forwarder/_platform.py
+++ b/skylarkfold/forwarder/_platform.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from skylarkfold import affinity
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold import machine
 from skylarkfold import reactor
 from skylarkfold import relay
@@ -14,20 +14,20 @@
 Answered = Callable[[relay.Answer], object]
 
 
-class Store(lean.Protocol):
+class Store(light_imports.Protocol):
     """A client of the platform's store."""
 
     def call(self, call: relay.Call, answered: Answered) -> None:
         """Begin a call; ``answered`` gets its end, always."""
 
-    def abandon(self, topic: str) -> None:
+    def cancel(self, topic: str) -> None:
         """End the call of a topic that is under way, without an answer."""
 
     def close(self) -> None:
         """Close all connections."""
 
 
-class Platform(lean.Protocol):
+class Platform(light_imports.Protocol):
     """Translates between a platform's bytes and typed values.
 
     :ivar routes_topic: the topic of the objects that hold routes.
--- a/skylarkfold/forwarder/_precedence.py
+++ b/skylarkfold/forwarder/_precedence.py
@@ -21,7 +21,7 @@
     __slots__ = ('_comparers', '_entry_seconds', '_platform', '_relay')
 
     def __init__(
-        self, platform: _platform.Platform, own: _own.OwnSettings
+        self, platform: _platform.Platform, own: _own.ForwarderSettings
     ) -> None:
         self._platform = platform
         self._relay = own.relay
@@ -31,7 +31,7 @@
             platform.upstreams_topic: self._compare_upstreams,
         }
 
-    def compute_hold(
+    def compute_retention_seconds(
         self,
         topic: str,
         former: relay.Item,
--- a/skylarkfold/forwarder/_questions.py
+++ b/skylarkfold/forwarder/_questions.py
@@ -24,7 +24,7 @@
         self._doubts: dict[int, None] = {}
         self._lost: dict[int, None] = {}
 
-    def ask(self, wanted: affinity.AskPeers) -> None:
+    def ask(self, wanted: affinity.QueryPeers) -> None:
         """Have peers asked whether they heard an upstream.
 
         :param wanted: names the upstream.
@@ -32,7 +32,7 @@
         self._reporter.count(_metrics.PEERS_ASKED)
         self._doubts[wanted.upstream.incarnation] = None
 
-    def tell(self, wanted: affinity.TellPeers) -> None:
+    def tell(self, wanted: affinity.NotifyPeers) -> None:
         """Have peers told that an upstream was found out of reach.
 
         :param wanted: names the upstream.
@@ -51,4 +51,4 @@
         doubts, lost = tuple(self._doubts), tuple(self._lost)
         self._doubts.clear()
         self._lost.clear()
-        return announcer.tell_zone(now, doubts, lost)
+        return announcer.notify_zone(now, doubts, lost)
--- a/skylarkfold/forwarder/_reporter.py
+++ b/skylarkfold/forwarder/_reporter.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from skylarkfold import affinity
+from skylarkfold import deferred_log
 from skylarkfold.forwarder import _metrics
 from skylarkfold.forwarder import _own
 from skylarkfold import histogram
-from skylarkfold import late_log
 
-_logger = late_log.LOGGER
+_logger = deferred_log.LOGGER
 
 
 class Reporter:
@@ -60,17 +60,17 @@
         self.counters[name] += 1
 
     def log(
-        self, message: str, level: int = late_log.INFO, **fields: object
+        self, message: str, level: int = deferred_log.INFO, **fields: object
     ) -> None:
         """Write a line about the process.
 
         :param message: what happened.
-        :param level: one of ``late_log``.
+        :param level: one of ``deferred_log``.
         :param fields: what decided it, by name.
         """
         _logger.log(level, message, fields=fields)
 
-    def record(self, decision: affinity.Record) -> None:
+    def record(self, decision: affinity.RecordDecision) -> None:
         """Write a line for a decision.
 
         :param decision: the decision.
@@ -82,7 +82,7 @@
             fields['upstream'] = decision.upstream
         fields.update(decision.details)
         _logger.log(
-            late_log.INFO,
+            deferred_log.INFO,
             decision.kind,
             fields=fields,
             is_budgeted=bool(decision.flow),
@@ -100,7 +100,7 @@
             self._lost[name] = now
             self.log(
                 'dependency',
-                late_log.WARNING,
+                deferred_log.WARNING,
                 name=name,
                 reason='lost',
                 cause=reason,
@@ -147,8 +147,8 @@
             **self.counters,
             **self._list_counters(),
         }
-        left_out = _logger.left_out
+        dropped = _logger.dropped
         if self._handler is not None:
-            left_out += self._handler.left_out
-        totals[_metrics.LINES_LEFT_OUT] = left_out
+            dropped += self._handler.dropped
+        totals[_metrics.LINES_LEFT_OUT] = dropped
         return dict(sorted(totals.items()))
--- a/skylarkfold/forwarder/_sharing.py
+++ b/skylarkfold/forwarder/_sharing.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from skylarkfold import affinity
+from skylarkfold import deferred_log
 from skylarkfold import errors
 from skylarkfold.forwarder import _metrics
 from skylarkfold.forwarder import _own
 from skylarkfold.forwarder import _reporter
-from skylarkfold import late_log
 from skylarkfold import relay
 
 
@@ -31,7 +31,7 @@
         self._relay = relay_core
         self._reporter = reporter
 
-    def put(self, own: _own.OwnSettings, is_asked: bool) -> None:
+    def put(self, own: _own.ForwarderSettings, is_asked: bool) -> None:
         """Put settings in force.
 
         :param own: the settings of this instance.
@@ -46,7 +46,7 @@
         if self._core.shares.sharing is None:
             self._relay.announcer.callers.put(b'', b'')
 
-    def reload(self, own: _own.OwnSettings, is_asked: bool) -> None:
+    def reload(self, own: _own.ForwarderSettings, is_asked: bool) -> None:
         """Read this instance's settings of shares again.
 
         What can't be used changes nothing.
@@ -55,10 +55,10 @@
         :param is_asked: as for :meth:`put`.
         """
         try:
-            own.shares = _own.read_own_settings(own.path).shares
+            own.shares = _own.read_forwarder_settings(own.path).shares
         except errors.SettingsError as error:
             self._reporter.log(
-                'settings', late_log.ERROR, reason='kept', error=str(error)
+                'settings', deferred_log.ERROR, reason='kept', error=str(error)
             )
         self.put(own, is_asked)
 
@@ -74,14 +74,14 @@
         from skylarkfold import shares
 
         mates = self._relay.peers.count_mates()
-        sharing.refresh(now, shares.Fleet(mates, zones))
+        sharing.refresh(now, shares.FleetSize(mates, zones))
         callers = sharing.callers
         words = self._relay.announcer.callers
-        words.put(callers.word, callers.zone_word)
-        if callers.elsewhere:
-            words.put_elsewhere(callers.elsewhere_at, callers.elsewhere)
+        words.put(callers.demand, callers.zone_demand)
+        if callers.other_zones:
+            words.put_other_zones(callers.other_zones_at, callers.other_zones)
 
-    def take(self, now: float, wanted: relay.TakeCallers) -> None:
+    def take(self, now: float, wanted: relay.CallerDemandReported) -> None:
         """Take what a peer tells of callers.
 
         :param now: the time.
@@ -90,12 +90,12 @@
         sharing = self._core.shares.sharing
         if sharing is None:
             return
-        is_sound = sharing.callers.take_word(
+        is_sound = sharing.callers.handle_report(
             now,
             wanted.source,
             wanted.is_zone,
             wanted.age_seconds,
-            wanted.word,
+            wanted.demand,
         )
         if not is_sound:
             self._reporter.count(_metrics.CALLERS_MALFORMED)
--- a/skylarkfold/forwarder/_store_link.py
+++ b/skylarkfold/forwarder/_store_link.py
@@ -71,12 +71,12 @@
         answered = functools.partial(self._take_answer, wanted.call, begun)
         self._store.call(wanted.call, answered)
 
-    def abandon(self, wanted: relay.AbandonCall) -> None:
+    def cancel(self, wanted: relay.CancelCall) -> None:
         """End a call.
 
         :param wanted: the decision.
         """
-        self._store.abandon(wanted.topic)
+        self._store.cancel(wanted.topic)
 
     def close(self) -> None:
         """Close all connections to the store."""
@@ -92,7 +92,7 @@
             taken.observe(now - begun)
         if answer.status != relay.Status.ABANDONED:
             self._note_store(now, call.topic, answer.status)
-        self._perform(self._relay.take_answer(now, call, answer))
+        self._perform(self._relay.handle_answer(now, call, answer))
 
     def _note_store(self, now: float, topic: str, status: str) -> None:
         # That the history is forgotten is an answer, too.
@@ -100,7 +100,7 @@
         reason = '' if is_there else status
         self._reporter.note_dependency(now, f'store/{topic}', reason)
 
-    def take_change(self, wanted: relay.Changed) -> None:
+    def take_change(self, wanted: relay.TopicChanged) -> None:
         """Put a change in force.
 
         :param wanted: what has changed.
--- a/skylarkfold/lean.py
+++ b/skylarkfold/light_imports.py
@@ -1,4 +1,4 @@
-"""Small parts of large libraries, without the rest of them.
+"""Parts of large libraries, without importing the rest.
 
 After a restart of everything callers wait for each millisecond of
 processor time that an instance takes until it is ready. ``socket``,
@@ -39,17 +39,17 @@
 TCP_NODELAY = _socket.TCP_NODELAY
 
 Socket = _socket.socket
-open_pair = _socket.socketpair
-pack_host = _socket.inet_aton
-format_host = _socket.inet_ntoa
-parse_host = _socket.inet_pton
+socketpair = _socket.socketpair
+inet_aton = _socket.inet_aton
+inet_ntoa = _socket.inet_ntoa
+inet_pton = _socket.inet_pton
 
 # The same of ``signal``.
 SIGHUP = _signal.SIGHUP
 SIGINT = _signal.SIGINT
 SIGTERM = _signal.SIGTERM
-handle_signal = _signal.signal
-set_wakeup = _signal.set_wakeup_fd
+set_signal_handler = _signal.signal
+set_wakeup_fd = _signal.set_wakeup_fd
 
 _BLANKS = ' \t\n\r'
 
@@ -143,7 +143,7 @@
     raise ModuleNotFoundError(f'no module named {name}', name=name)
 
 
-http = _load_http()
+http_parser = _load_http()
 
 
 def _load_msgpack() -> types.ModuleType:
--- a/skylarkfold/machine.py
+++ b/skylarkfold/machine.py
@@ -12,7 +12,7 @@
 
 from skylarkfold import errors
 from skylarkfold import files
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 _MAXIMUM_PORT = 65535
 # For files that leave them out: what the platform's example has.
@@ -193,7 +193,7 @@
         read or used.
     """
     try:
-        fields = lean.parse_json(files.read_bytes(path))
+        fields = light_imports.parse_json(files.read_bytes(path))
     except ValueError as error:
         raise errors.SettingsSyntaxError(str(error), path) from None
     return convert_settings(fields, path)
--- a/skylarkfold/measure/_control_fleet.py
+++ b/skylarkfold/measure/_control_fleet.py
@@ -25,7 +25,7 @@
 from skylarkfold import member
 from skylarkfold import membership
 from skylarkfold import node as node_module
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 TICK_SECONDS = 0.25
 # TCP and IP headers with timestamps (52), a TLS record (22) and a share of
@@ -83,22 +83,22 @@
         )
         self.node = node_module.Node(
             [
-                node_module.Part(
+                node_module.CoreBinding(
                     self.membership,
                     node_module.list_message_types(membership.MESSAGES),
-                    membership.FIRST_CALL,
+                    membership.FIRST_CALL_NUMBER,
                 ),
-                node_module.Part(
+                node_module.CoreBinding(
                     self.distribution,
                     node_module.list_message_types(distribution.MESSAGES),
-                    distribution.FIRST_CALL,
+                    distribution.FIRST_CALL_NUMBER,
                 ),
-                node_module.Part(self),
+                node_module.CoreBinding(self),
             ]
         )
         self.decoder = codec.StreamDecoder(MESSAGES)
         self.is_paused = False
-        self.applied: dict[str, stored.StoredObject] = {}
+        self.applied: dict[str, platform_api.StoredObject] = {}
         self.reached: list[tuple[float, int]] = []
         self.reverts = 0
         self.sent_bytes = 0
@@ -113,7 +113,7 @@
             self.reached.append((now, received.revision))
         return []
 
-    def _apply(self, changed: stored.StoredObject) -> None:
+    def _apply(self, changed: platform_api.StoredObject) -> None:
         known = self.applied.get(changed.path)
         if known is not None and changed.revision <= known.revision:
             self.reverts += 1
@@ -210,10 +210,10 @@
         """
         self._feed_alive(self.hosts[name], received)
 
-    def list_instances(self) -> tuple[stored.ListedInstance, ...]:
+    def list_instances(self) -> tuple[platform_api.ListedInstance, ...]:
         """List the running instances as the platform would."""
         return tuple(
-            stored.ListedInstance(
+            platform_api.ListedInstance(
                 each.name,
                 each.settings.zone,
                 each.settings.region,
@@ -352,11 +352,13 @@
         self._number = number
         self._is_ended = False
 
-    def take_at(self, when: float, answer: stored.PlatformAnswer) -> None:
+    def take_at(
+        self, when: float, answer: platform_api.PlatformAnswer
+    ) -> None:
         if self._host.settings.zone not in self._fleet.cut_zones:
             self._fleet._schedule(when, self.take, answer)
 
-    def take(self, answer: stored.PlatformAnswer) -> None:
+    def take(self, answer: platform_api.PlatformAnswer) -> None:
         if self._is_ended:
             return
         self._is_ended = True
@@ -364,7 +366,7 @@
         self._fleet._feed_alive(self._host, answered)
 
 
-_NO_ANSWER = stored.PlatformAnswer(stored.PlatformStatus.UNKNOWN)
+_NO_ANSWER = platform_api.PlatformAnswer(platform_api.PlatformStatus.UNKNOWN)
 
 
 def _ignore(host: Host, produced: object) -> None:
--- a/skylarkfold/measure/_control_platform.py
+++ b/skylarkfold/measure/_control_platform.py
@@ -7,13 +7,13 @@
 import functools
 import random
 
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
-from skylarkfold import stored
 
-OK = stored.PlatformStatus.OK
-UNKNOWN = stored.PlatformStatus.UNKNOWN
+OK = platform_api.PlatformStatus.OK
+UNKNOWN = platform_api.PlatformStatus.UNKNOWN
 
-Answer = Callable[[float, stored.PlatformAnswer], None]
+Answer = Callable[[float, platform_api.PlatformAnswer], None]
 
 
 @dataclasses.dataclass(slots=True)
@@ -41,20 +41,22 @@
         self.compacted = 0
         self.reads = 0
         self.writes = 0
-        self.instances: tuple[stored.ListedInstance, ...] = ()
+        self.instances: tuple[platform_api.ListedInstance, ...] = ()
         self._random = random.Random(seed)
-        self._history: list[stored.StoredObject] = []
+        self._history: list[platform_api.StoredObject] = []
         self._watches: list[_Watch] = []
 
     def write(
         self, now: float, path: str, value: bytes | None
-    ) -> stored.StoredObject:
+    ) -> platform_api.StoredObject:
         """Write an object and answer the watches that wait for it."""
         self.writes += 1
         self.number += 1
         current = self._read(path, self.number)
         version = 1 if current is None else current.version + 1
-        written = stored.StoredObject(path, version, self.revision, value)
+        written = platform_api.StoredObject(
+            path, version, self.revision, value
+        )
         self._history.append(written)
         if not self.is_down:
             self._wake(now)
@@ -85,12 +87,12 @@
             for each in self._history[:number]
         ]
 
-    def list_current(self) -> dict[str, stored.StoredObject]:
+    def list_current(self) -> dict[str, platform_api.StoredObject]:
         """List the newest form of each object, deleted ones included."""
         return {each.path: each for each in self._history}
 
     def call(
-        self, now: float, request: stored.PlatformCall, answer: Answer
+        self, now: float, request: platform_api.PlatformCall, answer: Answer
     ) -> None:
         """Take a call; nothing comes back while the platform is down."""
         if self.is_down or self._random.random() < self.lost_share:
@@ -122,14 +124,14 @@
 
     @_take.register
     def _(
-        self, request: stored.ListInstances, now: float, answer: Answer
+        self, request: platform_api.ListInstances, now: float, answer: Answer
     ) -> None:
-        answered = stored.PlatformAnswer(OK, instances=self.instances)
+        answered = platform_api.PlatformAnswer(OK, instances=self.instances)
         answer(now + self.delay_seconds, answered)
 
     @_take.register
     def _(
-        self, request: stored.ListObjects, now: float, answer: Answer
+        self, request: platform_api.ListObjects, now: float, answer: Answer
     ) -> None:
         revision = self._choose_revision()
         objects = tuple(
@@ -137,20 +139,20 @@
             for each in self._list_at(revision).values()
             if each.value is not None and each.path.startswith(request.prefix)
         )
-        answered = stored.PlatformAnswer(OK, objects, revision)
+        answered = platform_api.PlatformAnswer(OK, objects, revision)
         answer(now + self.delay_seconds, answered)
 
     @_take.register
     def _(
-        self, request: stored.WatchObjects, now: float, answer: Answer
+        self, request: platform_api.WatchObjects, now: float, answer: Answer
     ) -> None:
         deadline = now + request.wait_seconds
         watch = _Watch(request.prefix, request.revision, deadline, answer)
         is_stale = self._random.random() < self.stale_share
         is_known = self._is_known(request.revision)
         if not is_known:
-            refused = stored.PlatformStatus.REFUSED
-            answer(now, stored.PlatformAnswer(refused))
+            refused = platform_api.PlatformStatus.REFUSED
+            answer(now, platform_api.PlatformAnswer(refused))
         elif is_stale or self.revision > request.revision:
             self._answer_watch(now, watch)
         else:
@@ -169,8 +171,8 @@
 
     def _answer_watch(self, now: float, watch: _Watch) -> None:
         if not self._is_known(watch.revision):
-            refused = stored.PlatformStatus.REFUSED
-            watch.answer(now, stored.PlatformAnswer(refused))
+            refused = platform_api.PlatformStatus.REFUSED
+            watch.answer(now, platform_api.PlatformAnswer(refused))
             return
         revision = self._choose_revision()
         objects = tuple(
@@ -179,7 +181,7 @@
             if each.revision > watch.revision
             and each.path.startswith(watch.prefix)
         )
-        answered = stored.PlatformAnswer(OK, objects, revision)
+        answered = platform_api.PlatformAnswer(OK, objects, revision)
         watch.answer(now + self.delay_seconds, answered)
 
     def _choose_revision(self) -> int:
@@ -188,12 +190,14 @@
             return int(revisions.Revision(number, self.era))
         return self.revision
 
-    def _list_at(self, revision: int) -> dict[str, stored.StoredObject]:
+    def _list_at(self, revision: int) -> dict[str, platform_api.StoredObject]:
         # Numbers are counted from 1 without gaps.
         number = revisions.get_number(revision)
         return {each.path: each for each in self._history[:number]}
 
-    def _read(self, path: str, number: int) -> stored.StoredObject | None:
+    def _read(
+        self, path: str, number: int
+    ) -> platform_api.StoredObject | None:
         found = self._list_at(number).get(path)
         if found is None or found.value is None:
             return None
--- a/skylarkfold/measure/_control_scenario.py
+++ b/skylarkfold/measure/_control_scenario.py
@@ -262,7 +262,7 @@
             return
         seen = produced.membership
         known = self._known.setdefault(host.name, [])
-        known.append((self._fleet.now, seen.least_revision))
+        known.append((self._fleet.now, seen.minimum_revision))
         dead = {
             name
             for name, each in seen.members.items()
--- a/skylarkfold/measure/_flow_cores.py
+++ b/skylarkfold/measure/_flow_cores.py
@@ -15,8 +15,8 @@
 from skylarkfold import instance
 from skylarkfold import member
 from skylarkfold import message
+from skylarkfold import platform_api
 from skylarkfold import service as service_module
-from skylarkfold import stored
 
 ADDRESS = endpoint.Endpoint('10.0.0.1', 7000)
 OWN_NAME = 'entry-1'
@@ -134,7 +134,7 @@
 
 def _write_table(
     service: service_module.Service, settings: flows.FlowSettings
-) -> stored.StoredObject:
+) -> platform_api.StoredObject:
     """Let a core that is alone write the service's first table."""
     core = _begin(service, settings)
     core.handle(0.0, event.MembershipChanged(make_membership(1)))
@@ -142,5 +142,5 @@
         for each in core.handle(float(tick), event.Tick()):
             if isinstance(each, effect.RequestWrite):
                 write = each.write
-                return stored.StoredObject(write.path, 1, 2, write.value)
+                return platform_api.StoredObject(write.path, 1, 2, write.value)
     raise RuntimeError('no table was written')
--- a/skylarkfold/measure/_flow_fleet.py
+++ b/skylarkfold/measure/_flow_fleet.py
@@ -29,8 +29,8 @@
 from skylarkfold.measure import _flow_views
 from skylarkfold import member
 from skylarkfold import message as message_module
+from skylarkfold import platform_api
 from skylarkfold import service as service_module
-from skylarkfold import stored
 
 TICK_SECONDS = 0.25
 REVISION_REPORT_SECONDS = 0.5
@@ -270,7 +270,7 @@
         if node.own.state is member.MemberState.JOINING:
             self._news.announce(node, member.MemberState.ALIVE)
 
-    def _publish_object(self, written: stored.StoredObject) -> None:
+    def _publish_object(self, written: platform_api.StoredObject) -> None:
         self.published.objects[written.path] = written
         self.published.revision = written.revision
         self._spread_published()
@@ -365,9 +365,9 @@
     def _end_write(
         self,
         node: _flow_node.Node,
-        write: stored.WriteObject,
-        status: stored.PlatformStatus,
-        current: stored.StoredObject | None,
+        write: platform_api.WriteObject,
+        status: platform_api.PlatformStatus,
+        current: platform_api.StoredObject | None,
     ) -> None:
         if self.nodes.get(node.name) is node:
             ended = event_module.WriteEnded(write.path, status, current)
--- a/skylarkfold/measure/_flow_platform.py
+++ b/skylarkfold/measure/_flow_platform.py
@@ -9,13 +9,17 @@
 from collections.abc import Callable
 
 from skylarkfold.measure import _flow_schedule
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 Ended = Callable[
-    [stored.WriteObject, stored.PlatformStatus, stored.StoredObject | None],
+    [
+        platform_api.WriteObject,
+        platform_api.PlatformStatus,
+        platform_api.StoredObject | None,
+    ],
     None,
 ]
-Changed = Callable[[stored.StoredObject], None]
+Changed = Callable[[platform_api.StoredObject], None]
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,14 +54,14 @@
         source: random.Random,
     ) -> None:
         self.settings = settings
-        self.objects: dict[str, stored.StoredObject] = {}
+        self.objects: dict[str, platform_api.StoredObject] = {}
         self.revision = 0
         self.writes = 0
         self._schedule = schedule
         self._changed = changed
         self._source = source
 
-    def request(self, write: stored.WriteObject, ended: Ended) -> None:
+    def request(self, write: platform_api.WriteObject, ended: Ended) -> None:
         """Take a write.
 
         :param write: what to write.
@@ -74,28 +78,32 @@
         self.revision += 1
         return self.revision
 
-    def _execute(self, write: stored.WriteObject, ended: Ended) -> None:
+    def _execute(self, write: platform_api.WriteObject, ended: Ended) -> None:
         self.writes += 1
         if self.settings.is_down:
-            self._answer(write, ended, stored.PlatformStatus.UNKNOWN, None)
+            self._answer(
+                write, ended, platform_api.PlatformStatus.UNKNOWN, None
+            )
             return
         current = self.objects.get(write.path)
         version = current.version if current else 0
         if write.expected_version != version:
-            conflict = stored.PlatformStatus.CONFLICT
+            conflict = platform_api.PlatformStatus.CONFLICT
             self._answer(write, ended, conflict, current)
             return
         written = self._store(write, version + 1)
         if self._source.random() < self.settings.lost_answer_share:
-            self._answer(write, ended, stored.PlatformStatus.UNKNOWN, None)
+            self._answer(
+                write, ended, platform_api.PlatformStatus.UNKNOWN, None
+            )
             return
-        self._answer(write, ended, stored.PlatformStatus.OK, written)
+        self._answer(write, ended, platform_api.PlatformStatus.OK, written)
 
     def _store(
-        self, write: stored.WriteObject, version: int
-    ) -> stored.StoredObject:
+        self, write: platform_api.WriteObject, version: int
+    ) -> platform_api.StoredObject:
         revision = self.take_revision()
-        written = stored.StoredObject(
+        written = platform_api.StoredObject(
             write.path, version, revision, write.value
         )
         self.objects[write.path] = written
@@ -104,10 +112,10 @@
 
     def _answer(
         self,
-        write: stored.WriteObject,
+        write: platform_api.WriteObject,
         ended: Ended,
-        status: stored.PlatformStatus,
-        current: stored.StoredObject | None,
+        status: platform_api.PlatformStatus,
+        current: platform_api.StoredObject | None,
     ) -> None:
         action = functools.partial(ended, write, status, current)
         self._schedule.add(self.settings.delay_seconds, action)
--- a/skylarkfold/measure/_flow_views.py
+++ b/skylarkfold/measure/_flow_views.py
@@ -7,8 +7,8 @@
 from skylarkfold import configuration as configuration_module
 from skylarkfold import event
 from skylarkfold import member
+from skylarkfold import platform_api
 from skylarkfold import service as service_module
-from skylarkfold import stored
 
 
 @dataclasses.dataclass(slots=True)
@@ -25,7 +25,7 @@
         default_factory=dict
     )
     services_revision: int = 0
-    objects: dict[str, stored.StoredObject] = dataclasses.field(
+    objects: dict[str, platform_api.StoredObject] = dataclasses.field(
         default_factory=dict
     )
     revision: int = 0
--- a/skylarkfold/measure/_key_fleet.py
+++ b/skylarkfold/measure/_key_fleet.py
@@ -16,10 +16,10 @@
 from skylarkfold import event
 from skylarkfold import instance as instance_module
 from skylarkfold import member as member_module
+from skylarkfold import platform_api
 from skylarkfold import request as request_module
 from skylarkfold import requests
 from skylarkfold import service as service_module
-from skylarkfold import stored
 from skylarkfold import verdict as verdict_module
 
 ZONES = ('hall-a', 'hall-b', 'hall-c')
@@ -96,7 +96,7 @@
         self._sent: dict[tuple[int, int], Sent] = {}
         self._numbers = 0
         self._cancelled: set[tuple[int, int]] = set()
-        self._object: stored.StoredObject | None = None
+        self._object: platform_api.StoredObject | None = None
         self._configuration = _make_configuration()
         for number in range(size):
             self.start(f'entry-{number}')
@@ -266,13 +266,15 @@
             act = functools.partial(self._write, process, wanted.write)
             self.plan(PLATFORM_SECONDS, act)
 
-    def _write(self, process: Process, write: stored.WriteObject) -> None:
+    def _write(
+        self, process: Process, write: platform_api.WriteObject
+    ) -> None:
         known = self._object
         version = known.version if known is not None else 0
-        status = stored.PlatformStatus.CONFLICT
+        status = platform_api.PlatformStatus.CONFLICT
         if version == write.expected_version:
-            status = stored.PlatformStatus.OK
-            known = stored.StoredObject(
+            status = platform_api.PlatformStatus.OK
+            known = platform_api.StoredObject(
                 write.path, version + 1, version + 1, write.value
             )
             self._object = known
--- a/skylarkfold/measure/_mechanism.py
+++ b/skylarkfold/measure/_mechanism.py
@@ -79,7 +79,7 @@
     folder = pathlib.Path(into)
     folder.mkdir(parents=True, exist_ok=True)
     # Raises what is wrong with it.
-    forwarder.read_own_settings(str(own))
+    forwarder.read_forwarder_settings(str(own))
     fields = json5.loads(files.read_bytes(str(own)).decode())
     written = []
     for name, without in {WITH_ALL: {}, **_list_without()}.items():
--- a/skylarkfold/measure/_overload_callers.py
+++ b/skylarkfold/measure/_overload_callers.py
@@ -197,7 +197,7 @@
         else:
             self._end(request, End.FAILED)
 
-    def take_answer(
+    def handle_answer(
         self,
         flow: CallerFlow,
         request: Request,
--- a/skylarkfold/measure/_overload_fleet.py
+++ b/skylarkfold/measure/_overload_fleet.py
@@ -87,8 +87,8 @@
         self._performers: dict[type, Callable[[Instance, object], None]] = {
             affinity.Forward: self._forward,
             affinity.Reset: self._reset,
-            affinity.AskPeers: self._ask_peers,
-            affinity.TellPeers: self._tell_peers,
+            affinity.QueryPeers: self._ask_peers,
+            affinity.NotifyPeers: self._tell_peers,
             affinity.Probe: self._probe,
         }
         zones = _overload_pattern.ZONES
@@ -225,7 +225,7 @@
             return
         instance = near[zlib.crc32(flow.key) % len(near)]
         now = self.clock.now
-        self._perform(instance, instance.core.take_packet(now, packet))
+        self._perform(instance, instance.core.handle_packet(now, packet))
 
     def _perform(self, instance: Instance, effects: list[object]) -> None:
         for each in effects:
@@ -269,7 +269,7 @@
     ) -> None:
         self.clock.call(
             _overload_world.CALLER_SECONDS,
-            self.callers.take_answer,
+            self.callers.handle_answer,
             flow,
             request,
             outcome,
@@ -289,22 +289,22 @@
         ]
 
     def _ask_peers(
-        self, instance: Instance, wanted: affinity.AskPeers
+        self, instance: Instance, wanted: affinity.QueryPeers
     ) -> None:
         incarnations = (wanted.upstream.incarnation,)
         for mate in self._list_mates(instance):
-            heard = mate.core.list_heard(self.clock.now, incarnations)
+            heard = mate.core.list_last_seen(self.clock.now, incarnations)
             self.clock.call(_WORD_SECONDS, self._take_heard, instance, heard)
 
     def _take_heard(self, instance: Instance, heard: dict) -> None:
         if instance.core is not None:
-            instance.core.take_heard(self.clock.now, heard)
+            instance.core.handle_last_seen(self.clock.now, heard)
 
     def _tell_peers(
-        self, instance: Instance, wanted: affinity.TellPeers
+        self, instance: Instance, wanted: affinity.NotifyPeers
     ) -> None:
         for mate in self._list_mates(instance):
-            effects = mate.core.take_lost(
+            effects = mate.core.handle_unreachable(
                 self.clock.now, (wanted.upstream.incarnation,)
             )
             self._perform(mate, effects)
@@ -326,7 +326,7 @@
     def _take_probe(self, instance: Instance, name: str, outcome: str) -> None:
         if instance.core is not None:
             now = self.clock.now
-            effects = instance.core.take_probe(now, name, outcome)
+            effects = instance.core.handle_probe_result(now, name, outcome)
             self._perform(instance, effects)
 
     def _tick(self) -> None:
@@ -359,7 +359,7 @@
 
     def _take_load(self, instance: Instance, source: str, load: dict) -> None:
         if instance.core is not None:
-            instance.core.take_load(self.clock.now, source, load)
+            instance.core.handle_load(self.clock.now, source, load)
 
 
 def _add_loads(one: object, other: object) -> object:
--- a/skylarkfold/measure/_overload_random.py
+++ b/skylarkfold/measure/_overload_random.py
@@ -44,7 +44,7 @@
     def note_confirmed(self, now: float) -> None:
         """Take that the routes are up to date."""
 
-    def take_load(self, now: float, source: str, flows: dict) -> None:
+    def handle_load(self, now: float, source: str, flows: dict) -> None:
         """Take what others carry."""
 
     def list_flows(self) -> dict[int, int]:
@@ -55,7 +55,7 @@
         """Do what is due."""
         return []
 
-    def take_packet(self, now: float, packet: affinity.Packet) -> list:
+    def handle_packet(self, now: float, packet: affinity.Packet) -> list:
         """Decide on one packet of a caller."""
         upstream = self._upstreams.get(packet.token)
         if packet.is_first:
--- a/skylarkfold/measure/_relay_fleet.py
+++ b/skylarkfold/measure/_relay_fleet.py
@@ -24,7 +24,7 @@
 
     :param zones: the availability zone of each instance.
     :param settings: the relay's settings.
-    :param precedence: as in :class:`relay.RelayCore`.
+    :param retention_policy: as in :class:`relay.RelayCore`.
     :param link_bytes_per_second: what an instance's link carries of whole
         topics, one after the other; 0 where that takes no time.
     :ivar fetched: how often each instance was asked, by its name.
@@ -42,7 +42,7 @@
         self,
         zones: tuple[str, ...],
         settings: relay.RelaySettings | None = None,
-        precedence: relay.Precedence | None = None,
+        retention_policy: relay.RetentionPolicy | None = None,
         link_bytes_per_second: float = 0.0,
     ) -> None:
         self.now = 0.0
@@ -52,7 +52,7 @@
         self._idle_at: collections.defaultdict[str, float] = (
             collections.defaultdict(float)
         )
-        self.precedence = precedence
+        self.retention_policy = retention_policy
         self.settings = settings or relay.RelaySettings(topics=TOPICS)
         self.store = _relay_store.FakeStore(self.settings.topics)
         self.cores = {}
@@ -60,8 +60,8 @@
         self.sent: collections.Counter[str] = collections.Counter()
         self.spent: collections.Counter[str] = collections.Counter()
         self.written: dict[tuple[str, str], float] = {}
-        self.changes: list[tuple[float, str, relay.Changed]] = []
-        self.notes: list[tuple[float, str, relay.Note]] = []
+        self.changes: list[tuple[float, str, relay.TopicChanged]] = []
+        self.notes: list[tuple[float, str, relay.RecordEvent]] = []
         self.cut: Callable[[str, str], bool] = lambda one, other: False
         self.is_store_down = False
         # Calls that began before this time are never answered.
@@ -81,7 +81,7 @@
         """
         self.zones[name] = zone
         core = relay.RelayCore(
-            name, zone, name, self.settings, capacity, self.precedence
+            name, zone, name, self.settings, capacity, self.retention_policy
         )
         core.set_seeds(('entry-0', 'entry-1'))
         self.cores[name] = core
@@ -148,7 +148,7 @@
         for wanted in effects:
             if isinstance(wanted, relay.CallStore):
                 self._call(name, self.cores[name], wanted.call)
-            elif isinstance(wanted, relay.AbandonCall):
+            elif isinstance(wanted, relay.CancelCall):
                 self._abandon(name, wanted.topic)
             elif isinstance(wanted, relay.SendBeacon):
                 data = relay.encode_beacon(wanted.beacon)
@@ -156,9 +156,9 @@
                     self._send(name, host, data)
             elif isinstance(wanted, relay.Fetch):
                 self._fetch(name, self.cores[name], wanted)
-            elif isinstance(wanted, relay.Changed):
+            elif isinstance(wanted, relay.TopicChanged):
                 self.changes.append((self.now, name, wanted))
-            elif isinstance(wanted, relay.Note):
+            elif isinstance(wanted, relay.RecordEvent):
                 self.notes.append((self.now, name, wanted))
 
     def _decide(
@@ -178,7 +178,7 @@
         core = self.cores.get(name)
         if call is not None and core is not None:
             ended = relay.Answer(relay.Status.ABANDONED)
-            self._decide(name, core.take_answer, self.now, call, ended)
+            self._decide(name, core.handle_answer, self.now, call, ended)
 
     def _is_cut(self, one: str, other: str) -> bool:
         if other == STORE and self.is_store_down:
@@ -206,7 +206,7 @@
             page = None
             delay = wanted.timeout_seconds
             if other is not None and not self._is_cut(name, wanted.host):
-                page = other.take_fetch(
+                page = other.handle_fetch(
                     self.now, wanted.topic, wanted.position
                 )
                 # One that has nothing to give ends the stream at once.
@@ -222,7 +222,7 @@
 
         def answer(page: relay.Page | None) -> None:
             if self.cores.get(name) is core:
-                self._decide(name, core.take_page, self.now, wanted, page)
+                self._decide(name, core.handle_page, self.now, wanted, page)
 
         self._plan(DELAY_SECONDS, ask)
 
@@ -249,7 +249,7 @@
                 return
             if self._calls.get((name, call.topic)) is call:
                 del self._calls[(name, call.topic)]
-                self._decide(name, core.take_answer, self.now, call, found)
+                self._decide(name, core.handle_answer, self.now, call, found)
 
         def look() -> None:
             if self._calls.get((name, call.topic)) is not call:
@@ -278,4 +278,4 @@
 def _take_beacon(
     core: relay.RelayCore, now: float, sender: str, data: bytes
 ) -> list[object]:
-    return core.take_beacon(now, sender, relay.decode_beacon(data))
+    return core.handle_beacon(now, sender, relay.decode_beacon(data))
--- a/skylarkfold/measure/_relay_store.py
+++ b/skylarkfold/measure/_relay_store.py
@@ -35,7 +35,7 @@
         self.number = 1
         self.objects = {topic: {} for topic in topics}
         self.history = []
-        self.forgotten = revisions.NONE
+        self.forgotten = revisions.ZERO
         self.calls: collections.Counter[str] = collections.Counter()
 
     @property
--- a/skylarkfold/measure/sizes.py
+++ b/skylarkfold/measure/sizes.py
@@ -22,8 +22,8 @@
 from skylarkfold import flows
 from skylarkfold import instance as instance_module
 from skylarkfold import member
+from skylarkfold import platform_api
 from skylarkfold import settings as settings_module
-from skylarkfold import stored
 from skylarkfold import teams
 
 REGIONS = 3
@@ -133,7 +133,7 @@
     }
 
 
-def _list_objects(size: _Size) -> list[stored.StoredObject]:
+def _list_objects(size: _Size) -> list[platform_api.StoredObject]:
     """List the objects that hold the configuration."""
     written: list[tuple[str, bytes]] = []
     for team, text in _make_subtrees(size).items():
@@ -145,14 +145,14 @@
                 claim = teams.Claim(claimed, team, version=1)
                 written.append((claimed, teams.encode_claim(claim)))
     return [
-        stored.StoredObject(path, 1, revision, value)
+        platform_api.StoredObject(path, 1, revision, value)
         for revision, (path, value) in enumerate(written, 1)
     ]
 
 
 def _build(
     core: assembly.ConfigurationCore,
-    objects: list[stored.StoredObject],
+    objects: list[platform_api.StoredObject],
     revision: int,
 ) -> configuration_module.Configuration:
     for each in objects:
@@ -171,7 +171,7 @@
 
 def _list_tables(
     configuration: configuration_module.Configuration,
-) -> list[stored.StoredObject]:
+) -> list[platform_api.StoredObject]:
     """Let an instance that is alone propose all tables."""
     core = _make_flow_core()
     core.handle(0.0, event.MembershipChanged(_make_membership(1)))
@@ -181,14 +181,14 @@
         now += TICK_SECONDS
         produced = produced + core.handle(now, event.Tick())
     return [
-        stored.StoredObject(each.path, 1, number, each.value)
+        platform_api.StoredObject(each.path, 1, number, each.value)
         for number, each in enumerate(_list_writes(produced, configuration), 1)
     ]
 
 
 def _list_writes(
     produced: list[object], configuration: configuration_module.Configuration
-) -> list[stored.WriteObject]:
+) -> list[platform_api.WriteObject]:
     """List the tables' writes, once there is one for each service."""
     writes = {
         each.write.path: each.write
@@ -202,7 +202,7 @@
 
 def _fill(
     configuration: configuration_module.Configuration,
-    tables: list[stored.StoredObject],
+    tables: list[platform_api.StoredObject],
     members: int,
 ) -> flows.FlowCore:
     core = _make_flow_core()
@@ -248,7 +248,7 @@
 def _time_change(
     core: assembly.ConfigurationCore,
     flow_core: flows.FlowCore,
-    objects: list[stored.StoredObject],
+    objects: list[platform_api.StoredObject],
 ) -> float:
     revision = len(objects)
     subtree = objects[0]
@@ -266,7 +266,7 @@
 
 
 def _time_tables(
-    core: flows.FlowCore, tables: list[stored.StoredObject]
+    core: flows.FlowCore, tables: list[platform_api.StoredObject]
 ) -> float:
     newer = iter(
         [
--- a/skylarkfold/measure/token.py
+++ b/skylarkfold/measure/token.py
@@ -15,10 +15,10 @@
 import time
 
 from skylarkfold import affinity
+from skylarkfold import deferred_log
 from skylarkfold.forwarder import _lines
 from skylarkfold.forwarder import _own
 from skylarkfold.forwarder import _reporter
-from skylarkfold import late_log
 from skylarkfold.platform import _packet
 from skylarkfold.standin.packets import _wire
 
@@ -94,7 +94,7 @@
 @contextlib.contextmanager
 def _open_nowhere() -> Iterator[int]:
     """Give a descriptor for lines, and leave the logger as it was."""
-    logger = logging.getLogger(late_log.NAME)
+    logger = logging.getLogger(deferred_log.NAME)
     before = logger.handlers[:], logger.propagate, logger.level
     nowhere = os.open(os.devnull, os.O_WRONLY)
     try:
@@ -148,7 +148,7 @@
 
 
 def _carry(core: affinity.AffinityCore, now: float, data: bytes) -> None:
-    for wanted in core.take_packet(now, _packet.decode(data)):
+    for wanted in core.handle_packet(now, _packet.decode(data)):
         if isinstance(wanted, affinity.Forward):
             _packet.encode_forward(wanted.upstream, wanted.data)
 
@@ -198,16 +198,18 @@
         for caller in range(_PACKETS * _TIMES)
     ]
     reporter = _reporter.Reporter('measured', settings, dict)
-    late_log.LOGGER.release()
+    deferred_log.LOGGER.release()
     handler = _lines.LineHandler('measured', settings, nowhere)
-    logger = logging.getLogger(late_log.NAME)
+    logger = logging.getLogger(deferred_log.NAME)
 
     def run(number: int) -> None:
         logger.handlers[:] = [handler]
-        for wanted in core.take_packet(1.0, _packet.decode(data[next(made)])):
+        for wanted in core.handle_packet(
+            1.0, _packet.decode(data[next(made)])
+        ):
             if isinstance(wanted, affinity.Forward):
                 _packet.encode_forward(wanted.upstream, wanted.data)
-            elif isinstance(wanted, affinity.Record):
+            elif isinstance(wanted, affinity.RecordDecision):
                 reporter.record(wanted)
         if number % _FLUSHED_LINES == 0:
             handler.flush()
--- a/skylarkfold/member.py
+++ b/skylarkfold/member.py
@@ -78,7 +78,7 @@
 
     :param version: rises with each change on this instance only.
     :param members: by name.
-    :param least_revision: the lowest configuration revision in force on
+    :param minimum_revision: the lowest configuration revision in force on
         any reachable member, as far as it is known here.
     :param topology: changes when a member comes, goes or changes its
         state or incarnation; 0 where nobody counts it.
@@ -86,7 +86,7 @@
 
     version: int
     members: dict[str, Member]
-    least_revision: int = 0
+    minimum_revision: int = 0
     topology: int = 0
 
     def list_owners(self) -> list[str]:
--- a/skylarkfold/membership/_contacts.py
+++ b/skylarkfold/membership/_contacts.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from skylarkfold.membership import _settings
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 
 class Contacts:
@@ -28,9 +28,11 @@
         self._settings = settings
         self._seed = seed
         self._turn = 0
-        self._listed: tuple[stored.ListedInstance, ...] = ()
+        self._listed: tuple[platform_api.ListedInstance, ...] = ()
 
-    def take_list(self, instances: tuple[stored.ListedInstance, ...]) -> None:
+    def take_list(
+        self, instances: tuple[platform_api.ListedInstance, ...]
+    ) -> None:
         """Take the platform's list.
 
         :param instances: its entries.
--- a/skylarkfold/membership/_core.py
+++ b/skylarkfold/membership/_core.py
@@ -246,7 +246,7 @@
 
     @_take_message.register
     def _(
-        self, message: _messages.Introduction, sender: str, now: float
+        self, message: _messages.Hello, sender: str, now: float
     ) -> list[object]:
         if message.fact.name != sender:
             return [effect.CountMetric(metric.MEMBERSHIP_MALFORMED)]
@@ -281,7 +281,7 @@
 
     @_take_message.register
     def _(
-        self, message: _messages.Rumor, sender: str, now: float
+        self, message: _messages.Gossip, sender: str, now: float
     ) -> list[object]:
         return self._ledger.merge(message.facts, sender, now)
 
@@ -313,7 +313,7 @@
             self._detector.note_heard(message.target, now - age)
         return []
 
-    def _hear(self, fact: _messages.Fact, now: float) -> list[object]:
+    def _hear(self, fact: _messages.MemberUpdate, now: float) -> list[object]:
         self._detector.note_heard(fact.name, now)
         self._zones.note_heard(fact.zone, now)
         effects = self._probes.answer(fact.name)
--- a/skylarkfold/membership/_decision.py
+++ b/skylarkfold/membership/_decision.py
@@ -18,11 +18,11 @@
 
 
 def send_facts(
-    peer: str, facts: Iterable[_messages.Fact]
+    peer: str, facts: Iterable[_messages.MemberUpdate]
 ) -> effect.SendToPeer:
     """Tell one instance some facts.
 
     :param peer: the instance.
     :param facts: the facts.
     """
-    return effect.SendToPeer(peer, _messages.Rumor(tuple(facts)))
+    return effect.SendToPeer(peer, _messages.Gossip(tuple(facts)))
--- a/skylarkfold/membership/_gossip.py
+++ b/skylarkfold/membership/_gossip.py
@@ -14,7 +14,7 @@
 _MOST_QUEUED = 256
 
 
-def is_valid(fact: _messages.Fact) -> bool:
+def is_valid(fact: _messages.MemberUpdate) -> bool:
     """Tell whether a fact can be used at all."""
     try:
         endpoint.parse_endpoint(fact.address)
@@ -23,7 +23,9 @@
     return bool(fact.name and fact.zone)
 
 
-def is_later(fact: _messages.Fact, known: _messages.Fact) -> bool:
+def is_later(
+    fact: _messages.MemberUpdate, known: _messages.MemberUpdate
+) -> bool:
     """Tell whether a fact replaces another of the same instance."""
     return _roster.rank(fact) > _roster.rank(known)
 
@@ -43,9 +45,9 @@
     def __init__(self, roster: _roster.Roster, zone: str) -> None:
         self._roster = roster
         self._zone = zone
-        self._queued: dict[str, tuple[_messages.Fact, str]] = {}
+        self._queued: dict[str, tuple[_messages.MemberUpdate, str]] = {}
 
-    def trusts(self, fact: _messages.Fact, sender: str) -> bool:
+    def trusts(self, fact: _messages.MemberUpdate, sender: str) -> bool:
         """Tell whether a sender may speak about a fact's instance.
 
         Of the own zone only its own members may: what another zone still
@@ -59,7 +61,7 @@
         known = self._roster.get(sender)
         return known is not None and known.zone == self._zone
 
-    def queue(self, fact: _messages.Fact, sender: str) -> None:
+    def queue(self, fact: _messages.MemberUpdate, sender: str) -> None:
         """Queue a fact that is new here.
 
         :param fact: the fact.
@@ -87,7 +89,9 @@
                 and self._concerns(fact, peer)
             )
             if facts:
-                effects.append(effect.SendToPeer(peer, _messages.Rumor(facts)))
+                effects.append(
+                    effect.SendToPeer(peer, _messages.Gossip(facts))
+                )
         return effects
 
     def ask(self) -> _messages.RosterRequest:
@@ -119,7 +123,7 @@
 
     def list_later(
         self, answer: _messages.RosterAnswer
-    ) -> list[_messages.Fact]:
+    ) -> list[_messages.MemberUpdate]:
         """List own facts that an answer lacks or has in an earlier form.
 
         :param answer: another instance's facts of some zones.
@@ -153,7 +157,7 @@
             if fact.name not in named and not _roster.is_gone(fact)
         }
 
-    def _concerns(self, fact: _messages.Fact, peer: str) -> bool:
+    def _concerns(self, fact: _messages.MemberUpdate, peer: str) -> bool:
         known = self._roster.get(peer)
         is_mate = known is not None and known.zone == self._zone
         return is_mate or fact.zone == self._zone
--- a/skylarkfold/membership/_heartbeat.py
+++ b/skylarkfold/membership/_heartbeat.py
@@ -52,7 +52,7 @@
 
     def send(
         self,
-        own: _messages.Fact,
+        own: _messages.MemberUpdate,
         neighbours: tuple[str, ...],
         now: float,
         is_urgent: bool = False,
@@ -88,8 +88,8 @@
     def take(
         self,
         heartbeat: _messages.Heartbeat,
-        sender: _messages.Fact,
-        own: _messages.Fact,
+        sender: _messages.MemberUpdate,
+        own: _messages.MemberUpdate,
         now: float,
     ) -> bool:
         """Take a heartbeat of the sender's present incarnation.
@@ -130,7 +130,11 @@
         return count == _DIFFERENCES
 
     def _make(
-        self, own: _messages.Fact, peer: str, is_chosen: bool, now: float
+        self,
+        own: _messages.MemberUpdate,
+        peer: str,
+        is_chosen: bool,
+        now: float,
     ) -> _messages.Heartbeat:
         known = self._roster.get(peer)
         is_mate = known is not None and known.zone == own.zone
--- a/skylarkfold/membership/_identity.py
+++ b/skylarkfold/membership/_identity.py
@@ -35,7 +35,7 @@
     ) -> None:
         self._roster = roster
         self._gossip = gossip
-        self.fact = _messages.Fact(
+        self.fact = _messages.MemberUpdate(
             name=instance.name,
             zone=instance.zone,
             region=instance.region,
@@ -74,7 +74,7 @@
         if _gossip.is_later(self.fact, before):
             self._gossip.queue(self.fact, self.name)
 
-    def refute(self, told: _messages.Fact, now: float) -> str:
+    def refute(self, told: _messages.MemberUpdate, now: float) -> str:
         """Answer what others say of this instance.
 
         A higher incarnation at another address is a later process under
@@ -99,5 +99,5 @@
         :param peer: to whom: a member's name or an address.
         :param wants_answer: whether it shall introduce itself too.
         """
-        introduction = _messages.Introduction(self.fact, wants_answer)
+        introduction = _messages.Hello(self.fact, wants_answer)
         return effect.SendToPeer(peer, introduction)
--- a/skylarkfold/membership/_ledger.py
+++ b/skylarkfold/membership/_ledger.py
@@ -44,7 +44,7 @@
         self.is_changed = True
 
     def merge(
-        self, facts: Iterable[_messages.Fact], sender: str, now: float
+        self, facts: Iterable[_messages.MemberUpdate], sender: str, now: float
     ) -> list[object]:
         """Take another instance's facts.
 
@@ -113,14 +113,18 @@
         self._own.change(now, **changes)
         self.is_changed = True
 
-    def _answer(self, fact: _messages.Fact, now: float) -> list[object]:
+    def _answer(
+        self, fact: _messages.MemberUpdate, now: float
+    ) -> list[object]:
         decided = self._own.refute(fact, now)
         if not decided:
             return []
         self.is_changed = True
         return [_decision.record(self._own.name, decided)]
 
-    def _keep(self, fact: _messages.Fact, sender: str, now: float) -> None:
+    def _keep(
+        self, fact: _messages.MemberUpdate, sender: str, now: float
+    ) -> None:
         if not self._roster.merge(fact, now):
             return
         self.is_changed = True
--- a/skylarkfold/membership/_listing.py
+++ b/skylarkfold/membership/_listing.py
@@ -7,9 +7,9 @@
 from skylarkfold import effect
 from skylarkfold import event
 from skylarkfold.membership import _settings
-from skylarkfold import stored
+from skylarkfold import platform_api
 
-FIRST_CALL = 1 << 40
+FIRST_CALL_NUMBER = 1 << 40
 
 
 class Listing:
@@ -28,7 +28,7 @@
     ) -> None:
         self._settings = settings
         self._random = source
-        self._next_call = FIRST_CALL
+        self._next_call = FIRST_CALL_NUMBER
         self._call: int | None = None
         self._next_time = 0.0
 
@@ -55,14 +55,14 @@
         return [
             effect.CallPlatform(
                 self._call,
-                stored.ListInstances(),
+                platform_api.ListInstances(),
                 self._settings.list_timeout_seconds,
             )
         ]
 
     def take(
         self, answered: event.PlatformAnswered
-    ) -> tuple[stored.ListedInstance, ...] | None:
+    ) -> tuple[platform_api.ListedInstance, ...] | None:
         """Take an answer.
 
         :param answered: the end of any platform call.
@@ -71,6 +71,6 @@
         if answered.call != self._call:
             return None
         self._call = None
-        if answered.answer.status is not stored.PlatformStatus.OK:
+        if answered.answer.status is not platform_api.PlatformStatus.OK:
             return None
         return answered.answer.instances
--- a/skylarkfold/membership/_messages.py
+++ b/skylarkfold/membership/_messages.py
@@ -8,7 +8,7 @@
 from skylarkfold import message
 
 
-class Fact(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What is said of one instance; a later fact replaces an earlier one.
 
     :param name: the instance's name.
@@ -35,12 +35,12 @@
     """What other zones are told of a zone.
 
     :param zone: the zone.
-    :param least_revision: the lowest revision in force there.
+    :param minimum_revision: the lowest revision in force there.
     :param age_milliseconds: how long ago an instance of it said so.
     """
 
     zone: str
-    least_revision: message.Count
+    minimum_revision: message.Count
     age_milliseconds: message.Milliseconds
 
 
@@ -65,14 +65,14 @@
     digest: message.Count
 
 
-class Introduction(message.PeerMessage, tag=60):
+class Hello(message.PeerMessage, tag=60):
     """Who the sender is.
 
     :param fact: the sender's own fact.
     :param wants_answer: whether the receiver shall introduce itself.
     """
 
-    fact: Fact
+    fact: MemberUpdate
     wants_answer: bool
 
 
@@ -96,10 +96,10 @@
     zones: tuple[ZoneSummary, ...] = ()
 
 
-class Rumor(message.PeerMessage, tag=62):
+class Gossip(message.PeerMessage, tag=62):
     """Facts that are new to the sender."""
 
-    facts: tuple[Fact, ...]
+    facts: tuple[MemberUpdate, ...]
 
 
 class RosterRequest(message.PeerMessage, tag=63):
@@ -116,7 +116,7 @@
     """
 
     zones: tuple[str, ...]
-    facts: tuple[Fact, ...]
+    facts: tuple[MemberUpdate, ...]
 
 
 class ProbeRequest(message.PeerMessage, tag=65):
@@ -137,9 +137,9 @@
 
 
 MESSAGES = (
-    Introduction
+    Hello
     | Heartbeat
-    | Rumor
+    | Gossip
     | RosterRequest
     | RosterAnswer
     | ProbeRequest
--- a/skylarkfold/membership/_publication.py
+++ b/skylarkfold/membership/_publication.py
@@ -24,8 +24,8 @@
     """
 
     __slots__ = (
-        '_readiness',
         '_own',
+        '_readiness',
         '_view',
         'judged',
         'membership',
@@ -54,7 +54,9 @@
         """
         judged = self._view.judge_zones(now)
         least = self._view.compute_least(judged)
-        return judged != self.judged or least != self.membership.least_revision
+        return (
+            judged != self.judged or least != self.membership.minimum_revision
+        )
 
     def publish(self, now: float) -> list[object]:
         """Rebuild and publish the membership.
--- a/skylarkfold/membership/_readiness.py
+++ b/skylarkfold/membership/_readiness.py
@@ -52,7 +52,7 @@
         self.is_learning = True
         return True
 
-    def note_met(self, fact: _messages.Fact) -> bool:
+    def note_met(self, fact: _messages.MemberUpdate) -> bool:
         """Note the introduction of a member.
 
         :param fact: its own fact.
--- a/skylarkfold/membership/_roster.py
+++ b/skylarkfold/membership/_roster.py
@@ -21,17 +21,17 @@
 _GONE = (_State.DEAD, _State.LEFT)
 
 
-def is_gone(fact: _messages.Fact) -> bool:
+def is_gone(fact: _messages.MemberUpdate) -> bool:
     """Tell whether a fact says that its instance is no more."""
     return fact.state in _GONE
 
 
-def takes_traffic(fact: _messages.Fact) -> bool:
+def takes_traffic(fact: _messages.MemberUpdate) -> bool:
     """Tell whether an instance is neither joining nor gone."""
     return not is_gone(fact) and fact.state is not _State.JOINING
 
 
-def rank(fact: _messages.Fact) -> tuple[int, int, bool]:
+def rank(fact: _messages.MemberUpdate) -> tuple[int, int, bool]:
     """Order the facts of one instance; the highest counts."""
     return (fact.incarnation, _RANKS[fact.state], fact.is_suspect)
 
@@ -50,23 +50,23 @@
     )
 
     def __init__(self) -> None:
-        self._facts: dict[str, _messages.Fact] = {}
-        self._zones: dict[str, dict[str, _messages.Fact]] = {}
+        self._facts: dict[str, _messages.MemberUpdate] = {}
+        self._zones: dict[str, dict[str, _messages.MemberUpdate]] = {}
         self._gone: dict[str, float] = {}
         self._digests: dict[str, int] = {}
         self._live_zones: list[str] | None = None
         self._taking: set[str] | None = None
         self._versions: dict[str, int] = {}
 
-    def get(self, name: str) -> _messages.Fact | None:
+    def get(self, name: str) -> _messages.MemberUpdate | None:
         """Find an instance's fact."""
         return self._facts.get(name)
 
-    def list_facts(self) -> Iterable[_messages.Fact]:
+    def list_facts(self) -> Iterable[_messages.MemberUpdate]:
         """List all facts, those of gone members included."""
         return self._facts.values()
 
-    def list_zone(self, zone: str) -> list[_messages.Fact]:
+    def list_zone(self, zone: str) -> list[_messages.MemberUpdate]:
         """List a zone's facts in a fixed order."""
         found = self._zones.get(zone, {})
         return [found[name] for name in sorted(found)]
@@ -99,7 +99,7 @@
             }
         return self._taking
 
-    def merge(self, fact: _messages.Fact, now: float) -> bool:
+    def merge(self, fact: _messages.MemberUpdate, now: float) -> bool:
         """Keep a fact if it is later than what is known.
 
         :param fact: the fact.
@@ -112,7 +112,7 @@
         self.put(fact, now)
         return True
 
-    def put(self, fact: _messages.Fact, now: float) -> None:
+    def put(self, fact: _messages.MemberUpdate, now: float) -> None:
         """Keep a fact whatever is known, for the instance's own.
 
         :param fact: the fact.
@@ -185,7 +185,9 @@
         self._versions[zone] = self.get_version(zone) + 1
 
 
-def _is_same(fact: _messages.Fact, known: _messages.Fact) -> bool:
+def _is_same(
+    fact: _messages.MemberUpdate, known: _messages.MemberUpdate
+) -> bool:
     """Tell whether two facts differ in nothing but the revision."""
     where = (fact.zone, fact.region, fact.address)
     return where == (known.zone, known.region, known.address) and (
--- a/skylarkfold/membership/_view.py
+++ b/skylarkfold/membership/_view.py
@@ -81,7 +81,7 @@
         return min(revisions, default=0)
 
     def build(
-        self, own: _messages.Fact, version: int, now: float
+        self, own: _messages.MemberUpdate, version: int, now: float
     ) -> member.Membership:
         """Build the membership.
 
@@ -102,7 +102,7 @@
         )
 
     def _count_topology(
-        self, own: _messages.Fact, judged: dict[str, _State]
+        self, own: _messages.MemberUpdate, judged: dict[str, _State]
     ) -> int:
         versions = tuple(
             (zone, self._roster.get_version(zone))
@@ -147,7 +147,7 @@
 
     def _build_member(
         self,
-        fact: _messages.Fact,
+        fact: _messages.MemberUpdate,
         judged: dict[str, _State],
     ) -> member.Member:
         if fact.zone == self._own_zone:
@@ -158,7 +158,7 @@
 
     def _judge_member(
         self,
-        fact: _messages.Fact,
+        fact: _messages.MemberUpdate,
         judged: dict[str, _State],
     ) -> _State:
         zone = judged.get(fact.zone, _State.ALIVE)
@@ -173,7 +173,7 @@
 
 
 def _build(
-    fact: _messages.Fact, state: _State, revision: int
+    fact: _messages.MemberUpdate, state: _State, revision: int
 ) -> member.Member:
     return member.Member(
         name=fact.name,
--- a/skylarkfold/membership/_zones.py
+++ b/skylarkfold/membership/_zones.py
@@ -12,7 +12,7 @@
 @dataclasses.dataclass(slots=True)
 class _Zone:
     heard: float
-    least_revision: int = 0
+    minimum_revision: int = 0
     reported: float = -math.inf
 
 
@@ -41,7 +41,7 @@
         :param now: the time in seconds.
         """
         known = self._zones.setdefault(zone, _Zone(now))
-        known.least_revision = revision
+        known.minimum_revision = revision
         known.reported = now
 
     def merge(self, summary: _messages.ZoneSummary, now: float) -> bool:
@@ -57,16 +57,16 @@
         if reported <= known.reported:
             return False
         known.reported = reported
-        before, known.least_revision = (
-            known.least_revision,
-            summary.least_revision,
+        before, known.minimum_revision = (
+            known.minimum_revision,
+            summary.minimum_revision,
         )
-        return before != summary.least_revision
+        return before != summary.minimum_revision
 
     def get_least(self, zone: str) -> int:
         """Find a zone's lowest revision, 0 if it is unknown."""
         known = self._zones.get(zone)
-        return 0 if known is None else known.least_revision
+        return 0 if known is None else known.minimum_revision
 
     def compute_silence(self, zone: str, now: float) -> float:
         """Compute for how long nothing was heard of a zone.
@@ -105,4 +105,4 @@
 
 def _summarize(zone: str, known: _Zone, now: float) -> _messages.ZoneSummary:
     age = max(0.0, now - known.reported)
-    return _messages.ZoneSummary(zone, known.least_revision, int(age * 1000))
+    return _messages.ZoneSummary(zone, known.minimum_revision, int(age * 1000))
--- a/skylarkfold/node.py
+++ b/skylarkfold/node.py
@@ -31,18 +31,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
-    """A core with what is meant for it alone.
+class CoreBinding:
+    """A core with the messages and events that only it handles.
 
     :param core: the core.
     :param messages: the peer message types that it takes.
-    :param first_call: the lowest platform call number that it issues.
+    :param first_call_number: the lowest platform call number that it issues.
     :param events: the event types that it alone takes.
     """
 
     core: core.Core
     messages: tuple[type, ...] = ()
-    first_call: int = -1
+    first_call_number: int = -1
     events: tuple[type, ...] = ()
 
 
@@ -56,7 +56,7 @@
 
 
 @functools.singledispatch
-def follow(produced: object) -> object | None:
+def convert_to_event(produced: object) -> object | None:
     """Turn an effect into the event that other cores see.
 
     :param produced: an effect of one core.
@@ -66,32 +66,32 @@
     return None
 
 
-@follow.register
+@convert_to_event.register
 def _(produced: effect.PublishConfiguration) -> event.ConfigurationChanged:
     return event.ConfigurationChanged(produced.configuration)
 
 
-@follow.register
+@convert_to_event.register
 def _(produced: effect.PublishObject) -> event.ObjectChanged:
     return event.ObjectChanged(produced.stored)
 
 
-@follow.register
+@convert_to_event.register
 def _(produced: effect.PublishMembership) -> event.MembershipChanged:
     return event.MembershipChanged(produced.membership)
 
 
-@follow.register
+@convert_to_event.register
 def _(produced: effect.PublishRevision) -> event.RevisionReached:
     return event.RevisionReached(produced.revision)
 
 
-@follow.register
+@convert_to_event.register
 def _(produced: effect.RequestWrite) -> event.WriteRequested:
     return event.WriteRequested(produced.write)
 
 
-@follow.register
+@convert_to_event.register
 def _(produced: effect.PublishWriteEnded) -> event.WriteEnded:
     return produced.ended
 
@@ -102,7 +102,7 @@
     :param parts: the cores, in the order in which they see an event.
     """
 
-    def __init__(self, parts: typing.Sequence[Part]) -> None:
+    def __init__(self, parts: typing.Sequence[CoreBinding]) -> None:
         self._parts = tuple(parts)
         self._all = tuple(part.core for part in parts)
         self._by_message = {
@@ -114,8 +114,8 @@
             kind: (part.core,) for part in parts for kind in part.events
         }
         self._by_call = sorted(
-            (part for part in parts if part.first_call >= 0),
-            key=lambda part: part.first_call,
+            (part for part in parts if part.first_call_number >= 0),
+            key=lambda part: part.first_call_number,
             reverse=True,
         )
         self._stopping = False
@@ -146,7 +146,7 @@
         pending: collections.deque[object],
         outgoing: list[object],
     ) -> None:
-        following = follow(produced)
+        following = convert_to_event(produced)
         if following is not None:
             pending.append(following)
         if following is None or isinstance(produced, _SHOWN_OUTSIDE):
@@ -168,6 +168,6 @@
 
     def _find_caller(self, call: int) -> tuple[core.Core, ...]:
         for part in self._by_call:
-            if call >= part.first_call:
+            if call >= part.first_call_number:
                 return (part.core,)
         return ()
--- a/skylarkfold/shelf.py
+++ b/skylarkfold/object_cache.py
@@ -1,4 +1,4 @@
-"""The objects that an instance knows, with its position."""
+"""A cache of the store's objects."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 import xxhash
 
-from skylarkfold import lean
+from skylarkfold import light_imports
 
-if lean.TYPE_CHECKING:
-    from skylarkfold import stored
+if light_imports.TYPE_CHECKING:
+    from skylarkfold import platform_api
 
 
-class Shelf:
-    """The newest known form of every object, deleted ones included.
+class ObjectCache:
+    """The newest known version of every object, with tombstones.
 
     The store's revision orders all writes, so merging is safe in any
     order: of two forms of an object the one of the higher revision wins.
@@ -24,8 +24,8 @@
     """
 
     __slots__ = (
-        '_digest',
         '_dead',
+        '_digest',
         '_objects',
         '_tombstones',
         'floor',
@@ -33,14 +33,14 @@
     )
 
     def __init__(self, tombstones: int, begin: int = 0) -> None:
-        self._objects: dict[str, stored.StoredObject] = {}
+        self._objects: dict[str, platform_api.StoredObject] = {}
         self._dead: dict[str, int] = {}
         self._tombstones = tombstones
         self._digest: int | None = None
         self.position = begin
         self.floor = begin
 
-    def get(self, path: str) -> stored.StoredObject | None:
+    def get(self, path: str) -> platform_api.StoredObject | None:
         """Find an object.
 
         :param path: its path.
@@ -49,7 +49,7 @@
         return self._objects.get(path)
 
     def put(
-        self, candidate: stored.StoredObject, is_listed: bool = False
+        self, candidate: platform_api.StoredObject, is_listed: bool = False
     ) -> bool:
         """Keep an object if it is newer than what is known.
 
@@ -94,7 +94,7 @@
         """
         self.floor = max(self.floor, floor)
 
-    def list_after(self, revision: int) -> list[stored.StoredObject]:
+    def list_after(self, revision: int) -> list[platform_api.StoredObject]:
         """List the objects above a revision, ones after the position too.
 
         :param revision: where to begin, exclusive.
@@ -107,7 +107,7 @@
 
     def list_absent(
         self, revision: int, present: Iterable[str]
-    ) -> list[stored.StoredObject]:
+    ) -> list[platform_api.StoredObject]:
         """List live objects up to a revision that a listing lacks.
 
         :param revision: the listing's revision.
@@ -148,5 +148,5 @@
             del self._objects[path]
 
 
-def _get_revision(each: stored.StoredObject) -> int:
+def _get_revision(each: platform_api.StoredObject) -> int:
     return each.revision
--- a/skylarkfold/overlay.py
+++ b/skylarkfold/overlay.py
@@ -15,10 +15,10 @@
 
 import xxhash
 
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 
-class Place(lean.Protocol):
+class OverlayMember(light_imports.Protocol):
     """An instance as the overlay sees it.
 
     :ivar name: its name.
@@ -35,10 +35,10 @@
     capacity: int
 
 
-class Places(lean.Protocol):
+class OverlayMembership(light_imports.Protocol):
     """All instances, by name."""
 
-    members: Mapping[str, Place]
+    members: Mapping[str, OverlayMember]
 
 
 MESH_LIMIT = 12
@@ -49,7 +49,7 @@
 
 
 def list_neighbours(
-    membership: Places, name: str, mesh_limit: int = MESH_LIMIT
+    membership: OverlayMembership, name: str, mesh_limit: int = MESH_LIMIT
 ) -> tuple[str, ...]:
     """List the instances that an instance exchanges heartbeats with.
 
@@ -75,7 +75,7 @@
     return tuple(sorted(links))
 
 
-def rank_in_zone(membership: Places, name: str) -> int:
+def rank_in_zone(membership: OverlayMembership, name: str) -> int:
     """Rank an instance among its zone's, for duties that few have.
 
     :param membership: all members.
@@ -90,7 +90,7 @@
     return ranked.index(name) if name in ranked else len(ranked)
 
 
-def rank_zone(members: Iterable[Place], zone: str) -> list[str]:
+def rank_zone(members: Iterable[OverlayMember], zone: str) -> list[str]:
     """Order a zone's instances for duties that few have.
 
     :param members: any members.
@@ -101,7 +101,7 @@
     return [each.name for each in sorted(able, key=_rank)]
 
 
-def _list_others(members: Iterable[Place], name: str) -> Iterable[str]:
+def _list_others(members: Iterable[OverlayMember], name: str) -> Iterable[str]:
     return (each.name for each in members if each.name != name)
 
 
@@ -113,7 +113,9 @@
         yield order[(place + 1) % len(order)]
 
 
-def _list_counterparts(members: list[Place], own: Place) -> Iterable[str]:
+def _list_counterparts(
+    members: list[OverlayMember], own: OverlayMember
+) -> Iterable[str]:
     ours = rank_zone(members, own.zone)[:DELEGATES]
     if own.name not in ours:
         return
@@ -128,8 +130,8 @@
         yield from _list_reverse(theirs, len(ours), place)
 
 
-def _rank_zones(members: list[Place]) -> dict[str, list[str]]:
-    zones: dict[str, list[Place]] = {}
+def _rank_zones(members: list[OverlayMember]) -> dict[str, list[str]]:
+    zones: dict[str, list[OverlayMember]] = {}
     for each in members:
         owners = zones.setdefault(each.zone, [])
         if each.may_own:
@@ -142,7 +144,7 @@
     }
 
 
-def _rank(each: Place) -> tuple[int, int]:
+def _rank(each: OverlayMember) -> tuple[int, int]:
     return (-each.capacity, _hash_rank(each.name))
 
 
--- a/skylarkfold/platform/__main__.py
+++ b/skylarkfold/platform/__main__.py
@@ -18,7 +18,7 @@
 
 from skylarkfold import datagram
 from skylarkfold import errors
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold import machine
 
 # The environment variable that holds the settings file's path.
@@ -67,10 +67,10 @@
     settings: machine.MachineSettings,
     file: machine.SettingsFile,
     own_path: str,
-    packets: lean.Socket,
+    packets: light_imports.Socket,
 ) -> None:
     forwarder, _adapter = load()
-    own = forwarder.read_own_settings(own_path)
+    own = forwarder.read_forwarder_settings(own_path)
     adapter = _adapter.Adapter(settings)
     forwarder.Forwarder(settings, file, own, adapter, packets).run()
 
--- a/skylarkfold/platform/_complaints.py
+++ b/skylarkfold/platform/_complaints.py
@@ -4,7 +4,7 @@
 
 import collections
 
-from skylarkfold import late_log
+from skylarkfold import deferred_log
 
 # Different complaints that get a line; all later ones are only counted, so
 # that a writer who leaves new ones for ever fills neither log nor memory.
@@ -64,4 +64,4 @@
 
 
 def _log(fields: dict[str, object]) -> None:
-    late_log.LOGGER.warning('object', fields=fields)
+    deferred_log.LOGGER.warning('object', fields=fields)
--- a/skylarkfold/platform/_fields.py
+++ b/skylarkfold/platform/_fields.py
@@ -8,7 +8,7 @@
 
 
 from skylarkfold import errors
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 _MOST_PORT = 65535
 _DIGITS = frozenset('0123456789')
@@ -179,7 +179,7 @@
     """
     try:
         # Unlike inet_aton, this takes no short or octal forms.
-        lean.parse_host(lean.AF_INET, host)
+        light_imports.inet_pton(light_imports.AF_INET, host)
     except (OSError, ValueError):
         reason = f'{name}: an IPv4 address is wanted'
         raise errors.DecodeError(reason) from None
--- a/skylarkfold/platform/_packet.py
+++ b/skylarkfold/platform/_packet.py
@@ -11,7 +11,7 @@
 import struct
 
 from skylarkfold import affinity
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 # seq, ack, flags, pad, dst, sport, dport, src, echo, sum, len
 _HEADER = struct.Struct('>IIBB4s2s2s4sIIH')
@@ -91,4 +91,4 @@
     packet = _HEADER.pack(
         acknowledged, 0, _RST, 0, caller, port, sport, host, 0, 0, 0
     )
-    return packet, (lean.format_host(caller), caller_port)
+    return packet, (light_imports.inet_ntoa(caller), caller_port)
--- a/skylarkfold/platform/_store.py
+++ b/skylarkfold/platform/_store.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from skylarkfold import errors
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold.platform import _complaints
 from skylarkfold.platform import _fields
 from skylarkfold.platform import _objects
@@ -94,7 +94,7 @@
             return relay.Answer(relay.Status.ABANDONED)
         return _decode_reply(call, reply, self._complaints)
 
-    def abandon(self, topic: str) -> None:
+    def cancel(self, topic: str) -> None:
         """End the call of a topic that is under way, without an answer.
 
         :param topic: the topic.
@@ -147,7 +147,7 @@
     text = reply.headers.get(_ERA_HEADER)
     if text is None:
         return call.era
-    return revisions.read_era(text)
+    return revisions.parse_era(text)
 
 
 def _decode(
@@ -177,12 +177,12 @@
 
 def _parse(body: bytes) -> object:
     try:
-        return lean.parse_json(body)
+        return light_imports.parse_json(body)
     except (UnicodeDecodeError, RecursionError):
         # Bytes that are no text become characters that no text may hold:
         # only the objects that have them are unusable then.
         text = body.decode('utf-8', 'surrogateescape')
-        return lean.parse_json(_flatten(text))
+        return light_imports.parse_json(_flatten(text))
 
 
 def _flatten(text: str) -> str:
@@ -334,5 +334,5 @@
     def _read_revision(
         self, fields: _fields.Fields, name: str
     ) -> revisions.Revision:
-        number = fields.get_count(name, 0, revisions.MOST_NUMBER)
+        number = fields.get_count(name, 0, revisions.MAXIMUM_NUMBER)
         return revisions.Revision(number, self._era)
--- a/skylarkfold/platform/check.py
+++ b/skylarkfold/platform/check.py
@@ -25,7 +25,7 @@
     :raises UsageError: if there is no such kind.
     """
     if kind == 'own':
-        own = forwarder.read_own_settings(path)
+        own = forwarder.read_forwarder_settings(path)
         return f'valid own settings, metrics at port {own.metrics_port}'
     if kind == 'platform':
         settings = machine.read_settings(path)
@@ -65,9 +65,9 @@
         raise errors.SettingsError(reason, path, f'{place}.template')
     own = words[words.index(program) + 1 :]
     metrics = str(role.get('metrics', ''))
-    settings = forwarder.OwnSettings()
+    settings = forwarder.ForwarderSettings()
     if own:
-        settings = forwarder.read_own_settings(str(root / own[0]))
+        settings = forwarder.read_forwarder_settings(str(root / own[0]))
     port = metrics.partition('/')[0]
     if metrics and port != str(settings.metrics_port):
         reason = f'own settings have port {settings.metrics_port}'
--- a/skylarkfold/stored.py
+++ b/skylarkfold/platform_api.py
@@ -1,4 +1,4 @@
-"""Objects in the platform's store, and the calls that reach them."""
+"""Objects, calls and answers of the platform's object API."""
 
 from __future__ import annotations
 
--- a/skylarkfold/reactor/_http.py
+++ b/skylarkfold/reactor/_http.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from skylarkfold import late_log
-from skylarkfold import lean
+from skylarkfold import deferred_log
+from skylarkfold import light_imports
 from skylarkfold.reactor import _loop
 from skylarkfold.reactor import _stream
 
@@ -28,7 +28,7 @@
 _MOST_HEADERS = 64
 _REASONS = {200: 'OK', 404: 'Not Found', 503: 'Service Unavailable'}
 
-_logger = late_log.LOGGER
+_logger = deferred_log.LOGGER
 
 
 class Reply:
@@ -125,7 +125,7 @@
         self._timer = self._loop.call_later(timeout_seconds, self._time_out)
         if self._connection is None:
             stream = _stream.connect(self._loop, self._address)
-            self._connection = _Connection(stream, self._take_answer)
+            self._connection = _Connection(stream, self._handle_answer)
         head = f'{method} {path} HTTP/1.1\r\nHost: {self._host}\r\n'
         if body:
             head += 'Content-Type: application/json\r\n'
@@ -143,7 +143,7 @@
         self._timer = None
         self.close()
 
-    def _take_answer(self, reply: Reply, is_last: bool) -> None:
+    def _handle_answer(self, reply: Reply, is_last: bool) -> None:
         if is_last:
             connection, self._connection = self._connection, None
             connection.abandon()
@@ -164,24 +164,24 @@
 
     __slots__ = (
         '_body',
+        '_handle_answer',
         '_headers',
         '_parser',
         '_size',
         '_stream',
-        '_take_answer',
     )
 
     def __init__(
         self,
         stream: _stream.Stream,
-        take_answer: Callable[[Reply, bool], object],
+        handle_answer: Callable[[Reply, bool], object],
     ) -> None:
         self._stream = stream
-        self._take_answer = take_answer
+        self._handle_answer = handle_answer
         self._body: list[bytes] = []
         self._headers: dict[str, str] = {}
         self._size = 0
-        self._parser = lean.http.HttpResponseParser(self)
+        self._parser = light_imports.http_parser.HttpResponseParser(self)
         stream.on_data = self._take
         stream.on_close = self._lose
 
@@ -190,18 +190,18 @@
 
     def abandon(self) -> None:
         """Close it; nothing that is still in it is handed over."""
-        self._take_answer = _ignore_answer
+        self._handle_answer = _ignore_answer
         self._stream.close()
 
     def _take(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
-        except lean.http.HttpParserError as error:
+        except light_imports.http_parser.HttpParserError as error:
             _logger.warning('a server sent no HTTP: %s', error)
             self._lose('no HTTP')
 
     def _lose(self, _reason: str) -> None:
-        self._take_answer(Reply(_NO_ANSWER), True)
+        self._handle_answer(Reply(_NO_ANSWER), True)
 
     def on_message_begin(self) -> None:
         """Begin to collect an answer; called by the parser."""
@@ -227,7 +227,7 @@
         is_last = not self._parser.should_keep_alive()
         status = self._parser.get_status_code()
         reply = Reply(status, self._headers, b''.join(self._body))
-        self._take_answer(reply, is_last)
+        self._handle_answer(reply, is_last)
 
 
 class HttpServer:
@@ -279,7 +279,7 @@
         self._answer = answer
         self._path = b''
         self._size = 0
-        self._parser = lean.http.HttpRequestParser(self)
+        self._parser = light_imports.http_parser.HttpRequestParser(self)
         self._timer = loop.call_later(_REQUEST_SECONDS, stream.close)
         stream.on_data = self._take
         stream.on_close = self._end
@@ -291,7 +291,7 @@
             return
         try:
             self._parser.feed_data(data)
-        except lean.http.HttpParserError:
+        except light_imports.http_parser.HttpParserError:
             self._stream.close('no HTTP')
 
     def _end(self, _reason: str) -> None:
--- a/skylarkfold/reactor/_loop.py
+++ b/skylarkfold/reactor/_loop.py
@@ -7,13 +7,13 @@
 import select
 import time
 
-from skylarkfold import late_log
-from skylarkfold import lean
+from skylarkfold import deferred_log
+from skylarkfold import light_imports
 
 READ = select.EPOLLIN
 WRITE = select.EPOLLOUT
 
-_logger = late_log.LOGGER
+_logger = deferred_log.LOGGER
 
 # Wakes a loop without timers; nothing depends on the value.
 _LONGEST_WAIT_SECONDS = 10.0
@@ -68,7 +68,9 @@
         self._watched: dict[int, tuple[int, Callable]] = {}
         self._timers: list[Timer] = []
         self._signals: dict[int, Callable[[], object]] = {}
-        self._wakeup: tuple[lean.Socket, lean.Socket] | None = None
+        self._wakeup: (
+            tuple[light_imports.Socket, light_imports.Socket] | None
+        ) = None
         self._is_stopped = False
         self.failures = 0
         self.lag = 0.0
@@ -78,7 +80,7 @@
         return time.monotonic()
 
     def watch(
-        self, ready: lean.Socket, events: int, callback: Callable
+        self, ready: light_imports.Socket, events: int, callback: Callable
     ) -> None:
         """Call back when a socket is ready.
 
@@ -95,7 +97,7 @@
             self._poll.modify(number, events)
         self._watched[number] = (events, callback)
 
-    def forget(self, ready: lean.Socket) -> None:
+    def unwatch(self, ready: light_imports.Socket) -> None:
         """Stop watching a socket; one that is not watched is ignored."""
         number = ready.fileno()
         if self._watched.pop(number, None) is not None:
@@ -138,14 +140,14 @@
         if self._wakeup is None:
             self._open_wakeup()
         self._signals[number] = callback
-        lean.handle_signal(number, _ignore_signal)
+        light_imports.set_signal_handler(number, _ignore_signal)
 
     def _open_wakeup(self) -> None:
-        receiver, sender = lean.open_pair()
+        receiver, sender = light_imports.socketpair()
         receiver.setblocking(False)
         sender.setblocking(False)
         self._wakeup = (receiver, sender)
-        lean.set_wakeup(sender.fileno(), warn_on_full_buffer=False)
+        light_imports.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
         self.watch(receiver, READ, self._take_signals)
 
     def _take_signals(self, _events: int) -> None:
@@ -200,7 +202,7 @@
     def close(self) -> None:
         """Give its descriptors back."""
         if self._wakeup is not None:
-            lean.set_wakeup(-1)
+            light_imports.set_wakeup_fd(-1)
             for each in self._wakeup:
                 each.close()
         self._poll.close()
--- a/skylarkfold/reactor/_stream.py
+++ b/skylarkfold/reactor/_stream.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 import errno
 
-from skylarkfold import late_log
-from skylarkfold import lean
+from skylarkfold import deferred_log
+from skylarkfold import light_imports
 from skylarkfold.reactor import _loop
 
 _PORTION_BYTES = 64 * 1024
@@ -16,7 +16,7 @@
 # What may wait for a peer that does not read; more ends the stream.
 MAXIMUM_WAITING_BYTES = 4 * 1024 * 1024
 
-_logger = late_log.LOGGER
+_logger = deferred_log.LOGGER
 
 
 class Stream:
@@ -46,7 +46,7 @@
     def __init__(
         self,
         loop: _loop.Loop,
-        connection: lean.Socket,
+        connection: light_imports.Socket,
         is_connected: bool = True,
     ) -> None:
         self._loop = loop
@@ -58,7 +58,9 @@
         self.on_open: Callable[[], object] = _do_nothing
         self.on_data: Callable[[bytes], object] = _do_nothing
         self.on_close: Callable[[str], object] = _do_nothing
-        connection.setsockopt(lean.IPPROTO_TCP, lean.TCP_NODELAY, 1)
+        connection.setsockopt(
+            light_imports.IPPROTO_TCP, light_imports.TCP_NODELAY, 1
+        )
         events = _loop.READ if is_connected else _loop.WRITE
         loop.watch(connection, events, self._take_events)
 
@@ -98,7 +100,7 @@
         if self.is_closed:
             return
         self.is_closed = True
-        self._loop.forget(self._connection)
+        self._loop.unwatch(self._connection)
         self._connection.close()
         self.on_close(reason)
 
@@ -114,7 +116,9 @@
             self.close(_describe(error))
 
     def _end_connecting(self) -> None:
-        code = self._connection.getsockopt(lean.SOL_SOCKET, lean.SO_ERROR)
+        code = self._connection.getsockopt(
+            light_imports.SOL_SOCKET, light_imports.SO_ERROR
+        )
         if code:
             raise OSError(code, errno.errorcode.get(code, str(code)))
         self._is_connected = True
@@ -169,8 +173,12 @@
     ) -> None:
         self._loop = loop
         self._accept = accept
-        self._socket = lean.Socket(lean.AF_INET, lean.SOCK_STREAM)
-        self._socket.setsockopt(lean.SOL_SOCKET, lean.SO_REUSEADDR, 1)
+        self._socket = light_imports.Socket(
+            light_imports.AF_INET, light_imports.SOCK_STREAM
+        )
+        self._socket.setsockopt(
+            light_imports.SOL_SOCKET, light_imports.SO_REUSEADDR, 1
+        )
         self._socket.setblocking(False)
         self._socket.bind(address)
         self._socket.listen(_BACKLOG)
@@ -184,7 +192,7 @@
     def _take_connections(self, _events: int) -> None:
         while True:
             try:
-                connection = lean.accept(self._socket)
+                connection = light_imports.accept(self._socket)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -196,7 +204,7 @@
 
     def close(self) -> None:
         """Accept nothing more."""
-        self._loop.forget(self._socket)
+        self._loop.unwatch(self._socket)
         self._socket.close()
 
 
@@ -208,7 +216,9 @@
     :returns: the stream; its ``on_close`` is called if it can't be
         opened, after this function returned.
     """
-    connection = lean.Socket(lean.AF_INET, lean.SOCK_STREAM)
+    connection = light_imports.Socket(
+        light_imports.AF_INET, light_imports.SOCK_STREAM
+    )
     connection.setblocking(False)
     code = connection.connect_ex(address)
     stream = Stream(loop, connection, is_connected=False)
--- a/skylarkfold/relay/__init__.py
+++ b/skylarkfold/relay/__init__.py
@@ -17,55 +17,55 @@
 from skylarkfold.relay._codec import encode_page
 from skylarkfold.relay._codec import measure_values
 from skylarkfold.relay._core import RelayCore
-from skylarkfold.relay._effect import AbandonCall
+from skylarkfold.relay._effect import CallerDemandReported
 from skylarkfold.relay._effect import CallStore
-from skylarkfold.relay._effect import Changed
+from skylarkfold.relay._effect import CancelCall
 from skylarkfold.relay._effect import Fetch
-from skylarkfold.relay._effect import Note
+from skylarkfold.relay._effect import LastSeenReported
+from skylarkfold.relay._effect import LastSeenRequested
+from skylarkfold.relay._effect import PeerLoadReported
+from skylarkfold.relay._effect import RecordEvent
 from skylarkfold.relay._effect import SendBeacon
-from skylarkfold.relay._effect import TakeCallers
-from skylarkfold.relay._effect import TakeHeard
-from skylarkfold.relay._effect import TakeLoad
-from skylarkfold.relay._effect import TakeLost
-from skylarkfold.relay._effect import TellHeard
+from skylarkfold.relay._effect import TopicChanged
+from skylarkfold.relay._effect import UnreachableReported
 from skylarkfold.relay._item import Item
 from skylarkfold.relay._messages import Beacon
 from skylarkfold.relay._messages import CallerReport
-from skylarkfold.relay._messages import News
 from skylarkfold.relay._messages import Page
 from skylarkfold.relay._messages import Position
-from skylarkfold.relay._messages import Told
-from skylarkfold.relay._retained import Precedence
-from skylarkfold.relay._retained import StoreFirst
+from skylarkfold.relay._messages import RetainedItem
+from skylarkfold.relay._messages import TopicDelta
+from skylarkfold.relay._retained import NoRetention
+from skylarkfold.relay._retained import RetentionPolicy
 from skylarkfold.relay._settings import RelaySettings
 
 __all__ = [
-    'AbandonCall',
     'Announcer',
     'Answer',
     'Beacon',
     'Call',
     'CallStore',
+    'CallerDemandReported',
     'CallerReport',
-    'Changed',
+    'CancelCall',
     'Fetch',
     'Item',
-    'News',
-    'Note',
+    'LastSeenReported',
+    'LastSeenRequested',
+    'NoRetention',
     'Page',
-    'TakeCallers',
-    'TakeHeard',
-    'TakeLoad',
-    'TakeLost',
-    'TellHeard',
-    'Told',
+    'PeerLoadReported',
     'Position',
-    'Precedence',
+    'RecordEvent',
     'RelayCore',
     'RelaySettings',
+    'RetainedItem',
+    'RetentionPolicy',
     'SendBeacon',
     'Status',
-    'StoreFirst',
+    'TopicChanged',
+    'TopicDelta',
+    'UnreachableReported',
     'decode_beacon',
     'decode_fetch',
     'decode_page',
