--- a/skylarkfold/relay/_announcer.py
+++ b/skylarkfold/relay/_announcer.py
@@ -70,7 +70,7 @@
             settings.caller_word_seconds,
         )
 
-    def tell_zone(
+    def notify_zone(
         self,
         now: float,
         doubts: tuple[int, ...] = (),
@@ -93,19 +93,19 @@
         return [_effect.SendBeacon(hosts, beacon)]
 
     def answer(
-        self, now: float, host: str, heard: dict[int, float]
+        self, now: float, host: str, last_seen: dict[int, float]
     ) -> list[object]:
         """Answer a peer that asked which upstreams are heard here.
 
         :param now: the time.
         :param host: the peer.
-        :param heard: how many seconds ago, by incarnation.
+        :param last_seen: how many seconds ago, by incarnation.
         :returns: effects.
         """
-        if not heard:
+        if not last_seen:
             return []
         beacon = self.build(now)
-        beacon.heard = heard
+        beacon.last_seen = last_seen
         return [_effect.SendBeacon([host], beacon)]
 
     def push(
@@ -132,14 +132,14 @@
         ]
         if not hosts:
             return []
-        news = None
+        delta = None
         is_same_era = base.era == topic.position.era
         if (
             is_same_era
             and _codec.measure(changed) <= self._settings.push_bytes
         ):
-            news = _messages.News(topic.number, base, tuple(changed))
-        return [_effect.SendBeacon(hosts, self.build(now, news))]
+            delta = _messages.TopicDelta(topic.number, base, tuple(changed))
+        return [_effect.SendBeacon(hosts, self.build(now, delta))]
 
     def _list_behind(self, topic: _topic.Topic) -> list[_peer.Peer]:
         behind = []
@@ -165,13 +165,15 @@
         if self._near_pace.is_due(now):
             loads.append(self._report(own.name, False, 0.0, own.loads))
             self._near_pace.note(now, loads, len(hosts))
-        hearsay: tuple[_messages.Hearsay, ...] = ()
+        known_instances: tuple[_messages.KnownInstance, ...] = ()
         ages: dict[int, float] = {}
         if now >= self._next_slow_near:
             self._next_slow_near = now + self._settings.slow_seconds
-            hearsay, ages = self._peers.gossip.tell_mates(now)
+            known_instances, ages = self._peers.gossip.tell_mates(now)
             loads += self._report_zones(now, len(hosts))
-        beacon = self.build(now, loads=tuple(loads), hearsay=hearsay)
+        beacon = self.build(
+            now, loads=tuple(loads), known_instances=known_instances
+        )
         beacon.ages = ages
         beacon.silent = self._peers.gossip.list_silent(now, is_near=True)
         beacon.callers = self.callers.choose_near(now, len(hosts))
@@ -187,15 +189,15 @@
         if not hosts:
             return []
         loads: tuple[_messages.LoadReport, ...] = ()
-        hearsay: tuple[_messages.Hearsay, ...] = ()
+        known_instances: tuple[_messages.KnownInstance, ...] = ()
         if now >= self._next_slow_far:
             self._next_slow_far = now + self._settings.slow_seconds
-            hearsay = self._peers.gossip.choose_heads(now)
+            known_instances = self._peers.gossip.choose_heads(now)
             if self._far_pace.is_due(now):
                 total = self._peers.sum_loads()
                 loads = (self._report(self._own.zone, True, 0.0, total),)
                 self._far_pace.note(now, loads, len(hosts))
-        beacon = self.build(now, loads=loads, hearsay=hearsay)
+        beacon = self.build(now, loads=loads, known_instances=known_instances)
         beacon.silent = self._peers.gossip.list_silent(now, is_near=False)
         beacon.callers = self.callers.choose_far(now, len(hosts))
         return [_effect.SendBeacon(hosts, beacon)]
@@ -225,7 +227,7 @@
             loads = dict(busiest)
         return _messages.LoadReport(source, is_zone, age_seconds, loads)
 
-    def approach(self, now: float, hosts: list[str]) -> list[object]:
+    def contact(self, now: float, hosts: list[str]) -> list[object]:
         """Ask at hosts that nothing is heard of.
 
         :param now: the time.
@@ -241,7 +243,9 @@
         others = others[first:] + others[:first]
         return [_effect.SendBeacon(others, self.build(now, is_asking=True))]
 
-    def take_loads(self, now: float, beacon: _messages.Beacon) -> list[object]:
+    def handle_loads(
+        self, now: float, beacon: _messages.Beacon
+    ) -> list[object]:
         """Take the loads that a peer tells.
 
         :param now: the time.
@@ -252,30 +256,32 @@
         for report in beacon.loads:
             if not report.is_zone:
                 self._peers.members[beacon.name].loads = report.loads
-                effects.append(_effect.TakeLoad(beacon.name, report.loads))
+                effects.append(
+                    _effect.PeerLoadReported(beacon.name, report.loads)
+                )
                 continue
             at = now - report.age_seconds
             known, _ = self._zone_loads.get(report.source, (_NEVER, {}))
             if report.source != self._own.zone and at > known:
                 self._zone_loads[report.source] = (at, report.loads)
                 source = f'zone:{report.source}'
-                effects.append(_effect.TakeLoad(source, report.loads))
+                effects.append(_effect.PeerLoadReported(source, report.loads))
         return effects
 
     def build(
         self,
         now: float,
-        news: _messages.News | None = None,
+        delta: _messages.TopicDelta | None = None,
         loads: tuple[_messages.LoadReport, ...] = (),
-        hearsay: tuple[_messages.Hearsay, ...] = (),
+        known_instances: tuple[_messages.KnownInstance, ...] = (),
         is_asking: bool = False,
     ) -> _messages.Beacon:
         """Build a beacon.
 
         :param now: the time.
-        :param news: changes that travel with it.
+        :param delta: changes that travel with it.
         :param loads: of upstreams, here or in zones.
-        :param hearsay: names of others.
+        :param known_instances: names of others.
         :param is_asking: whether an answer is wanted.
         :returns: the beacon.
         """
@@ -286,7 +292,7 @@
             self._own.is_leaving,
             is_asking,
             tuple(topic.describe(now) for topic in self._topics),
-            news,
+            delta,
             loads,
-            hearsay,
+            known_instances,
         )
--- a/skylarkfold/relay/_call.py
+++ b/skylarkfold/relay/_call.py
@@ -76,7 +76,7 @@
         self,
         status: str,
         items: Iterable[_item.Item] = (),
-        revision: revisions.Revision = revisions.NONE,
+        revision: revisions.Revision = revisions.ZERO,
         is_truncated: bool = False,
     ) -> None:
         self.status = status
--- a/skylarkfold/relay/_callers.py
+++ b/skylarkfold/relay/_callers.py
@@ -64,7 +64,7 @@
         self._word = word
         self._zone_word = zone_word
 
-    def put_elsewhere(self, at: float, word: bytes) -> None:
+    def put_other_zones(self, at: float, word: bytes) -> None:
         """Take the sum of the other zones, heard from them here.
 
         :param at: when the last of it was said.
@@ -125,18 +125,20 @@
         if report is None:
             return []
         if beacon.zone != self._zone:
-            word = report.word
-            return [_effect.TakeCallers(beacon.zone, True, 0.0, word)]
+            word = report.demand
+            return [_effect.CallerDemandReported(beacon.zone, True, 0.0, word)]
         effects: list[object] = []
-        if report.word:
-            told = _effect.TakeCallers(beacon.name, False, 0.0, report.word)
+        if report.demand:
+            told = _effect.CallerDemandReported(
+                beacon.name, False, 0.0, report.demand
+            )
             effects.append(told)
         at = now - report.age_seconds
-        if report.elsewhere and at > self._elsewhere_at:
-            self._pass_on(at, report.elsewhere)
+        if report.other_zones and at > self._elsewhere_at:
+            self._pass_on(at, report.other_zones)
             effects.append(
-                _effect.TakeCallers(
-                    '', True, report.age_seconds, report.elsewhere
+                _effect.CallerDemandReported(
+                    '', True, report.age_seconds, report.other_zones
                 )
             )
         return effects
@@ -147,6 +149,6 @@
 ) -> _messages.CallerReport | None:
     if not pace.is_due(now):
         return None
-    size = _REPORT_BYTES + len(report.word) + len(report.elsewhere)
+    size = _REPORT_BYTES + len(report.demand) + len(report.other_zones)
     pace.note_bytes(now, size * hosts)
     return report
--- a/skylarkfold/relay/_codec.py
+++ b/skylarkfold/relay/_codec.py
@@ -12,7 +12,7 @@
 import zlib
 
 from skylarkfold import errors
-from skylarkfold import lean
+from skylarkfold import light_imports
 from skylarkfold.relay import _age_codec
 from skylarkfold.relay import _item
 from skylarkfold.relay import _load_codec
@@ -40,7 +40,7 @@
     flags = (
         beacon.is_leaving * _IS_LEAVING | beacon.wants_answer * _WANTS_ANSWER
     )
-    news = beacon.news
+    delta = beacon.delta
     fields = [
         _VERSION,
         beacon.name,
@@ -58,12 +58,12 @@
             for each in beacon.positions
         ],
         None
-        if news is None
+        if delta is None
         else [
-            news.topic,
-            news.base.era,
-            news.base.number,
-            _list(news.items),
+            delta.topic,
+            delta.base.era,
+            delta.base.number,
+            _list(delta.items),
         ],
         [
             [
@@ -85,10 +85,10 @@
                 each.capacity,
                 int(each.age_seconds * 1000),
             ]
-            for each in beacon.hearsay
+            for each in beacon.known_instances
         ],
         beacon.doubts,
-        {start: int(age * 1000) for start, age in beacon.heard.items()},
+        {start: int(age * 1000) for start, age in beacon.last_seen.items()},
         beacon.lost,
         _age_codec.pack_ages(beacon.ages),
         _age_codec.pack_ages(beacon.silent),
@@ -96,8 +96,8 @@
     callers = beacon.callers
     if callers is not None:
         age = _to_milliseconds(callers.age_seconds)
-        fields.append([callers.word, callers.elsewhere, age])
-    return lean.msgpack.packb(fields)
+        fields.append([callers.demand, callers.other_zones, age])
+    return light_imports.msgpack.packb(fields)
 
 
 def decode_beacon(data: bytes) -> _messages.Beacon:
@@ -117,7 +117,9 @@
     :param position: the sender's own position.
     :returns: the bytes of the stream.
     """
-    return lean.msgpack.packb([_VERSION, topic, position.era, position.number])
+    return light_imports.msgpack.packb(
+        [_VERSION, topic, position.era, position.number]
+    )
 
 
 def decode_fetch(data: bytes) -> tuple[int, revisions.Revision]:
@@ -142,7 +144,7 @@
             int(each.left_seconds * 1000),
             _list([each.item]),
         ]
-        for each in page.told
+        for each in page.retained_items
     ]
     fields = [
         _VERSION,
@@ -156,7 +158,7 @@
         told,
         page.packed or pack_items(page.items),
     ]
-    return lean.msgpack.packb(fields)
+    return light_imports.msgpack.packb(fields)
 
 
 def pack_items(items: Iterable[_item.Item]) -> bytes:
@@ -165,7 +167,7 @@
     :param items: the objects, all of one era.
     :returns: the bytes.
     """
-    return zlib.compress(lean.msgpack.packb(_list(items)), 1)
+    return zlib.compress(light_imports.msgpack.packb(_list(items)), 1)
 
 
 def decode_page(data: bytes) -> _messages.Page:
@@ -184,7 +186,7 @@
     :param items: the objects.
     :returns: bytes.
     """
-    return len(lean.msgpack.packb(_list(items)))
+    return len(light_imports.msgpack.packb(_list(items)))
 
 
 def measure_values(values: list[dict[str, object]]) -> int:
@@ -198,14 +200,14 @@
     """
     try:
         # As deep as they stand in a beacon.
-        return len(lean.msgpack.packb([[[values]]]))
+        return len(light_imports.msgpack.packb([[[values]]]))
     except (ArithmeticError, ValueError, RecursionError) as error:
         raise errors.DecodeError(type(error).__name__) from None
 
 
 def _decode(data, convert):
     try:
-        fields = lean.msgpack.unpackb(data, strict_map_key=False)
+        fields = light_imports.msgpack.unpackb(data, strict_map_key=False)
         if fields[0] != _VERSION:
             raise errors.DecodeError(f'version {fields[0]!a}')
         return convert(fields)
@@ -213,7 +215,7 @@
         raise
     # The library raises ValueError and its own; odd shapes the others.
     except (
-        lean.msgpack.UnpackException,
+        light_imports.msgpack.UnpackException,
         ArithmeticError,
         AttributeError,
         LookupError,
@@ -227,7 +229,17 @@
 
 def _convert_beacon(fields: list[object]) -> _messages.Beacon:
     _, name, zone, capacity, flags, positions, *rest = fields
-    news, loads, hearsay, doubts, heard, lost, ages, silent, *rare = rest
+    (
+        delta,
+        loads,
+        known_instances,
+        doubts,
+        last_seen,
+        lost,
+        ages,
+        silent,
+        *rare,
+    ) = rest
     (callers,) = rare or (None,)
     return _messages.Beacon(
         _check_text(name),
@@ -244,22 +256,22 @@
             )
             for era, number, changed, age, retained in _check_list(positions)
         ),
-        None if news is None else _convert_news(news),
+        None if delta is None else _convert_delta(delta),
         tuple(_convert_load(*each) for each in _check_list(loads)),
         tuple(
-            _messages.Hearsay(
+            _messages.KnownInstance(
                 _check_text(name),
                 _check_text(zone),
                 _check_text(host),
                 _check_count(capacity),
                 _check_count(age) / 1000,
             )
-            for name, zone, host, capacity, age in _check_list(hearsay)
+            for name, zone, host, capacity, age in _check_list(known_instances)
         ),
         tuple(_check_count(each) for each in _check_list(doubts)),
         {
             _check_count(start): _check_count(age) / 1000
-            for start, age in heard.items()
+            for start, age in last_seen.items()
         },
         tuple(_check_count(each) for each in _check_list(lost)),
         _age_codec.unpack_ages(ages),
@@ -269,17 +281,17 @@
 
 
 def _convert_callers(
-    word: object, elsewhere: object, age: object
+    word: object, other_zones: object, age: object
 ) -> _messages.CallerReport:
-    for each in (word, elsewhere):
+    for each in (word, other_zones):
         if not isinstance(each, bytes) or len(each) > _MOST_CALLER_BYTES:
             raise errors.DecodeError('a short word of callers is wanted')
-    return _messages.CallerReport(word, elsewhere, _check_count(age) / 1000)
+    return _messages.CallerReport(word, other_zones, _check_count(age) / 1000)
 
 
-def _convert_news(fields: list[object]) -> _messages.News:
+def _convert_delta(fields: list[object]) -> _messages.TopicDelta:
     topic, era, base, items = fields
-    return _messages.News(
+    return _messages.TopicDelta(
         _check_count(topic),
         _check_revision(era, base),
         _convert_items(items, era),
@@ -315,15 +327,17 @@
         _check_revision(era, revision),
         bool(is_snapshot),
         _to_seconds(age),
-        _convert_items(lean.msgpack.unpackb(unpacked), era),
+        _convert_items(light_imports.msgpack.unpackb(unpacked), era),
         _check_count(era_age) / 1000,
         tuple(_convert_told(*each) for each in _check_list(told)),
     )
 
 
-def _convert_told(era: object, left: object, items: object) -> _messages.Told:
+def _convert_told(
+    era: object, left: object, items: object
+) -> _messages.RetainedItem:
     (item,) = _convert_items(items, era)
-    return _messages.Told(item, _check_count(left) / 1000)
+    return _messages.RetainedItem(item, _check_count(left) / 1000)
 
 
 def _list(items: Iterable[_item.Item]) -> list[list[object]]:
@@ -367,9 +381,9 @@
 
 
 def _check_revision(era: object, number: object) -> revisions.Revision:
-    if _check_count(era) > revisions.MOST_ERA:
+    if _check_count(era) > revisions.MAXIMUM_ERA:
         raise errors.DecodeError('an era is wanted')
-    if _check_count(number) > revisions.MOST_NUMBER:
+    if _check_count(number) > revisions.MAXIMUM_NUMBER:
         raise errors.DecodeError('a revision is wanted')
     return revisions.Revision(number, era)
 
--- a/skylarkfold/relay/_core.py
+++ b/skylarkfold/relay/_core.py
@@ -40,9 +40,9 @@
     :param settings: the relay's settings.
     :param capacity: what it has to spare; duties go to those first that
         have more of it.
-    :param precedence: tells which of two forms of an object is the later one
-        where the store may have lost one.
-    :ivar take_fetch: answers a peer that is behind.
+    :param retention_policy: tells which of two versions of an object is
+        later, where the store may have lost one.
+    :ivar handle_fetch: answers a peer that is behind.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         host: str,
         settings: _settings.RelaySettings,
         capacity: int = 0,
-        precedence: _retained.Precedence | None = None,
+        retention_policy: _retained.RetentionPolicy | None = None,
     ) -> None:
         self._settings = settings
         self._own = _peer.Peer(name, zone, host, capacity)
@@ -64,7 +64,7 @@
                 number,
                 _feed.Feed(topic, settings, jitter),
                 settings,
-                precedence or _retained.StoreFirst(),
+                retention_policy or _retained.NoRetention(),
             )
             for number, topic in enumerate(settings.topics)
         ]
@@ -77,7 +77,7 @@
         self._exchange = _exchange.Exchange(
             self._peers, self._announcer, self._topics, settings, jitter
         )
-        self.take_fetch = self._exchange.take_fetch
+        self.handle_fetch = self._exchange.handle_fetch
         self._duty = _duty.Duty(self._peers, self._topics, settings)
         self._ticked_at = _NEVER
         self._next_near = _NEVER
@@ -186,16 +186,16 @@
         if now >= self._next_seeds:
             self._next_seeds = now + self._compute_seed_pause()
             lost = self._peers.list_lost_seeds()
-            effects += self._announcer.approach(now, lost)
+            effects += self._announcer.contact(now, lost)
         if now >= self._next_lost:
             self._next_lost = now + self._settings.seed_seconds
             lost = self._peers.list_lost_zones()
-            effects += self._announcer.approach(now, lost)
+            effects += self._announcer.contact(now, lost)
         for topic in self._topics:
             effects += self._exchange.give_up(now, topic)
         return effects + self._ask(now)
 
-    def take_answer(
+    def handle_answer(
         self, now: float, call: _call.Call, answer: _call.Answer
     ) -> list[object]:
         """Take the answer to a call.
@@ -223,7 +223,7 @@
         effects += self._end_old_watches(topic.position.era)
         return effects + self._ask(now)
 
-    def take_beacon(
+    def handle_beacon(
         self, now: float, host: str, beacon: _messages.Beacon
     ) -> list[object]:
         """Take a peer's beacon.
@@ -234,34 +234,34 @@
         :returns: effects.
         """
         if beacon.name == self._own.name:
-            return [_effect.Note('own-name', host=host)]
+            return [_effect.RecordEvent('own-name', host=host)]
         if len(beacon.positions) != len(self._topics):
-            return [_effect.Note('other-topics', host=host)]
+            return [_effect.RecordEvent('other-topics', host=host)]
         is_new = beacon.name not in self._peers.members
         peer = self._peers.hear(now, host, beacon)
         effects: list[object] = []
-        if beacon.news is not None:
+        if beacon.delta is not None:
             effects += self._exchange.take_news(now, host, beacon)
         for topic, position in zip(
             self._topics, beacon.positions, strict=True
         ):
             effects += self._exchange.compare(now, topic, host, position)
-        effects += self._announcer.take_loads(now, beacon)
+        effects += self._announcer.handle_loads(now, beacon)
         effects += self._announcer.callers.take(now, beacon)
         if beacon.doubts:
-            effects.append(_effect.TellHeard(host, beacon.doubts))
-        if beacon.heard:
-            effects.append(_effect.TakeHeard(beacon.heard))
+            effects.append(_effect.LastSeenRequested(host, beacon.doubts))
+        if beacon.last_seen:
+            effects.append(_effect.LastSeenReported(beacon.last_seen))
         if beacon.lost and beacon.zone == self._own.zone:
-            effects.append(_effect.TakeLost(beacon.lost))
+            effects.append(_effect.UnreachableReported(beacon.lost))
         is_lost = is_new or self._peers.must_tell(now, peer)
         if beacon.wants_answer or is_lost:
             known = self._peers.gossip.answer_hearsay(now, peer)
-            answer = self._announcer.build(now, hearsay=known)
+            answer = self._announcer.build(now, known_instances=known)
             effects.append(_effect.SendBeacon([host], answer))
         return effects + self._ask(now)
 
-    def take_page(
+    def handle_page(
         self,
         now: float,
         fetch: _effect.Fetch,
@@ -274,7 +274,7 @@
         :param page: the answer; None for none.
         :returns: effects.
         """
-        effects = self._exchange.take_page(now, fetch, page)
+        effects = self._exchange.handle_page(now, fetch, page)
         era = self._topics[fetch.topic].position.era
         effects += self._end_old_watches(era)
         return effects + self._ask(now)
@@ -337,8 +337,8 @@
         effects: list[object] = []
         for topic in self._topics:
             if topic.position.era < era and topic.feed.is_watching:
-                topic.feed.abandon()
-                effects.append(_effect.AbandonCall(topic.name))
+                topic.feed.cancel()
+                effects.append(_effect.CancelCall(topic.name))
         return effects
 
     def _compute_wait(self, now: float, topic: _topic.Topic) -> float:
@@ -362,8 +362,8 @@
             *self._peers.list_hosts(is_near=True),
             *self._peers.list_hosts(is_near=False),
         ]
-        note = _effect.Note('paused', paused_ms=paused)
-        return [note, *self._announcer.approach(now, hosts)]
+        note = _effect.RecordEvent('paused', paused_ms=paused)
+        return [note, *self._announcer.contact(now, hosts)]
 
 
 def _note_behind(
@@ -373,7 +373,7 @@
     if not topic.feed.note_behind(now):
         return []
     return [
-        _effect.Note(
+        _effect.RecordEvent(
             'store-behind',
             topic=topic.name,
             position=str(topic.position),
--- a/skylarkfold/relay/_effect.py
+++ b/skylarkfold/relay/_effect.py
@@ -17,7 +17,7 @@
         self.call = call
 
 
-class AbandonCall:
+class CancelCall:
     """End the call for a topic that is under way, as one without an answer.
 
     :param topic: the topic.
@@ -67,7 +67,7 @@
         self.timeout_seconds = timeout_seconds
 
 
-class Changed:
+class TopicChanged:
     """The objects of a topic have changed.
 
     :param topic: the topic.
@@ -95,7 +95,7 @@
         source: str,
         paths: list[str],
         lag_seconds: float | None = None,
-        base: revisions.Revision = revisions.NONE,
+        base: revisions.Revision = revisions.ZERO,
     ) -> None:
         self.topic = topic
         self.base = base
@@ -105,7 +105,7 @@
         self.lag_seconds = lag_seconds
 
 
-class TakeLoad:
+class PeerLoadReported:
     """Others have told what they carry of upstreams.
 
     :param source: the instance, or ``zone:NAME`` for all of a zone.
@@ -121,28 +121,28 @@
         self.loads = loads
 
 
-class TakeCallers:
+class CallerDemandReported:
     """A peer has told what callers ask for.
 
     :param source: the instance or the zone; empty for all other zones
         together.
     :param is_zone: whether it is a zone's sum, or several zones'.
     :param age_seconds: how old it is.
-    :param word: what was said.
+    :param demand: what was said.
     """
 
-    __slots__ = ('age_seconds', 'is_zone', 'source', 'word')
+    __slots__ = ('age_seconds', 'demand', 'is_zone', 'source')
 
     def __init__(
-        self, source: str, is_zone: bool, age_seconds: float, word: bytes
+        self, source: str, is_zone: bool, age_seconds: float, demand: bytes
     ) -> None:
         self.source = source
         self.is_zone = is_zone
         self.age_seconds = age_seconds
-        self.word = word
+        self.demand = demand
 
 
-class TellHeard:
+class LastSeenRequested:
     """A peer doubts some upstreams: tell it through ``RelayCore.answer``.
 
     :param host: the peer's.
@@ -156,19 +156,19 @@
         self.incarnations = incarnations
 
 
-class TakeHeard:
+class LastSeenReported:
     """A peer has said which upstreams it heard.
 
-    :param heard: how many seconds ago, by incarnation.
+    :param last_seen: how many seconds ago, by incarnation.
     """
 
-    __slots__ = ('heard',)
+    __slots__ = ('last_seen',)
 
-    def __init__(self, heard: dict[int, float]) -> None:
-        self.heard = heard
+    def __init__(self, last_seen: dict[int, float]) -> None:
+        self.last_seen = last_seen
 
 
-class TakeLost:
+class UnreachableReported:
     """A peer of this zone has found upstreams out of reach.
 
     :param incarnations: of the upstreams.
@@ -180,7 +180,7 @@
         self.incarnations = incarnations
 
 
-class Note:
+class RecordEvent:
     """Write a log line and count.
 
     :param reason: what happened.
--- a/skylarkfold/relay/_exchange.py
+++ b/skylarkfold/relay/_exchange.py
@@ -64,17 +64,17 @@
         :param beacon: the beacon.
         :returns: effects.
         """
-        news = beacon.news
-        if news.topic >= len(self._topics):
+        delta = beacon.delta
+        if delta.topic >= len(self._topics):
             return []
-        topic = self._topics[news.topic]
-        revision = beacon.positions[news.topic].revision
+        topic = self._topics[delta.topic]
+        revision = beacon.positions[delta.topic].revision
         base = topic.position
-        if not topic.is_complete or news.base > base or revision <= base:
+        if not topic.is_complete or delta.base > base or revision <= base:
             return []
-        if news.base.era != revision.era:
+        if delta.base.era != revision.era:
             return []
-        changed = topic.take_changes(news.items, revision)
+        changed = topic.take_changes(delta.items, revision)
         return self.tell(now, topic, base, changed, host)
 
     def compare(
@@ -98,7 +98,7 @@
                 return self._fetch(now, topic, host)
             # Nothing that concerns the topic was written in between.
             effects.append(
-                _effect.Note(
+                _effect.RecordEvent(
                     'advanced',
                     host=host,
                     topic=topic.name,
@@ -106,7 +106,7 @@
                     revision=str(position.revision),
                 )
             )
-            topic.shelf.advance(position.revision)
+            topic.cache.advance(position.revision)
         if (
             position.revision == topic.position
             and topic.is_complete
@@ -116,10 +116,10 @@
         is_same_era = position.revision.era == topic.position.era
         if topic.is_alone and is_same_era and position.retained:
             # Asked from the beginning, it tells what it retains as well.
-            return effects + self._fetch(now, topic, host, revisions.NONE)
+            return effects + self._fetch(now, topic, host, revisions.ZERO)
         return effects
 
-    def take_fetch(
+    def handle_fetch(
         self, now: float, number: int, position: revisions.Revision
     ) -> _messages.Page | None:
         """Answer a peer that is behind.
@@ -142,7 +142,7 @@
             self._pace.note_bytes(now, len(page.packed))
         return page
 
-    def take_page(
+    def handle_page(
         self,
         now: float,
         fetch: _effect.Fetch,
@@ -159,7 +159,7 @@
         if topic.fetching == fetch.host:
             topic.fetching = ''
         if page is None:
-            note = _effect.Note(
+            note = _effect.RecordEvent(
                 'fetch-failed', host=fetch.host, topic=topic.name
             )
             return [note, *self._fetch_elsewhere(now, topic, fetch.host)]
@@ -167,7 +167,7 @@
         is_gap = page.base > base and not page.is_snapshot
         if is_gap or page.revision < base:
             return []
-        changed = topic.take_page(now, page)
+        changed = topic.handle_page(now, page)
         if page.age_seconds is not None:
             topic.confirm(now - page.age_seconds)
         return self.tell(now, topic, base, changed, fetch.host)
@@ -194,7 +194,7 @@
         if changed or is_first or topic.position.era != base.era:
             paths = [each.path for each in changed]
             effects.append(
-                _effect.Changed(
+                _effect.TopicChanged(
                     topic.name,
                     topic.position,
                     source,
@@ -220,7 +220,7 @@
             return []
         return [
             *topic.take_notes(),
-            _effect.Changed(
+            _effect.TopicChanged(
                 topic.name,
                 topic.position,
                 '',
--- a/skylarkfold/relay/_feed.py
+++ b/skylarkfold/relay/_feed.py
@@ -74,7 +74,7 @@
         self._must_list = True
         self._next_call = float('-inf')
         self._pages: list[_item.Item] = []
-        self._pages_revision = revisions.NONE
+        self._pages_revision = revisions.ZERO
         self._last_path = ''
 
     @property
@@ -87,7 +87,7 @@
         """Whether a watch is under way."""
         return self._is_calling and not self._must_list
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """List everything, since the watch under way can't tell of it."""
         self._must_list = True
         self._is_abandoned = True
@@ -107,7 +107,7 @@
         """
         if self._is_calling or now < self._next_call:
             return None
-        if now < self._backoff.open_at:
+        if now < self._backoff.retry_at:
             return None
         self._is_calling = True
         self._called_at = now
@@ -149,9 +149,9 @@
                 self._must_list = True
                 if not self._is_behind:
                     # It answers: what failed before is no reason to wait.
-                    self._backoff.note_success()
+                    self._backoff.record_success()
             self._drop_pages()
-            self._backoff.note_failure(now)
+            self._backoff.record_failure(now)
             return None
         if call.revision is not None:
             return self._take_watch(now, call, answer)
@@ -168,15 +168,15 @@
             return None
         if answer.revision < since:
             # A store that answers with less than was asked for lags.
-            self._backoff.note_failure(now)
+            self._backoff.record_failure(now)
             return None
-        self._backoff.note_success()
+        self._backoff.record_success()
         waited = now - self._called_at
         if answer.items:
             self._next_call = now + self._settings.gather_seconds
         elif waited < call.wait_seconds / 2:
             # It did not wait: asking again at once would be a busy loop.
-            self._backoff.note_failure(now)
+            self._backoff.record_failure(now)
         return News(answer.items, answer.revision, False)
 
     def _take_page(self, now: float, answer: _call.Answer) -> News | None:
@@ -186,7 +186,7 @@
         elif answer.revision.era != self._pages_revision.era:
             # The pages don't belong together: begin anew.
             self._drop_pages()
-            self._backoff.note_failure(now)
+            self._backoff.record_failure(now)
             return None
         self._pages += answer.items
         if answer.is_truncated and answer.items:
@@ -196,14 +196,14 @@
         self._drop_pages()
         self._must_list = False
         if not self._is_behind:
-            self._backoff.note_success()
+            self._backoff.record_success()
         return news
 
     def note_taken(self) -> None:
         """Note that what the last call brought was taken."""
         if self._is_behind:
             self._is_behind = False
-            self._backoff.note_success()
+            self._backoff.record_success()
 
     def note_behind(self, now: float) -> bool:
         """Note that what the last call brought was older than what is known.
@@ -215,7 +215,7 @@
         """
         is_first = not self._is_behind
         self._is_behind = True
-        self._backoff.note_failure(now)
+        self._backoff.record_failure(now)
         return is_first
 
     def _drop_pages(self) -> None:
--- a/skylarkfold/relay/_gossip.py
+++ b/skylarkfold/relay/_gossip.py
@@ -97,7 +97,7 @@
 
     def tell_mates(
         self, now: float
-    ) -> tuple[tuple[_messages.Hearsay, ...], dict[int, float]]:
+    ) -> tuple[tuple[_messages.KnownInstance, ...], dict[int, float]]:
         """Choose what this zone is told.
 
         :param now: the time.
@@ -130,7 +130,7 @@
                 del fresh[peer.name]
         return chosen
 
-    def choose_heads(self, now: float) -> tuple[_messages.Hearsay, ...]:
+    def choose_heads(self, now: float) -> tuple[_messages.KnownInstance, ...]:
         """Choose the instances to tell other zones of.
 
         :param now: the time.
@@ -141,7 +141,7 @@
 
     def answer_hearsay(
         self, now: float, peer: _peer.Peer
-    ) -> tuple[_messages.Hearsay, ...]:
+    ) -> tuple[_messages.KnownInstance, ...]:
         """Choose the instances to tell one that may know too few.
 
         :param now: the time.
@@ -176,9 +176,9 @@
 
 def _tell_of(
     now: float, chosen: Iterable[_peer.Peer]
-) -> tuple[_messages.Hearsay, ...]:
+) -> tuple[_messages.KnownInstance, ...]:
     return tuple(
-        _messages.Hearsay(
+        _messages.KnownInstance(
             each.name,
             each.zone,
             each.host,
--- a/skylarkfold/relay/_load_codec.py
+++ b/skylarkfold/relay/_load_codec.py
@@ -14,7 +14,9 @@
 # eightieths: one byte each of most upstreams.
 _ANSWER_STEPS = 8
 _SLOWNESS_STEPS = 80
-_MOST_SLOWNESS = math.ceil(upstream_load.MOST_MEAN * _SLOWNESS_STEPS)
+_MOST_SLOWNESS = math.ceil(
+    upstream_load.MAXIMUM_MEAN_SLOWNESS * _SLOWNESS_STEPS
+)
 _MOST_NUMBER = 1 << 62
 
 
@@ -51,9 +53,9 @@
     :raises DecodeError: if a field is none, or of more weight than its
         source may have.
     """
-    most = upstream_load.MOST_ANSWERS
+    most = upstream_load.MAXIMUM_ANSWERS
     if is_zone:
-        most = upstream_load.MOST_ZONE_ANSWERS
+        most = upstream_load.MAXIMUM_ZONE_ANSWERS
     weight = _check_number(answers, most * _ANSWER_STEPS) / _ANSWER_STEPS
     if type(slowness) is not int or abs(slowness) > _MOST_SLOWNESS:
         raise errors.DecodeError('a slowness is wanted')
--- a/skylarkfold/relay/_messages.py
+++ b/skylarkfold/relay/_messages.py
@@ -10,7 +10,7 @@
 from skylarkfold import upstream_load
 
 
-class Told:
+class RetainedItem:
     """An object that the sender goes on with in the form of a former era.
 
     :param item: the object; without a value where it was deleted.
@@ -51,7 +51,7 @@
         self.age_seconds = age_seconds
 
 
-class News:
+class TopicDelta:
     """Changes of one topic that travel with a beacon.
 
     :param topic: the topic's number.
@@ -73,7 +73,7 @@
         self.items = items
 
 
-class Hearsay:
+class KnownInstance:
     """An instance that the sender knows.
 
     :param capacity: as in :class:`Beacon`.
@@ -126,18 +126,18 @@
 
     The words are written and read by ``shares``.
 
-    :param word: what the sender counts; its zone's sum, told to other zones.
-    :param elsewhere: the sum of other zones, passed on within a zone.
+    :param demand: what the sender counts; its zone's sum, told to other zones.
+    :param other_zones: the sum of other zones, passed on within a zone.
     :param age_seconds: how old that is.
     """
 
-    __slots__ = ('age_seconds', 'elsewhere', 'word')
+    __slots__ = ('age_seconds', 'demand', 'other_zones')
 
     def __init__(
-        self, word: bytes, elsewhere: bytes = b'', age_seconds: float = 0.0
+        self, demand: bytes, other_zones: bytes = b'', age_seconds: float = 0.0
     ) -> None:
-        self.word = word
-        self.elsewhere = elsewhere
+        self.demand = demand
+        self.other_zones = other_zones
         self.age_seconds = age_seconds
 
 
@@ -150,12 +150,12 @@
     :param is_leaving: whether it is about to end.
     :param wants_answer: whether the receiver shall send its own at once.
     :param positions: one for each topic.
-    :param news: changes, where they are small.
+    :param delta: changes, where they are small.
     :param loads: its own load, and now and then those of zones.
-    :param hearsay: some of the instances that it knows.
+    :param known_instances: some of the instances that it knows.
     :param doubts: incarnations of upstreams that the receiver shall say of
         whether it has heard them.
-    :param heard: how many seconds ago it heard the upstreams that the
+    :param last_seen: how many seconds ago it heard the upstreams that the
         receiver doubts, by incarnation.
     :param lost: incarnations of upstreams that it has just found out of reach.
     :param ages: how many seconds ago instances were last heard by anyone,
@@ -168,14 +168,14 @@
         'ages',
         'callers',
         'capacity',
+        'delta',
         'doubts',
-        'heard',
-        'hearsay',
         'is_leaving',
+        'known_instances',
+        'last_seen',
         'loads',
         'lost',
         'name',
-        'news',
         'positions',
         'silent',
         'wants_answer',
@@ -190,11 +190,11 @@
         is_leaving: bool,
         wants_answer: bool,
         positions: tuple[Position, ...],
-        news: News | None = None,
+        delta: TopicDelta | None = None,
         loads: tuple[LoadReport, ...] = (),
-        hearsay: tuple[Hearsay, ...] = (),
+        known_instances: tuple[KnownInstance, ...] = (),
         doubts: tuple[int, ...] = (),
-        heard: dict[int, float] | None = None,
+        last_seen: dict[int, float] | None = None,
         lost: tuple[int, ...] = (),
         ages: dict[int, float] | None = None,
         silent: dict[int, float] | None = None,
@@ -206,11 +206,11 @@
         self.is_leaving = is_leaving
         self.wants_answer = wants_answer
         self.positions = positions
-        self.news = news
+        self.delta = delta
         self.loads = loads
-        self.hearsay = hearsay
+        self.known_instances = known_instances
         self.doubts = doubts
-        self.heard = heard or {}
+        self.last_seen = last_seen or {}
         self.lost = lost
         self.ages = ages or {}
         self.silent = silent or {}
@@ -226,7 +226,7 @@
     :param age_seconds: as in :class:`Position`.
     :param items: the objects, deleted ones with no value.
     :param era_seconds: how long the sender has known the store's era.
-    :param told: what the sender retains of former eras.
+    :param retained_items: what the sender retains of former eras.
     :param packed: the objects as they are sent, where they are packed already.
     """
 
@@ -237,8 +237,8 @@
         'is_snapshot',
         'items',
         'packed',
+        'retained_items',
         'revision',
-        'told',
     )
 
     def __init__(
@@ -249,12 +249,12 @@
         age_seconds: float | None,
         items: tuple[_item.Item, ...],
         era_seconds: float = 0.0,
-        told: tuple[Told, ...] = (),
+        retained_items: tuple[RetainedItem, ...] = (),
         packed: bytes = b'',
     ) -> None:
         self.packed = packed
         self.era_seconds = era_seconds
-        self.told = told
+        self.retained_items = retained_items
         self.base = base
         self.revision = revision
         self.is_snapshot = is_snapshot
--- a/skylarkfold/relay/_peers.py
+++ b/skylarkfold/relay/_peers.py
@@ -82,7 +82,7 @@
         peer.is_reachable = True
         if before != (peer.may_own, peer.zone):
             self._neighbours = None
-        for each in beacon.hearsay:
+        for each in beacon.known_instances:
             self._hear_of(now, each)
         for digest, age in beacon.ages.items():
             known = self._by_digest.get(digest)
@@ -109,7 +109,7 @@
         self.gossip.note_silent(peer)
         self._note_change(peer)
 
-    def _hear_of(self, now: float, said: _messages.Hearsay) -> None:
+    def _hear_of(self, now: float, said: _messages.KnownInstance) -> None:
         heard_at = now - said.age_seconds
         if now - heard_at > self._settings.hearsay_seconds:
             return
@@ -292,7 +292,7 @@
         for peer in self.members.values():
             if peer.zone == self._own.zone and peer.is_reachable:
                 for upstream, load in peer.loads.items():
-                    known = total.get(upstream, upstream_load.NOTHING)
+                    known = total.get(upstream, upstream_load.NO_LOAD)
                     total[upstream] = known.add(load)
         return total
 
--- a/skylarkfold/relay/_retained.py
+++ b/skylarkfold/relay/_retained.py
@@ -11,17 +11,17 @@
 
 from collections.abc import Iterable
 
-from skylarkfold import lean
+from skylarkfold import light_imports
+from skylarkfold import object_cache
 from skylarkfold.relay import _item
 from skylarkfold.relay import _messages
 from skylarkfold.relay import _settings
-from skylarkfold import shelf
 
 
-class Precedence(lean.Protocol):
+class RetentionPolicy(light_imports.Protocol):
     """Tells which of two forms of an object is the later one."""
 
-    def compute_hold(
+    def compute_retention_seconds(
         self,
         topic: str,
         former: _item.Item,
@@ -39,10 +39,10 @@
         """
 
 
-class StoreFirst:
+class NoRetention:
     """Takes whatever the store has."""
 
-    def compute_hold(
+    def compute_retention_seconds(
         self,
         topic: str,
         former: _item.Item,
@@ -72,20 +72,20 @@
 
     :param topic: the topic.
     :param settings: the relay's settings.
-    :param precedence: tells which of two forms is the later one.
+    :param retention_policy: tells which of two forms is the later one.
     """
 
-    __slots__ = ('_by_path', '_precedence', '_settings', '_topic')
+    __slots__ = ('_by_path', '_retention_policy', '_settings', '_topic')
 
     def __init__(
         self,
         topic: str,
         settings: _settings.RelaySettings,
-        precedence: Precedence,
+        retention_policy: RetentionPolicy,
     ) -> None:
         self._topic = topic
         self._settings = settings
-        self._precedence = precedence
+        self._retention_policy = retention_policy
         self._by_path: dict[str, Retained] = {}
 
     def __len__(self) -> int:
@@ -95,14 +95,14 @@
         """List them."""
         return list(self._by_path.values())
 
-    def list_told(self, now: float) -> tuple[_messages.Told, ...]:
+    def list_told(self, now: float) -> tuple[_messages.RetainedItem, ...]:
         """List them for a peer, with how long each counts at most.
 
         :param now: the time.
         :returns: the objects.
         """
         return tuple(
-            _messages.Told(each.item, max(0.0, each.until - now))
+            _messages.RetainedItem(each.item, max(0.0, each.until - now))
             for each in self.list_all()
         )
 
@@ -110,8 +110,8 @@
         self,
         now: float,
         known: Iterable[_item.Item],
-        told: Iterable[_messages.Told],
-        store: shelf.Shelf,
+        told: Iterable[_messages.RetainedItem],
+        store: object_cache.ObjectCache,
     ) -> None:
         """Retain what the store, back from an older copy, may have lost.
 
@@ -135,7 +135,7 @@
             self._keep(each.item, hold, now + min(hold, each.left_seconds))
 
     def review(
-        self, changed: Iterable[_item.Item], store: shelf.Shelf
+        self, changed: Iterable[_item.Item], store: object_cache.ObjectCache
     ) -> list[str]:
         """Drop those that have been written again, or written anew.
 
@@ -215,6 +215,6 @@
             return settings.rewrite_seconds if is_older else 0.0
         if current.value == former.value:
             return 0.0
-        return self._precedence.compute_hold(
+        return self._retention_policy.compute_retention_seconds(
             self._topic, former, current, is_fresh
         )
--- a/skylarkfold/relay/_topic.py
+++ b/skylarkfold/relay/_topic.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterable
 
+from skylarkfold import object_cache
 from skylarkfold.relay import _codec
 from skylarkfold.relay import _effect
 from skylarkfold.relay import _feed
@@ -12,7 +13,6 @@
 from skylarkfold.relay import _retained
 from skylarkfold.relay import _settings
 from skylarkfold import revision as revisions
-from skylarkfold import shelf
 
 _NEVER = float('-inf')
 # Names of objects in one log line.
@@ -28,7 +28,8 @@
     :param number: its place in the settings' list.
     :param feed: what asks the store.
     :param settings: the relay's settings.
-    :param precedence: tells which of two forms of an object is the later one.
+    :param retention_policy: tells which of two versions of an object is
+        later.
     :ivar retained: what counts of former eras of the store.
     :ivar entered_at: since when the store's era is known, here or at peers.
     :ivar is_alone: whether the store told of its era before any peer did, so
@@ -46,8 +47,9 @@
         '_changed',
         '_has_former',
         '_notes',
-        '_settings',
         '_packed',
+        '_settings',
+        'cache',
         'call_after',
         'confirmed_at',
         'entered_at',
@@ -60,7 +62,6 @@
         'name',
         'number',
         'retained',
-        'shelf',
         'sure_until',
     )
 
@@ -70,34 +71,38 @@
         number: int,
         feed: _feed.Feed,
         settings: _settings.RelaySettings,
-        precedence: _retained.Precedence,
+        retention_policy: _retained.RetentionPolicy,
     ) -> None:
         self.name = name
         self.number = number
         self.feed = feed
         self._settings = settings
-        self.shelf = shelf.Shelf(settings.tombstones, revisions.NONE)
-        self.retained = _retained.RetainedObjects(name, settings, precedence)
+        self.cache = object_cache.ObjectCache(
+            settings.tombstones, revisions.ZERO
+        )
+        self.retained = _retained.RetainedObjects(
+            name, settings, retention_policy
+        )
         self.entered_at = _NEVER
         self.is_alone = False
         # Whether this process has seen the store come back.
         self._has_former = False
-        self._notes: list[_effect.Note] = []
+        self._notes: list[_effect.RecordEvent] = []
         self.is_complete = False
         self.is_shared = False
         self.confirmed_at = _NEVER
         self.sure_until = _NEVER
-        self._changed = revisions.NONE
+        self._changed = revisions.ZERO
         self.fetching = ''
         self.fetch_until = _NEVER
         self.call_after = _NEVER
         # All objects as they are sent, and up to which revision.
-        self._packed = (revisions.NONE, b'')
+        self._packed = (revisions.ZERO, b'')
 
     @property
     def position(self) -> revisions.Revision:
         """Everything up to this revision is known."""
-        return self.shelf.position
+        return self.cache.position
 
     @property
     def changed(self) -> revisions.Revision:
@@ -146,7 +151,7 @@
 
         :returns: those that exist, by rising revision.
         """
-        return self.retained.merge(self.shelf.list_after(revisions.NONE))
+        return self.retained.merge(self.cache.list_after(revisions.ZERO))
 
     def is_settled(self) -> bool:
         """Tell whether what the store has is all that there is.
@@ -201,7 +206,9 @@
             return self._enter_era(now, 0.0, items, revision, ())
         return self._take_whole(items, revision)
 
-    def take_page(self, now: float, page: _messages.Page) -> list[_item.Item]:
+    def handle_page(
+        self, now: float, page: _messages.Page
+    ) -> list[_item.Item]:
         """Take what a peer had beyond a position of this instance.
 
         :param now: the time.
@@ -213,12 +220,16 @@
         if page.revision.era > self.position.era or not self.is_complete:
             self.is_alone = False
             return self._enter_era(
-                now, page.era_seconds, page.items, page.revision, page.told
+                now,
+                page.era_seconds,
+                page.items,
+                page.revision,
+                page.retained_items,
             )
         changed = self._take_whole(page.items, page.revision)
         if self.is_alone:
             self.is_alone = False
-            self.retained.enter(now, (), page.told, self.shelf)
+            self.retained.enter(now, (), page.retained_items, self.cache)
             changed += [each.item for each in self.retained.list_all()]
             self._note_retained()
         return changed
@@ -230,8 +241,8 @@
         items = list(items)
         changed = self._put(items, True)
         present = [each.path for each in items if each.value is not None]
-        absent = self.shelf.list_absent(revision, present)
-        self.shelf.raise_floor(revision)
+        absent = self.cache.list_absent(revision, present)
+        self.cache.raise_floor(revision)
         buried = [
             _item.Item(each.path, revision, each.created, None)
             for each in absent
@@ -245,7 +256,7 @@
         era_seconds: float,
         items: Iterable[_item.Item],
         revision: revisions.Revision,
-        told: Iterable[_messages.Told],
+        told: Iterable[_messages.RetainedItem],
     ) -> list[_item.Item]:
         """Begin anew with what the store has after its return.
 
@@ -256,17 +267,19 @@
         base = self.position
         before = {each.path: each for each in self.list_items()}
         known = {
-            each.path: each for each in self.shelf.list_after(revisions.NONE)
+            each.path: each for each in self.cache.list_after(revisions.ZERO)
         }
         for each in self.retained.list_all():
             known[each.item.path] = each.item
         self.entered_at = now - era_seconds
-        self.shelf = shelf.Shelf(self._settings.tombstones, revisions.NONE)
-        self.shelf.raise_floor(revision)
+        self.cache = object_cache.ObjectCache(
+            self._settings.tombstones, revisions.ZERO
+        )
+        self.cache.raise_floor(revision)
         self._put(items, True)
-        self.retained.enter(now, known.values(), told, self.shelf)
+        self.retained.enter(now, known.values(), told, self.cache)
         self._end_whole([], revision)
-        if base != revisions.NONE:
+        if base != revisions.ZERO:
             self._note('era', era=revision.era, since=str(base))
             self._has_former = True
         self._note_retained()
@@ -285,7 +298,7 @@
             self._note('given-up', names=names[:_MOST_NAMES])
         return expired
 
-    def take_notes(self) -> list[_effect.Note]:
+    def take_notes(self) -> list[_effect.RecordEvent]:
         """Take the lines that tell what has become of former eras.
 
         :returns: those that were not taken yet.
@@ -310,8 +323,8 @@
         :returns: everything above it; all objects if deletions since then
             may be forgotten here.
         """
-        is_snapshot = base < self.shelf.floor or base == 0
-        items = self.shelf.list_after(revisions.NONE if is_snapshot else base)
+        is_snapshot = base < self.cache.floor or base == 0
+        items = self.cache.list_after(revisions.ZERO if is_snapshot else base)
         if is_snapshot:
             items = [each for each in items if each.value is not None]
         return _messages.Page(
@@ -339,7 +352,7 @@
     def _put(
         self, items: Iterable[_item.Item], is_listed: bool
     ) -> list[_item.Item]:
-        return [each for each in items if self.shelf.put(each, is_listed)]
+        return [each for each in items if self.cache.put(each, is_listed)]
 
     def _end_whole(
         self, changed: list[_item.Item], revision: revisions.Revision
@@ -352,12 +365,12 @@
         self, changed: Iterable[_item.Item], revision: revisions.Revision
     ) -> list[_item.Item]:
         changed = list(changed)
-        self.shelf.advance(revision)
+        self.cache.advance(revision)
         self.is_complete = True
         self.sure_until = self.confirmed_at
         for each in changed:
             self._changed = max(self._changed, each.revision)
-        dropped = self.retained.review(changed, self.shelf)
+        dropped = self.retained.review(changed, self.cache)
         if dropped:
             self._note('written-again', names=dropped[:_MOST_NAMES])
         return changed
@@ -368,7 +381,9 @@
             self._note('retained', count=len(names), names=names[:_MOST_NAMES])
 
     def _note(self, reason: str, **details: object) -> None:
-        self._notes.append(_effect.Note(reason, topic=self.name, **details))
+        self._notes.append(
+            _effect.RecordEvent(reason, topic=self.name, **details)
+        )
 
 
 def _list_differences(
--- a/skylarkfold/requests/_answers.py
+++ b/skylarkfold/requests/_answers.py
@@ -10,7 +10,7 @@
 from skylarkfold import verdict as verdict_module
 
 
-class Code(enum.StrEnum):
+class ErrorCode(enum.StrEnum):
     """Why a request was refused or failed; stable for callers."""
 
     NO_SERVICE = 'no-service'
@@ -31,22 +31,22 @@
 
 
 _STATUSES = {
-    Code.NO_SERVICE: 404,
-    Code.DEADLINE_EXCEEDED: 504,
-    Code.UPSTREAM_BROKEN: 502,
-    Code.KEY_REUSED: 422,
-    Code.KEY_IN_USE: 409,
-    Code.ANSWER_FORGOTTEN: 409,
+    ErrorCode.NO_SERVICE: 404,
+    ErrorCode.DEADLINE_EXCEEDED: 504,
+    ErrorCode.UPSTREAM_BROKEN: 502,
+    ErrorCode.KEY_REUSED: 422,
+    ErrorCode.KEY_IN_USE: 409,
+    ErrorCode.ANSWER_FORGOTTEN: 409,
 }
 _UNAVAILABLE = 503
 _NOT_MODIFIED = 304
 
 _OUTCOME_CODES = {
-    request_module.Outcome.REFUSED: Code.UPSTREAM_REFUSED,
-    request_module.Outcome.UNREACHABLE: Code.UPSTREAM_UNREACHABLE,
-    request_module.Outcome.BROKEN: Code.UPSTREAM_BROKEN,
-    request_module.Outcome.TIMED_OUT: Code.DEADLINE_EXCEEDED,
-    request_module.Outcome.CANCELLED: Code.CANCELLED,
+    request_module.Outcome.REFUSED: ErrorCode.UPSTREAM_REFUSED,
+    request_module.Outcome.UNREACHABLE: ErrorCode.UPSTREAM_UNREACHABLE,
+    request_module.Outcome.BROKEN: ErrorCode.UPSTREAM_BROKEN,
+    request_module.Outcome.TIMED_OUT: ErrorCode.DEADLINE_EXCEEDED,
+    request_module.Outcome.CANCELLED: ErrorCode.CANCELLED,
 }
 
 
@@ -58,7 +58,7 @@
     """Make the answer to a request that has no upstream's answer.
 
     :param verdict: whether it may have run.
-    :param code: why, a :class:`Code` or a code of the admission queue.
+    :param code: why, a :class:`ErrorCode` or a code of the admission queue.
     :param retry_after_seconds: when to come back.
     :returns: the answer.
     """
@@ -70,7 +70,7 @@
     )
 
 
-def name_outcome(outcome: request_module.Outcome) -> Code:
+def name_outcome(outcome: request_module.Outcome) -> ErrorCode:
     """Name the code of an attempt that brought no answer.
 
     :param outcome: how it ended.
@@ -137,4 +137,4 @@
     :returns: whether it may be passed on.
     """
     is_not_run = answer.verdict is verdict_module.Verdict.NOT_RUN
-    return not is_not_run or answer.code == Code.KEY_REUSED
+    return not is_not_run or answer.code == ErrorCode.KEY_REUSED
--- a/skylarkfold/requests/_core.py
+++ b/skylarkfold/requests/_core.py
@@ -10,6 +10,7 @@
 from skylarkfold import event
 from skylarkfold import instance as instance_module
 from skylarkfold import member
+from skylarkfold import platform_api
 from skylarkfold import request as request_module
 from skylarkfold.requests import _claimant
 from skylarkfold.requests import _context
@@ -25,7 +26,6 @@
 from skylarkfold.requests import _stop
 from skylarkfold.requests import _succession
 from skylarkfold.requests import _voter
-from skylarkfold import stored
 
 PassKind = _messages.PassKind
 PassStatus = _messages.PassStatus
@@ -214,7 +214,7 @@
     def _observe_holders(
         self,
         now: float,
-        known: stored.StoredObject | _messages.HoldersMessage,
+        known: platform_api.StoredObject | _messages.HoldersMessage,
     ) -> None:
         if self.succession.observe(
             now, known.revision, known.version, known.value
@@ -227,8 +227,8 @@
 
     def _lose_peer(self, now: float, lost: event.PeerLost) -> None:
         self.passes.lose(now, lost.peer)
-        self.lifecycle.lose_peer(now, lost.peer)
-        self.keys.lose_peer(now, lost.peer)
+        self.lifecycle.handle_peer_lost(now, lost.peer)
+        self.keys.handle_peer_lost(now, lost.peer)
 
     def _begin_stop(self, now: float, requested: event.StopRequested) -> None:
         self._stop.begin(now)
--- a/skylarkfold/requests/_holders.py
+++ b/skylarkfold/requests/_holders.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from skylarkfold import errors
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 PATH = '/leases/requests/holders'
 GONE_PATH = '/leases/requests/gone'
@@ -231,7 +231,7 @@
 
 
 def read_list(
-    changed: stored.StoredObject, before: HolderList | None = None
+    changed: platform_api.StoredObject, before: HolderList | None = None
 ) -> HolderList:
     """Read the stored list.
 
--- a/skylarkfold/requests/_keys.py
+++ b/skylarkfold/requests/_keys.py
@@ -23,7 +23,7 @@
 from skylarkfold.requests import _record
 from skylarkfold import verdict as verdict_module
 
-Code = _answers.Code
+ErrorCode = _answers.ErrorCode
 PassStatus = _messages.PassStatus
 KeyState = _record.KeyState
 Verdict = verdict_module.Verdict
@@ -106,10 +106,12 @@
             self._join(record, fingerprint, asker, deadline)
             return
         if not self._claimant.is_ready:
-            self._context.refuse(asker, MAY_HAVE_RUN, Code.KEY_UNVERIFIED)
+            self._context.refuse(asker, MAY_HAVE_RUN, ErrorCode.KEY_UNVERIFIED)
             return
         if not self._memory.has_room(request):
-            self._context.refuse(asker, MAY_HAVE_RUN, Code.KEY_MEMORY_FULL)
+            self._context.refuse(
+                asker, MAY_HAVE_RUN, ErrorCode.KEY_MEMORY_FULL
+            )
             return
         record = _record.KeyRecord(key, fingerprint, request)
         record.askers[asker] = deadline
@@ -193,7 +195,7 @@
                 return True
         return False
 
-    def lose_peer(self, now: float, peer: str) -> None:
+    def handle_peer_lost(self, now: float, peer: str) -> None:
         """Count on others before a peer that was lost.
 
         :param now: the time.
@@ -249,9 +251,9 @@
     ) -> None:
         if fingerprint != record.fingerprint:
             if record.state is KeyState.ENDED:
-                self._context.refuse(asker, NOT_RUN, Code.KEY_REUSED)
+                self._context.refuse(asker, NOT_RUN, ErrorCode.KEY_REUSED)
             else:
-                self._context.refuse(asker, MAY_HAVE_RUN, Code.KEY_IN_USE)
+                self._context.refuse(asker, MAY_HAVE_RUN, ErrorCode.KEY_IN_USE)
             return
         if record.state is KeyState.ENDED:
             self._context.count(metric.REQUESTS_REPLAYED)
@@ -272,7 +274,9 @@
         ]
         for asker in late:
             del record.askers[asker]
-            self._context.refuse(asker, MAY_HAVE_RUN, Code.DEADLINE_EXCEEDED)
+            self._context.refuse(
+                asker, MAY_HAVE_RUN, ErrorCode.DEADLINE_EXCEEDED
+            )
         if late:
             self._drop_unasked(now, record)
 
--- a/skylarkfold/requests/_lifecycle.py
+++ b/skylarkfold/requests/_lifecycle.py
@@ -26,7 +26,7 @@
 Ended = Callable[[float, _exchange.Exchange, request_module.Answer], None]
 Verdict = verdict_module.Verdict
 Outcome = request_module.Outcome
-Code = _answers.Code
+ErrorCode = _answers.ErrorCode
 State = _exchange.State
 
 
@@ -112,7 +112,7 @@
             self._give_up(now, exchange, refusal)
             return
         if deadline <= now:
-            self._give_up(now, exchange, Code.DEADLINE_EXCEEDED)
+            self._give_up(now, exchange, ErrorCode.DEADLINE_EXCEEDED)
             return
         self._offer(now, exchange)
         self.pump(now, request.service)
@@ -128,7 +128,7 @@
             return
         if exchange.state is State.RUNNING:
             self._attempts.abandon(now, exchange, Outcome.CANCELLED)
-        self._give_up(now, exchange, Code.CANCELLED)
+        self._give_up(now, exchange, ErrorCode.CANCELLED)
         self.pump(now, exchange.request.service)
 
     def cancel_waiting(self, now: float, number: int) -> None:
@@ -139,7 +139,7 @@
         """
         exchange = self._exchanges.get(number)
         if exchange is not None and exchange.state is not State.RUNNING:
-            self._give_up(now, exchange, Code.CANCELLED)
+            self._give_up(now, exchange, ErrorCode.CANCELLED)
 
     def end_attempt(self, now: float, ended: event.AttemptEnded) -> None:
         """Judge an attempt.
@@ -154,7 +154,7 @@
             return
         outcome = _answers.classify(exchange.request, ended)
         if outcome is Outcome.ANSWERED and exchange.upstream:
-            self._queue.record_service(
+            self._queue.record_service_time(
                 now, exchange.request.service, now - exchange.started
             )
         self._attempts.end(now, exchange, outcome)
@@ -175,7 +175,7 @@
         for exchange in list(self._list_late(now)):
             if exchange.state is State.RUNNING:
                 self._attempts.abandon(now, exchange, Outcome.TIMED_OUT)
-            self._give_up(now, exchange, Code.DEADLINE_EXCEEDED)
+            self._give_up(now, exchange, ErrorCode.DEADLINE_EXCEEDED)
         for service_name in self._services:
             self.pump(now, service_name)
 
@@ -194,14 +194,14 @@
         for service_name in self._list_pending():
             self.pump(now, service_name)
 
-    def lose_peer(self, now: float, peer: str) -> None:
+    def handle_peer_lost(self, now: float, peer: str) -> None:
         """Take the loss of a peer.
 
         :param now: the time.
         :param peer: its name.
         """
         self._is_touched = True
-        self._context.effects += self._selector.lose_peer(now, peer)
+        self._context.effects += self._selector.handle_peer_lost(now, peer)
 
     def flush(self, now: float) -> None:
         """Send what the selector has gathered during an event.
@@ -259,7 +259,7 @@
             elif self._attempts.pass_to(now, exchange, choice.pass_to):
                 self._retries.note_attempt(exchange)
             else:
-                self._give_up(now, exchange, Code.UPSTREAM_UNREACHABLE)
+                self._give_up(now, exchange, ErrorCode.UPSTREAM_UNREACHABLE)
 
     def _end_expired(self, now: float) -> None:
         for late in self._queue.expire(now):
@@ -267,12 +267,12 @@
                 now, late.request.number, late.code, late.retry_after_seconds
             )
 
-    def _check_service(self, service_name: str) -> Code | None:
+    def _check_service(self, service_name: str) -> ErrorCode | None:
         service = self._services.get(service_name)
         if service is None:
-            return Code.NO_SERVICE
+            return ErrorCode.NO_SERVICE
         if not any(each.takes_new_work for each in service.upstreams):
-            return Code.NO_UPSTREAM
+            return ErrorCode.NO_UPSTREAM
         return None
 
     def _give_up_hopeless(
@@ -286,7 +286,7 @@
         if is_waiting and not _retry.has_other_upstream(
             exchange, self._services.get(name)
         ):
-            refusal = refusal or Code.NO_UPSTREAM
+            refusal = refusal or ErrorCode.NO_UPSTREAM
         if refusal is not None:
             self._give_up(now, exchange, refusal)
 
@@ -326,7 +326,7 @@
         choice: selection.Choice,
     ) -> None:
         if exchange.deadline <= now:
-            self._give_up(now, exchange, Code.DEADLINE_EXCEEDED)
+            self._give_up(now, exchange, ErrorCode.DEADLINE_EXCEEDED)
             return
         service = self._services[exchange.request.service]
         self._attempts.dispatch(now, exchange, service, choice)
--- a/skylarkfold/requests/_memory.py
+++ b/skylarkfold/requests/_memory.py
@@ -127,5 +127,5 @@
         self.kept_bytes -= record.answer_bytes
         record.answer = _answers.refuse(
             verdict_module.Verdict.MAY_HAVE_RUN,
-            _answers.Code.ANSWER_FORGOTTEN,
+            _answers.ErrorCode.ANSWER_FORGOTTEN,
         )
--- a/skylarkfold/requests/_ownership.py
+++ b/skylarkfold/requests/_ownership.py
@@ -16,7 +16,7 @@
 from skylarkfold.requests import _register
 from skylarkfold import verdict as verdict_module
 
-Code = _answers.Code
+ErrorCode = _answers.ErrorCode
 Owner = _register.Owner
 PassStatus = _messages.PassStatus
 KeyState = _record.KeyState
@@ -96,7 +96,7 @@
         :param record: a key whose claim is undecided.
         """
         if now >= record.give_up_at:
-            self._give_up(now, record, Code.KEY_UNVERIFIED)
+            self._give_up(now, record, ErrorCode.KEY_UNVERIFIED)
         elif now < record.retry_at:
             return
         elif record.claim is None:
@@ -107,7 +107,7 @@
 
     def _evaluate(self, now: float, record: _record.KeyRecord) -> None:
         if now >= record.give_up_at:
-            self._give_up(now, record, Code.KEY_UNVERIFIED)
+            self._give_up(now, record, ErrorCode.KEY_UNVERIFIED)
             return
         if not self._is_decided(record) and not record.claim.is_waiting:
             self._claimant.ask_silent(now, record)
@@ -133,7 +133,7 @@
         rivals = record.claim.rivals
         self._claimant.abandon(now, record)
         if not rivals:
-            self._give_up(now, record, Code.KEY_UNVERIFIED)
+            self._give_up(now, record, ErrorCode.KEY_UNVERIFIED)
             return
         reachable = self._context.reachable
         rival = max(
@@ -156,7 +156,7 @@
             self._ask_own_past(now, record, rival)
             return
         if rival.name not in self._context.reachable:
-            self._give_up(now, record, Code.KEY_OWNER_LOST)
+            self._give_up(now, record, ErrorCode.KEY_OWNER_LOST)
             return
         record.state = KeyState.ASKING
         passed = _passes.Pass(
@@ -178,7 +178,7 @@
             self._claimant.release(record.key, rival.claim)
             self._claim_later(now, record)
             return
-        self._give_up(now, record, Code.KEY_OWNER_LOST)
+        self._give_up(now, record, ErrorCode.KEY_OWNER_LOST)
 
     def _end_asking(
         self,
@@ -196,7 +196,7 @@
         elif status in (PassStatus.ABANDONED, PassStatus.ANSWERED):
             self._claim_later(now, record)
         else:
-            self._give_up(now, record, Code.KEY_OWNER_LOST)
+            self._give_up(now, record, ErrorCode.KEY_OWNER_LOST)
 
     def _claim_later(self, now: float, record: _record.KeyRecord) -> None:
         patience = self._settings.claim_patience_seconds
@@ -207,7 +207,7 @@
         )
 
     def _give_up(
-        self, now: float, record: _record.KeyRecord, code: Code
+        self, now: float, record: _record.KeyRecord, code: ErrorCode
     ) -> None:
         self._claimant.abandon(now, record)
         self._memory.drop(record)
--- a/skylarkfold/requests/_reception.py
+++ b/skylarkfold/requests/_reception.py
@@ -13,7 +13,7 @@
 from skylarkfold.requests import _stop
 from skylarkfold import verdict as verdict_module
 
-Code = _answers.Code
+ErrorCode = _answers.ErrorCode
 PassKind = _messages.PassKind
 PassStatus = _messages.PassStatus
 Verdict = verdict_module.Verdict
@@ -85,7 +85,7 @@
         deadline = now + self._limit_timeout(request)
         is_keyed = bool(request.key) and not request.idempotent
         if is_keyed and now < self._woken_until:
-            self._context.refuse(asker, Verdict.MAY_HAVE_RUN, Code.PAUSED)
+            self._context.refuse(asker, Verdict.MAY_HAVE_RUN, ErrorCode.PAUSED)
         elif self._stop.is_begun:
             self._stop.turn_away(now, request, asker, deadline)
         elif is_keyed:
@@ -126,7 +126,7 @@
         elif passed.kind is PassKind.RECEIVE:
             self.receive(now, request, asker)
         elif self._stop.is_begun:
-            self._context.refuse(asker, Verdict.NOT_RUN, Code.STOPPING)
+            self._context.refuse(asker, Verdict.NOT_RUN, ErrorCode.STOPPING)
         else:
             deadline = now + self._limit_timeout(request)
             self._run(now, request, asker, deadline)
--- a/skylarkfold/requests/_stop.py
+++ b/skylarkfold/requests/_stop.py
@@ -16,7 +16,7 @@
 from skylarkfold.requests import _succession
 from skylarkfold import verdict as verdict_module
 
-Code = _answers.Code
+ErrorCode = _answers.ErrorCode
 Verdict = verdict_module.Verdict
 
 _PACE_SECONDS = 0.1
@@ -90,11 +90,13 @@
         :param deadline: until when, by the local clock.
         """
         if not request.key or request.idempotent:
-            self._context.refuse(asker, Verdict.NOT_RUN, Code.STOPPING)
+            self._context.refuse(asker, Verdict.NOT_RUN, ErrorCode.STOPPING)
             return
         successor = self._find_successor()
         if asker.peer or successor is None:
-            self._context.refuse(asker, Verdict.MAY_HAVE_RUN, Code.STOPPING)
+            self._context.refuse(
+                asker, Verdict.MAY_HAVE_RUN, ErrorCode.STOPPING
+            )
             return
         passed = _passes.Pass(
             peer=successor.name,
@@ -146,7 +148,9 @@
         if answer is not None and _answers.is_lasting(answer):
             self._context.reply(asker, answer)
         else:
-            self._context.refuse(asker, Verdict.MAY_HAVE_RUN, Code.STOPPING)
+            self._context.refuse(
+                asker, Verdict.MAY_HAVE_RUN, ErrorCode.STOPPING
+            )
 
     def _find_successor(self) -> _holders.Holder | None:
         holders = self._succession.holders
--- a/skylarkfold/requests/_succession.py
+++ b/skylarkfold/requests/_succession.py
@@ -12,12 +12,12 @@
 from skylarkfold import event
 from skylarkfold import member as member_module
 from skylarkfold import metric
+from skylarkfold import platform_api
 from skylarkfold.requests import _context
 from skylarkfold.requests import _holders
 from skylarkfold.requests import _inheritance
 from skylarkfold.requests import _messages
 from skylarkfold.requests import _register
-from skylarkfold import stored
 
 MemberState = member_module.MemberState
 
@@ -83,7 +83,9 @@
         if value is None:
             self._note_lost(0)
             return False
-        changed = stored.StoredObject(_holders.PATH, version, revision, value)
+        changed = platform_api.StoredObject(
+            _holders.PATH, version, revision, value
+        )
         try:
             holders = _holders.read_list(changed, self.holders)
         except errors.DecodeError:
@@ -380,7 +382,7 @@
 
     def _write(self, now: float, value: _holders.HolderValue) -> None:
         self._writing_until = now + _WRITE_PATIENCE_SECONDS
-        write = stored.WriteObject(
+        write = platform_api.WriteObject(
             path=_holders.PATH,
             value=_holders.write_value(value),
             expected_version=self.holders.version if self.holders else 0,
--- a/skylarkfold/revision.py
+++ b/skylarkfold/revision.py
@@ -9,9 +9,9 @@
 # after ninety years.
 _NUMBER_BITS = 48
 _ERA_BITS = 14
-MOST_NUMBER = (1 << _NUMBER_BITS) - 1
-MOST_ERA = (1 << _ERA_BITS) - 1
-_MOST_ERA_DIGITS = len(str(MOST_ERA))
+MAXIMUM_NUMBER = (1 << _NUMBER_BITS) - 1
+MAXIMUM_ERA = (1 << _ERA_BITS) - 1
+_MOST_ERA_DIGITS = len(str(MAXIMUM_ERA))
 
 
 class Revision(int):
@@ -22,9 +22,9 @@
     only both together tell which of two points is the later one. They are
     one integer, so that no comparison can leave one of them out.
 
-    :param number: the store's counter, up to ``MOST_NUMBER``.
+    :param number: the store's counter, up to ``MAXIMUM_NUMBER``.
     :param era: how often the store has come back from an older copy, up to
-        ``MOST_ERA``; 0 where it doesn't say.
+        ``MAXIMUM_ERA``; 0 where it doesn't say.
     """
 
     __slots__ = ()
@@ -46,7 +46,7 @@
         return f'{self.era}:{self.number}'
 
 
-NONE = Revision()
+ZERO = Revision()
 
 
 def get_era(revision: int) -> int:
@@ -64,10 +64,10 @@
     :param revision: the integer.
     :returns: the counter.
     """
-    return revision & MOST_NUMBER
+    return revision & MAXIMUM_NUMBER
 
 
-def read_era(text: str) -> int:
+def parse_era(text: str) -> int:
     """Read an era as the store writes it.
 
     :param text: digits.
@@ -79,6 +79,6 @@
     if not is_number or len(digits) > _MOST_ERA_DIGITS:
         raise errors.DecodeError('the era is no number')
     era = int(digits)
-    if era > MOST_ERA:
+    if era > MAXIMUM_ERA:
         raise errors.DecodeError('the era is out of range')
     return era
--- a/skylarkfold/room/_gate.py
+++ b/skylarkfold/room/_gate.py
@@ -20,7 +20,7 @@
 _OVERHEAD = 1.06
 
 
-class Verdict:
+class BulkDecision:
     """What becomes of a first packet that is not let in at once.
 
     :param outcome: one of the constants.
@@ -61,7 +61,7 @@
         self.limit_seconds = limit_seconds
 
 
-class BulkGate:
+class BulkAdmission:
     """Lets bulk in as far as the instance's link has room for it.
 
     Callers don't slow down where a link is full, so what is let in decides
@@ -78,7 +78,7 @@
     def __init__(
         self,
         settings: _settings.RoomSettings,
-        room: _instance.InstanceRoom,
+        room: _instance.InstanceHeadroom,
     ) -> None:
         self._settings = settings
         self._room = room
@@ -106,9 +106,9 @@
         """
         return flow in self._waiting
 
-    def judge(
+    def decide(
         self, now: float, packet: _packet.CallerPacket, aim_seconds: float
-    ) -> Verdict | None:
+    ) -> BulkDecision | None:
         """Decide on a first packet of a route without preference.
 
         :param now: the time.
@@ -118,7 +118,7 @@
         :returns: None to let it in, which :meth:`begin` is to be told.
         """
         if packet.flow in self._waiting:
-            return self._describe(now, Verdict.REPEATED, 0.0, 0.0)
+            return self._describe(now, BulkDecision.REPEATED, 0.0, 0.0)
         size = self.transfers.find_bulk(packet.address)
         if size is None:
             return None
@@ -130,8 +130,8 @@
         wait = self._estimate_wait(now, size, now + limit)
         is_full = len(self._waiting) >= self._settings.wait_limit
         if wait > limit or is_full:
-            return self._describe(now, Verdict.REFUSED, wait, limit)
-        verdict = self._describe(now, Verdict.WAITS, wait, limit)
+            return self._describe(now, BulkDecision.REFUSED, wait, limit)
+        verdict = self._describe(now, BulkDecision.WAITS, wait, limit)
         self._waiting.add(_waiting.Waiter(packet, size, now, now + limit))
         return verdict
 
@@ -145,7 +145,7 @@
         if size is not None:
             self.transfers.begin(now, packet.flow, size)
 
-    def take_packet(
+    def handle_packet(
         self,
         now: float,
         packet: _packet.CallerPacket,
@@ -162,7 +162,7 @@
         """
         if self._waiting.flows:
             self._waiting.remove(packet.flow)
-        self.transfers.take_packet(now, packet, address, is_start)
+        self.transfers.handle_packet(now, packet, address, is_start)
 
     def pop_ready(self, now: float) -> _waiting.Waiter | None:
         """Take out the next first packet that is let in.
@@ -186,7 +186,7 @@
             return None
         return self._waiting.pop_first()
 
-    def describe(self, now: float, waiter: _waiting.Waiter) -> Verdict:
+    def describe(self, now: float, waiter: _waiting.Waiter) -> BulkDecision:
         """Tell why one that has waited is refused.
 
         :param now: the time.
@@ -195,7 +195,7 @@
         """
         waited = now - waiter.since
         limit = waiter.until - waiter.since
-        return self._describe(now, Verdict.REFUSED, waited, limit)
+        return self._describe(now, BulkDecision.REFUSED, waited, limit)
 
     def find_due(self, now: float) -> float | None:
         """Find when the next one that waits may be let in or is late.
@@ -269,8 +269,8 @@
 
     def _describe(
         self, now: float, outcome: str, wait: float, limit: float
-    ) -> Verdict:
-        return Verdict(
+    ) -> BulkDecision:
+        return BulkDecision(
             outcome,
             self.transfers.on_way,
             len(self._waiting),
--- a/skylarkfold/room/_instance.py
+++ b/skylarkfold/room/_instance.py
@@ -9,7 +9,7 @@
 from skylarkfold.room import _settings
 
 
-class InstanceRoom:
+class InstanceHeadroom:
     """Tells whether a silence may be this instance's own.
 
     :param settings: the limits.
@@ -46,7 +46,7 @@
         """
         self._link.bytes_per_second = bytes_per_second
 
-    def note_traffic(self, now: float, received: int, sent: int) -> None:
+    def record_traffic(self, now: float, received: int, sent: int) -> None:
         """Note what went through the link.
 
         :param now: the time.
@@ -55,7 +55,7 @@
         """
         self._link.note(now, received, sent)
 
-    def note_probe(self, now: float, is_answered: bool) -> None:
+    def record_probe(self, now: float, is_answered: bool) -> None:
         """Note how a probe of an upstream that lives ended.
 
         :param now: the time.
--- a/skylarkfold/room/_packet.py
+++ b/skylarkfold/room/_packet.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 
-class CallerPacket(lean.Protocol):
+class CallerPacket(light_imports.Protocol):
     """A packet of a flow.
 
     :ivar flow: the flow's key.
--- a/skylarkfold/room/_transfers.py
+++ b/skylarkfold/room/_transfers.py
@@ -106,7 +106,7 @@
         self._active[key] = transfer
         self._moving += 1
 
-    def take_packet(
+    def handle_packet(
         self,
         now: float,
         packet: _packet.CallerPacket,
--- a/skylarkfold/selection/_broker.py
+++ b/skylarkfold/selection/_broker.py
@@ -56,7 +56,7 @@
         self._names: dict[int, str] = {}
         self._views: dict[str, _view.HolderView] = {}
         self._line = _line.DemandLine()
-        self._precedence = admission.Precedence(_FLOOR_SHARE)
+        self._scheduler = admission.PriorityScheduler(_FLOOR_SHARE)
         self._granting_from: float | None = None
 
     @property
@@ -241,7 +241,7 @@
         if room.is_empty:
             return None
         waiting = self._line.list_waiting()
-        first = self._precedence.choose(waiting)
+        first = self._scheduler.choose(waiting)
         rest = [each for each in waiting if each is not first]
         for priority in [first, *rest]:
             is_alert = priority is request.Priority.ALERT
@@ -250,7 +250,7 @@
                 record = room.choose(now, view, is_alert)
                 if record is None:
                     continue
-                self._precedence.record_turn(priority, waiting)
+                self._scheduler.record_turn(priority, waiting)
                 return self._give(now, holder, priority, record, budget_share)
         return None
 
--- a/skylarkfold/selection/_holder.py
+++ b/skylarkfold/selection/_holder.py
@@ -136,7 +136,7 @@
         """Tell whether a request waits."""
         return any(self._waiting.values())
 
-    def record_waiting(self, waiting: admission.Waiting) -> None:
+    def record_waiting(self, waiting: admission.WaitingCounts) -> None:
         """Note how many requests wait.
 
         :param waiting: a count for each class.
--- a/skylarkfold/selection/_selector.py
+++ b/skylarkfold/selection/_selector.py
@@ -111,7 +111,7 @@
         return self._wait(now, share)
 
     def record_waiting(
-        self, now: float, service_name: str, waiting: admission.Waiting
+        self, now: float, service_name: str, waiting: admission.WaitingCounts
     ) -> None:
         """Note how many requests wait here for a service.
 
@@ -195,7 +195,7 @@
             self._take(message, now, sender, self._touch(name))
         return self._collect()
 
-    def lose_peer(self, now: float, peer: str) -> list[object]:
+    def handle_peer_lost(self, now: float, peer: str) -> list[object]:
         """Note that a peer can't be reached for now.
 
         :param now: the present time.
--- a/skylarkfold/shares/__init__.py
+++ b/skylarkfold/shares/__init__.py
@@ -6,25 +6,25 @@
 """
 
 from skylarkfold.shares._callers import CallerShares
-from skylarkfold.shares._callers import digest_service
-from skylarkfold.shares._callers import Room
-from skylarkfold.shares._level import Claim
-from skylarkfold.shares._level import compute_level
+from skylarkfold.shares._callers import Capacity
+from skylarkfold.shares._callers import hash_service
+from skylarkfold.shares._level import compute_fill_level
+from skylarkfold.shares._level import ShareRequest
 from skylarkfold.shares._network import Network
 from skylarkfold.shares._network import NetworkTable
 from skylarkfold.shares._settings import SharesSettings
 from skylarkfold.shares._share import OverShare
-from skylarkfold.shares._view import Fleet
+from skylarkfold.shares._view import FleetSize
 
 __all__ = [
     'CallerShares',
-    'Claim',
-    'Fleet',
+    'Capacity',
+    'FleetSize',
     'Network',
     'NetworkTable',
     'OverShare',
-    'Room',
+    'ShareRequest',
     'SharesSettings',
-    'compute_level',
-    'digest_service',
+    'compute_fill_level',
+    'hash_service',
 ]
--- a/skylarkfold/shares/_callers.py
+++ b/skylarkfold/shares/_callers.py
@@ -22,7 +22,7 @@
 _FAR_LEVEL = 0.8
 
 
-class Room:
+class Capacity:
     """What a service has.
 
     :param slots: of its upstreams that take new flows.
@@ -36,7 +36,7 @@
         self.busy = busy
 
 
-def digest_service(service: str) -> int:
+def hash_service(service: str) -> int:
     """Compute what stands for a service in words.
 
     :param service: its name.
@@ -48,14 +48,14 @@
 class CallerShares:
     """Counts what callers ask for and tells who asks for too much.
 
-    Services are named by :func:`digest_service`; demand is in slots, as the
+    Services are named by :func:`hash_service`; demand is in slots, as the
     slot seconds that are asked for in a second.
 
     :param settings: whether and how shares are kept.
-    :ivar word: what neighbours are told; empty where no room is short.
-    :ivar zone_word: what other zones are told.
-    :ivar elsewhere: the sum of what other zones have said here.
-    :ivar elsewhere_at: when the last of that was said.
+    :ivar demand: what neighbours are told; empty where no room is short.
+    :ivar zone_demand: what other zones are told.
+    :ivar other_zones: the sum of what other zones have said here.
+    :ivar other_zones_at: when the last of that was said.
     """
 
     __slots__ = (
@@ -66,10 +66,10 @@
         '_settings',
         '_shares',
         '_words',
-        'elsewhere',
-        'elsewhere_at',
-        'word',
-        'zone_word',
+        'demand',
+        'other_zones',
+        'other_zones_at',
+        'zone_demand',
     )
 
     def __init__(self, settings: _settings.SharesSettings) -> None:
@@ -78,7 +78,7 @@
             settings.callers, settings.window_seconds
         )
         self._words = _view.PeerWords(settings.word_seconds)
-        self._fleet = _view.Fleet(0, 1)
+        self._fleet = _view.FleetSize(0, 1)
         # Slots and requests a second that were counted here, by service.
         self._own: dict[int, tuple[float, float]] = {}
         # Of services that are short of room.
@@ -86,10 +86,10 @@
         self._judged: dict[
             tuple[_count.Kind, bytes], _share.OverShare | None
         ] = {}
-        self.word = b''
-        self.zone_word = b''
-        self.elsewhere = b''
-        self.elsewhere_at = 0.0
+        self.demand = b''
+        self.zone_demand = b''
+        self.other_zones = b''
+        self.other_zones_at = 0.0
 
     def set_settings(self, settings: _settings.SharesSettings) -> None:
         """Put other weights and caps in force; what was counted stays.
@@ -120,7 +120,7 @@
         kind = (service, priority)
         self._counts.note(now, kind, caller, slot_seconds, is_new)
 
-    def judge(
+    def check_share(
         self, now: float, service: int, priority: int, caller: bytes
     ) -> _share.OverShare | None:
         """Tell whether a caller is above its share.
@@ -140,10 +140,12 @@
             opening = self._counts.measure_opening(kind, caller)
             if len(self._judged) >= self._settings.callers:
                 self._judged.clear()
-            self._judged[key] = shares[priority].judge(now, caller, opening)
+            self._judged[key] = shares[priority].check_share(
+                now, caller, opening
+            )
         return self._judged[key]
 
-    def take_word(
+    def handle_report(
         self,
         now: float,
         source: str,
@@ -176,7 +178,7 @@
         return {service for service, _ in kinds}
 
     def refresh(
-        self, now: float, rooms: Mapping[int, Room], fleet: _view.Fleet
+        self, now: float, rooms: Mapping[int, Capacity], fleet: _view.FleetSize
     ) -> None:
         """Work out the shares and what peers are told.
 
@@ -201,11 +203,13 @@
                 self._shares[service] = shares
             if self._must_tell(service, demand, room):
                 self._tell(service, shares, word, zone_word)
-        self.word = _word.pack(word) if word and fleet.mates else b''
+        self.demand = _word.pack(word) if word and fleet.mates else b''
         is_far = fleet.zones > 1
-        self.zone_word = _word.pack(zone_word) if zone_word and is_far else b''
-        self.elsewhere_at, elsewhere = self._words.sum_zones()
-        self.elsewhere = _word.pack(elsewhere)
+        self.zone_demand = (
+            _word.pack(zone_word) if zone_word and is_far else b''
+        )
+        self.other_zones_at, elsewhere = self._words.sum_zones()
+        self.other_zones = _word.pack(elsewhere)
 
     def list_gauges(self) -> dict[str, float]:
         """List what is known now.
@@ -230,7 +234,7 @@
         }
 
     def _list_views(
-        self, now: float, rooms: Mapping[int, Room]
+        self, now: float, rooms: Mapping[int, Capacity]
     ) -> dict[int, dict[int, _view.KindView]]:
         """View what is asked for of services that may be short of room."""
         heard = self._words.list_kinds()
@@ -261,7 +265,7 @@
             views.setdefault(service, {})[priority] = view
         return views
 
-    def _must_tell(self, service: int, demand: float, room: Room) -> bool:
+    def _must_tell(self, service: int, demand: float, room: Capacity) -> bool:
         """Tell whether peers must know what is asked for here.
 
         :param service: the service.
--- a/skylarkfold/shares/_level.py
+++ b/skylarkfold/shares/_level.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 
-class Claim:
+class ShareRequest:
     """What one caller, or several alike, ask for.
 
     :param demand: of one of them, in slots.
@@ -34,7 +34,7 @@
         return min(self.demand, self.cap)
 
 
-def compute_level(room: float, claims: Iterable[Claim]) -> float:
+def compute_fill_level(room: float, claims: Iterable[ShareRequest]) -> float:
     """Compute up to which level a room is filled.
 
     Each claim gets the least of its demand, its cap and the level times its
--- a/skylarkfold/shares/_shortage.py
+++ b/skylarkfold/shares/_shortage.py
@@ -42,10 +42,10 @@
         self.room = room
         self._settings = settings
         claims = self._list_claims(view.all, view.known)
-        level = _level.compute_level(room, claims)
+        level = _level.compute_fill_level(room, claims)
         own_room = _LEAST_ZONE_SHARE * view.zone_part * room
         claims = self._list_claims(view.zone, view.zone_known)
-        self.level = max(level, _level.compute_level(own_room, claims))
+        self.level = max(level, _level.compute_fill_level(own_room, claims))
 
     def compute_share(self, caller: bytes) -> float:
         """Compute what a caller may have.
@@ -55,7 +55,7 @@
         """
         return min(self.level * self._weigh(caller), self._cap(caller))
 
-    def judge(
+    def check_share(
         self, now: float, caller: bytes, opening_share: float
     ) -> _share.OverShare | None:
         """Tell which share of a caller's new flows is refused.
@@ -92,7 +92,7 @@
 
     def _list_claims(
         self, demand: _word.Demand, known: int
-    ) -> list[_level.Claim]:
+    ) -> list[_level.ShareRequest]:
         named = self.view.named
         claims = []
         rest = demand.total
@@ -100,11 +100,13 @@
             slots = demand.callers.get(caller, 0.0)
             rest -= slots
             weight, cap = self._weigh(caller), self._cap(caller)
-            claims.append(_level.Claim(slots, weight, cap))
+            claims.append(_level.ShareRequest(slots, weight, cap))
         if rest > 0.0:
             # Of the others only the number is known.
             count = max(1, known - len(named))
-            claims.append(_level.Claim(rest / count, count=float(count)))
+            claims.append(
+                _level.ShareRequest(rest / count, count=float(count))
+            )
         return claims
 
 
--- a/skylarkfold/shares/_view.py
+++ b/skylarkfold/shares/_view.py
@@ -21,7 +21,7 @@
 _ENOUGH_REQUESTS = 100.0
 
 
-class Fleet:
+class FleetSize:
     """How many instances share the callers' flows.
 
     :param mates: others of this availability zone.
@@ -179,7 +179,7 @@
         own_rate: float,
         words: PeerWords,
         kind: _count.Kind,
-        fleet: Fleet,
+        fleet: FleetSize,
         sample_seconds: float,
     ) -> None:
         self._sample_seconds = sample_seconds
--- a/skylarkfold/soak/__init__.py
+++ b/skylarkfold/soak/__init__.py
@@ -13,17 +13,17 @@
 ``python -m skylarkfold.soak --seeds 1,2,3`` runs some seeds.
 """
 
-from skylarkfold.soak._judge import Judge
+from skylarkfold.soak._judge import InvariantChecker
 from skylarkfold.soak._plan import draw_plan
 from skylarkfold.soak._run import INSTANCES
 from skylarkfold.soak._run import run_plan
 from skylarkfold.soak._run import run_seed
-from skylarkfold.soak._world import World
+from skylarkfold.soak._world import Environment
 
 __all__ = [
+    'Environment',
     'INSTANCES',
-    'Judge',
-    'World',
+    'InvariantChecker',
     'draw_plan',
     'run_plan',
     'run_seed',
--- a/skylarkfold/soak/_director.py
+++ b/skylarkfold/soak/_director.py
@@ -43,7 +43,7 @@
     :param world: what they happen to.
     """
 
-    def __init__(self, world: _world.World) -> None:
+    def __init__(self, world: _world.Environment) -> None:
         self._world = world
         self._returns = _returns.Returns(world)
         self._steps: dict[str, Callable[[_plan.Step], object]] = {
--- a/skylarkfold/soak/_judge.py
+++ b/skylarkfold/soak/_judge.py
@@ -14,7 +14,7 @@
 EVACUATION_SECONDS = 5.0
 
 
-class Judge:
+class InvariantChecker:
     """Collects events and names broken promises.
 
     :ivar broken: one line for each broken promise.
--- a/skylarkfold/soak/_returns.py
+++ b/skylarkfold/soak/_returns.py
@@ -27,7 +27,7 @@
     :param world: whose store it is.
     """
 
-    def __init__(self, world: _world.World) -> None:
+    def __init__(self, world: _world.Environment) -> None:
         self._world = world
         self._copies: collections.deque[tuple[float, packets.StoreCopy]] = (
             collections.deque(maxlen=_COPIES)
--- a/skylarkfold/soak/_run.py
+++ b/skylarkfold/soak/_run.py
@@ -102,7 +102,7 @@
     :param instances: how many there are, over three zones.
     :returns: what it showed.
     """
-    world = _world.World(folder, seed, _share_out(instances))
+    world = _world.Environment(folder, seed, _share_out(instances))
     director = _director.Director(world)
     try:
         world.start()
@@ -135,7 +135,9 @@
 
 
 def _begin(
-    world: _world.World, director: _director.Director, plan: list[_plan.Step]
+    world: _world.Environment,
+    director: _director.Director,
+    plan: list[_plan.Step],
 ) -> None:
     for caller in world.callers:
         for _ in range(_SESSIONS):
@@ -146,7 +148,7 @@
         )
 
 
-def _list_broken(world: _world.World) -> list[str]:
+def _list_broken(world: _world.Environment) -> list[str]:
     broken = []
     for instance in world.instances:
         broken += [
--- a/skylarkfold/soak/_session.py
+++ b/skylarkfold/soak/_session.py
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        world: _world.World,
+        world: _world.Environment,
         caller: packets.Caller,
         until: float = float('inf'),
         hurry: float = 1.0,
--- a/skylarkfold/soak/_world.py
+++ b/skylarkfold/soak/_world.py
@@ -34,7 +34,7 @@
 PROBE_ADDRESS = ('198.51.100.9', 443)
 
 
-class World:
+class Environment:
     """Everything that a run needs.
 
     :param folder: where settings and logs lie.
@@ -51,7 +51,7 @@
         upstreams: int = 2,
     ) -> None:
         self.loop = reactor.Loop()
-        self.judge = _judge.Judge()
+        self.judge = _judge.InvariantChecker()
         self.random = random.Random(seed)
         self.store = packets.ObjectStore()
         self.instances: list[_instance.Instance] = []
--- a/skylarkfold/standin/_instances.py
+++ b/skylarkfold/standin/_instances.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from skylarkfold import stored
+from skylarkfold import platform_api
 
-InstanceList = tuple[stored.ListedInstance, ...]
+InstanceList = tuple[platform_api.ListedInstance, ...]
 
 
 class InstanceRegistry:
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self._history: list[tuple[float, InstanceList]] = [(0.0, ())]
 
-    def put(self, now: float, instance: stored.ListedInstance) -> None:
+    def put(self, now: float, instance: platform_api.ListedInstance) -> None:
         """Add an instance or change its entry."""
         others = self._without(instance.name)
         listed = sorted([*others, instance], key=lambda each: each.name)
--- a/skylarkfold/standin/_platform.py
+++ b/skylarkfold/standin/_platform.py
@@ -13,11 +13,11 @@
 from aiohttp import web
 import msgspec
 
+from skylarkfold import platform_api
 from skylarkfold.standin import _daemon
 from skylarkfold.standin import _faults
 from skylarkfold.standin import _instances
 from skylarkfold.standin import _store
-from skylarkfold import stored
 
 MAXIMUM_VALUE_BYTES = 1024 * 1024
 # A value travels as base64 within JSON.
@@ -30,7 +30,7 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
-def _describe(each: stored.StoredObject) -> dict[str, object]:
+def _describe(each: platform_api.StoredObject) -> dict[str, object]:
     value = each.value
     encoded = None if value is None else base64.b64encode(value).decode()
     return {
@@ -41,7 +41,7 @@
     }
 
 
-def _answer_object(each: stored.StoredObject) -> web.Response:
+def _answer_object(each: platform_api.StoredObject) -> web.Response:
     headers = {'ETag': f'"{each.version}"'}
     return web.json_response(_describe(each), headers=headers)
 
@@ -272,7 +272,7 @@
         expected_version = _read_expected_version(request)
         path = self._get_path(request)
         self._check_right(request, path)
-        write = stored.WriteObject(path, value, expected_version)
+        write = platform_api.WriteObject(path, value, expected_version)
         written = self.store.write(write)
         if written is None:
             raise web.HTTPPreconditionFailed(text='another version is there')
@@ -311,7 +311,7 @@
 
     def _list_changes(
         self, request: web.Request, prefix: str, revision: int
-    ) -> list[stored.StoredObject]:
+    ) -> list[platform_api.StoredObject]:
         try:
             store = self._get_readable(request)
             return store.list_changes(prefix, revision)
@@ -329,7 +329,7 @@
         fields = await request.json()
         fields['name'] = request.match_info['name']
         try:
-            instance = msgspec.convert(fields, stored.ListedInstance)
+            instance = msgspec.convert(fields, platform_api.ListedInstance)
         except msgspec.ValidationError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
         self._instances.put(time.monotonic(), instance)
--- a/skylarkfold/standin/_store.py
+++ b/skylarkfold/standin/_store.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 import copy
 
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 KEPT_CHANGES = 10_000
 
@@ -30,11 +30,11 @@
         self.era = 1
         self.revision = 0
         self._kept_changes = kept_changes
-        self._objects: dict[str, stored.StoredObject] = {}
-        self._changes: list[stored.StoredObject] = []
+        self._objects: dict[str, platform_api.StoredObject] = {}
+        self._changes: list[platform_api.StoredObject] = []
         self._compacted = 0
 
-    def read(self, path: str) -> stored.StoredObject | None:
+    def read(self, path: str) -> platform_api.StoredObject | None:
         """Read one object.
 
         :param path: its path.
@@ -43,7 +43,7 @@
         found = self._objects.get(path)
         return found if found and found.value is not None else None
 
-    def list_objects(self, prefix: str) -> list[stored.StoredObject]:
+    def list_objects(self, prefix: str) -> list[platform_api.StoredObject]:
         """List all objects under a prefix, sorted by path."""
         return [
             each
@@ -51,7 +51,9 @@
             if path.startswith(prefix) and each.value is not None
         ]
 
-    def write(self, write: stored.WriteObject) -> stored.StoredObject | None:
+    def write(
+        self, write: platform_api.WriteObject
+    ) -> platform_api.StoredObject | None:
         """Write one object if its version is the expected one.
 
         :param write: what and where; a value of None deletes.
@@ -65,11 +67,13 @@
             return None
         return self._apply(write)
 
-    def _apply(self, write: stored.WriteObject) -> stored.StoredObject:
+    def _apply(
+        self, write: platform_api.WriteObject
+    ) -> platform_api.StoredObject:
         before = self._objects.get(write.path)
         version = before.version + 1 if before else 1
         self.revision += 1
-        written = stored.StoredObject(
+        written = platform_api.StoredObject(
             write.path, version, self.revision, write.value
         )
         self._objects[write.path] = written
@@ -86,7 +90,7 @@
 
     def list_changes(
         self, prefix: str, revision: int
-    ) -> list[stored.StoredObject]:
+    ) -> list[platform_api.StoredObject]:
         """List the objects that changed after a revision.
 
         :param prefix: the subtree.
@@ -102,7 +106,7 @@
 
     def _find(
         self, prefix: str, revision: int
-    ) -> Iterator[stored.StoredObject]:
+    ) -> Iterator[platform_api.StoredObject]:
         for change in self._changes:
             if change.revision > revision and change.path.startswith(prefix):
                 yield change
--- a/skylarkfold/standin/packets/_caller.py
+++ b/skylarkfold/standin/packets/_caller.py
@@ -80,7 +80,7 @@
 
     def close(self) -> None:
         """Close its socket."""
-        self.loop.forget(self._socket)
+        self.loop.unwatch(self._socket)
         self._socket.close()
 
     def drop(self, flow: Flow) -> None:
--- a/skylarkfold/standin/packets/_upstream.py
+++ b/skylarkfold/standin/packets/_upstream.py
@@ -106,7 +106,7 @@
         if self.is_ended:
             return
         self.is_ended = True
-        self.loop.forget(self._socket)
+        self.loop.unwatch(self._socket)
         self._socket.close()
         self._listener.close()
 
--- a/skylarkfold/store/_core.py
+++ b/skylarkfold/store/_core.py
@@ -7,20 +7,20 @@
 import random
 
 from skylarkfold import backoff
-from skylarkfold import budget as budget_module
 from skylarkfold import effect
 from skylarkfold import event
 from skylarkfold import instance as instance_module
 from skylarkfold import metric
+from skylarkfold import platform_api
 from skylarkfold.store import _judgement
 from skylarkfold.store import _pending
 from skylarkfold.store import _settings
-from skylarkfold import stored
+from skylarkfold import token_bucket
 
-FIRST_CALL = 1
+FIRST_CALL_NUMBER = 1
 
-_Status = stored.PlatformStatus
-_Finding = _judgement.Finding
+_Status = platform_api.PlatformStatus
+_WriteOutcome = _judgement.WriteOutcome
 # The surroundings end a call after its timeout; one that is still open
 # after so many timeouts has been forgotten.
 _FORGOTTEN_TIMEOUTS = 2.0
@@ -46,10 +46,10 @@
     ) -> None:
         generator = random.Random(f'{instance.name}/{seed}')
         self._settings = settings
-        self._writes = budget_module.CallBudget(
+        self._writes = token_bucket.TokenBucket(
             settings.writes_per_second, settings.burst_calls
         )
-        self._reads = budget_module.CallBudget(
+        self._reads = token_bucket.TokenBucket(
             settings.reads_per_second, settings.burst_calls
         )
         self._backoff = backoff.Backoff(
@@ -58,7 +58,7 @@
         self._queues: dict[str, collections.deque[_pending.PendingWrite]] = {}
         self._calls: dict[int, _pending.PendingWrite] = {}
         self._count = 0
-        self._last_call = FIRST_CALL - 1
+        self._last_call = FIRST_CALL_NUMBER - 1
 
     @property
     def is_finished(self) -> bool:
@@ -110,7 +110,7 @@
         return effects + self._send_calls(now)
 
     def request_write(
-        self, now: float, write: stored.WriteObject
+        self, now: float, write: platform_api.WriteObject
     ) -> list[object]:
         """Begin a conditional write.
 
@@ -134,12 +134,12 @@
     def _take_answer(
         self,
         pending: _pending.PendingWrite,
-        answer: stored.PlatformAnswer,
+        answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
         if answer.status in (_Status.UNKNOWN, _Status.REFUSED):
             return self._take_failure(pending, answer, now)
-        self._backoff.note_success()
+        self._backoff.record_success()
         if pending.must_read:
             current = answer.find_object(pending.write.path)
             return self._take_read(pending, current, now)
@@ -148,10 +148,10 @@
     def _take_failure(
         self,
         pending: _pending.PendingWrite,
-        answer: stored.PlatformAnswer,
+        answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
-        self._backoff.note_failure(now)
+        self._backoff.record_failure(now)
         self._rotate(pending.write.path)
         if answer.status is _Status.REFUSED:
             return [effect.CountMetric(metric.STORE_REFUSED)]
@@ -163,7 +163,7 @@
     def _take_written(
         self,
         pending: _pending.PendingWrite,
-        answer: stored.PlatformAnswer,
+        answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
         if answer.status is _Status.OK:
@@ -179,30 +179,30 @@
     def _take_read(
         self,
         pending: _pending.PendingWrite,
-        current: stored.StoredObject | None,
+        current: platform_api.StoredObject | None,
         now: float,
     ) -> list[object]:
         finding = self._judge(pending, current)
-        if finding is _Finding.STALE:
+        if finding is _WriteOutcome.STALE:
             pending.wait_until = now + self._settings.retry_seconds
             return [effect.CountMetric(metric.STORE_STALE)]
-        if finding is _Finding.PENDING:
+        if finding is _WriteOutcome.PENDING:
             pending.must_read = False
             return []
         pending.current = current
-        if finding is _Finding.DONE:
+        if finding is _WriteOutcome.DONE:
             return self._end(pending, _Status.OK)
-        may_have_stood = finding is _Finding.REPLACED
+        may_have_stood = finding is _WriteOutcome.REPLACED
         return self._end(pending, _Status.CONFLICT, may_have_stood)
 
     def _judge(
         self,
         pending: _pending.PendingWrite,
-        current: stored.StoredObject | None,
-    ) -> _judgement.Finding:
+        current: platform_api.StoredObject | None,
+    ) -> _judgement.WriteOutcome:
         if current is not None and current.revision < pending.revision:
-            return _Finding.STALE
-        return _judgement.judge_read(
+            return _WriteOutcome.STALE
+        return _judgement.resolve_write(
             pending.write, current, pending.was_refused
         )
 
@@ -213,7 +213,7 @@
             if pending.sent_at < oldest:
                 del self._calls[call]
                 pending.call = 0
-                lost = stored.PlatformAnswer(_Status.UNKNOWN)
+                lost = platform_api.PlatformAnswer(_Status.UNKNOWN)
                 effects += self._take_answer(pending, lost, now)
         return effects
 
@@ -251,7 +251,7 @@
         return effects
 
     def _may_send(self, now: float) -> bool:
-        if now < self._backoff.open_at:
+        if now < self._backoff.retry_at:
             return False
         limit = 1 if self._backoff.failures else self._settings.maximum_calls
         return len(self._calls) < limit
@@ -276,7 +276,7 @@
     def _end(
         self,
         pending: _pending.PendingWrite,
-        status: stored.PlatformStatus,
+        status: platform_api.PlatformStatus,
         may_have_stood: bool = False,
     ) -> list[object]:
         self._queues[pending.write.path].remove(pending)
@@ -293,7 +293,7 @@
     def _report(
         self,
         pending: _pending.PendingWrite,
-        status: stored.PlatformStatus,
+        status: platform_api.PlatformStatus,
         may_have_stood: bool = False,
     ) -> list[object]:
         path = pending.write.path
@@ -305,15 +305,15 @@
 
 
 def _find_written(
-    write: stored.WriteObject, answer: stored.PlatformAnswer
-) -> stored.StoredObject | None:
+    write: platform_api.WriteObject, answer: platform_api.PlatformAnswer
+) -> platform_api.StoredObject | None:
     if write.value is None:
         return None
     for each in answer.objects:
         if each.path == write.path:
-            return stored.StoredObject(
+            return platform_api.StoredObject(
                 each.path, each.version, each.revision, write.value
             )
-    return stored.StoredObject(
+    return platform_api.StoredObject(
         write.path, write.expected_version + 1, answer.revision, write.value
     )
--- a/skylarkfold/store/_judgement.py
+++ b/skylarkfold/store/_judgement.py
@@ -4,10 +4,10 @@
 
 import enum
 
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 
-class Finding(enum.StrEnum):
+class WriteOutcome(enum.StrEnum):
     """What is known about a write after reading its object back.
 
     ``DONE``: the value stands as it was written. ``PENDING``: the expected
@@ -24,7 +24,7 @@
     STALE = 'stale'
 
 
-def get_version(current: stored.StoredObject | None) -> int:
+def get_version(current: platform_api.StoredObject | None) -> int:
     """Tell the version that a conditional write must expect.
 
     :param current: what stands there; None for nothing.
@@ -35,11 +35,11 @@
     return current.version
 
 
-def judge_read(
-    write: stored.WriteObject,
-    current: stored.StoredObject | None,
+def resolve_write(
+    write: platform_api.WriteObject,
+    current: platform_api.StoredObject | None,
     was_refused: bool,
-) -> Finding:
+) -> WriteOutcome:
     """Judge a write whose answer was lost by what stands in its place.
 
     The values of writers that must not be taken for each other have to
@@ -53,12 +53,12 @@
     """
     version = get_version(current)
     if write.value is None and version == 0 and was_refused:
-        return Finding.DONE
+        return WriteOutcome.DONE
     if version <= write.expected_version:
         # Trying again does no harm: the write is conditional.
-        return Finding.STALE if was_refused else Finding.PENDING
+        return WriteOutcome.STALE if was_refused else WriteOutcome.PENDING
     if version != write.expected_version + 1 or current is None:
-        return Finding.REPLACED
+        return WriteOutcome.REPLACED
     if current.value == write.value:
-        return Finding.DONE
-    return Finding.LOST
+        return WriteOutcome.DONE
+    return WriteOutcome.LOST
--- a/skylarkfold/store/_pending.py
+++ b/skylarkfold/store/_pending.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 
 class PendingWrite:
@@ -25,7 +25,7 @@
         'write',
     )
 
-    def __init__(self, write: stored.WriteObject, now: float) -> None:
+    def __init__(self, write: platform_api.WriteObject, now: float) -> None:
         self.write = write
         self.asked_at = now
         self.call = 0
@@ -35,15 +35,15 @@
         self.revision = 0
         self.answer_lost = False
         self.was_refused = False
-        self.current: stored.StoredObject | None = None
+        self.current: platform_api.StoredObject | None = None
 
     @property
     def is_waiting(self) -> bool:
         """Tell whether no call of it is on its way."""
         return self.call == 0
 
-    def build_call(self) -> stored.PlatformCall:
+    def build_call(self) -> platform_api.PlatformCall:
         """Build the next call: the write, or the read that settles it."""
         if self.must_read:
-            return stored.ReadObject(self.write.path)
+            return platform_api.ReadObject(self.write.path)
         return self.write
--- a/skylarkfold/teams/_apply.py
+++ b/skylarkfold/teams/_apply.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold import service
 from skylarkfold import settings
-from skylarkfold import stored
 from skylarkfold.teams import _claim
 from skylarkfold.teams import _claiming
 from skylarkfold.teams import _preview
@@ -105,7 +105,7 @@
     _check_right(operator, new.team)
     if expected_version is not None:
         path = _subtree.build_subtree_path(new.team)
-        session.note_version(path, expected_version)
+        session.record_version(path, expected_version)
     view = yield from _view.read_view(session, new.team)
     if expected_version not in (None, view.base.version):
         raise _build_conflict(view.base, expected_version)
@@ -242,7 +242,9 @@
         return not is_settled or path not in self._base.list_claims()
 
     def write(self, needed: frozenset[str]) -> _session.Steps[Applied]:
-        write = stored.WriteObject(self._path, self._value, self._base.version)
+        write = platform_api.WriteObject(
+            self._path, self._value, self._base.version
+        )
         settled = yield from self._session.write(write)
         outcome = self._judge(settled)
         if outcome is _Outcome.UNKNOWN:
@@ -281,7 +283,7 @@
             return errors.PlatformError('the platform refused the write')
         current = settled.current
         if current is None:
-            self._session.note_version(self._path, self._version)
+            self._session.record_version(self._path, self._version)
             try:
                 current = yield from self._session.read(self._path)
             except errors.PlatformError:
@@ -321,8 +323,8 @@
         except errors.SkylarkfoldError:
             return False
 
-    def _build_undo(self) -> stored.WriteObject:
-        written = stored.StoredObject(
+    def _build_undo(self) -> platform_api.WriteObject:
+        written = platform_api.StoredObject(
             self._path, self._version, 0, self._value
         )
         value = _subtree.encode_subtree(
@@ -331,7 +333,7 @@
             f'{self._session.write_id}/undo',
             self._operator.name,
         )
-        return stored.WriteObject(self._path, value, self._version)
+        return platform_api.WriteObject(self._path, value, self._version)
 
     def _list_not_in_force(self) -> tuple[str, ...]:
         return tuple(
--- a/skylarkfold/teams/_claiming.py
+++ b/skylarkfold/teams/_claiming.py
@@ -14,7 +14,7 @@
 import enum
 
 from skylarkfold import errors
-from skylarkfold import stored
+from skylarkfold import platform_api
 from skylarkfold.teams import _claim
 from skylarkfold.teams import _session
 from skylarkfold.teams import _subtree
@@ -155,7 +155,7 @@
         self, claim: _claim.Claim, version: int
     ) -> _session.Steps[bool]:
         value = _claim.encode_claim(claim)
-        write = stored.WriteObject(claim.path, value, version)
+        write = platform_api.WriteObject(claim.path, value, version)
         settled = yield from self._session.write(write)
         if settled.outcome in (_Outcome.UNKNOWN, _Outcome.UNSENT):
             raise errors.PlatformError(f'{claim.path} could not be written')
--- a/skylarkfold/teams/_runner.py
+++ b/skylarkfold/teams/_runner.py
@@ -8,9 +8,9 @@
 from typing import TypeVar
 
 from skylarkfold import member
+from skylarkfold import platform_api
 from skylarkfold import service
 from skylarkfold import settings
-from skylarkfold import stored
 from skylarkfold.teams import _apply
 from skylarkfold.teams import _preview
 from skylarkfold.teams import _session
@@ -25,8 +25,8 @@
     """What performs calls to the platform."""
 
     async def call(
-        self, request: stored.PlatformCall, timeout_seconds: float
-    ) -> stored.PlatformAnswer:
+        self, request: platform_api.PlatformCall, timeout_seconds: float
+    ) -> platform_api.PlatformAnswer:
         """Perform one call.
 
         :param request: what to ask.
--- a/skylarkfold/teams/_session.py
+++ b/skylarkfold/teams/_session.py
@@ -14,12 +14,12 @@
 from typing import TypeVar
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
 from skylarkfold import store
-from skylarkfold import stored
 
 _Result = TypeVar('_Result')
-_Status = stored.PlatformStatus
+_Status = platform_api.PlatformStatus
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,7 +30,9 @@
 
 
 Steps = Generator[
-    stored.PlatformCall | Pause, stored.PlatformAnswer | None, _Result
+    platform_api.PlatformCall | Pause,
+    platform_api.PlatformAnswer | None,
+    _Result,
 ]
 
 
@@ -78,13 +80,13 @@
     """
 
     outcome: Outcome
-    current: stored.StoredObject | None = None
+    current: platform_api.StoredObject | None = None
 
 
 _OUTCOMES = {
-    store.Finding.DONE: Outcome.DONE,
-    store.Finding.LOST: Outcome.LOST,
-    store.Finding.REPLACED: Outcome.REPLACED,
+    store.WriteOutcome.DONE: Outcome.DONE,
+    store.WriteOutcome.LOST: Outcome.LOST,
+    store.WriteOutcome.REPLACED: Outcome.REPLACED,
 }
 
 
@@ -109,7 +111,7 @@
         self._revision = 0
         self._era = 0
 
-    def note_version(self, path: str, version: int) -> None:
+    def record_version(self, path: str, version: int) -> None:
         """Note that a version exists; older ones are not taken any more.
 
         :param path: the object.
@@ -131,7 +133,7 @@
         """Count the tries that a step may make."""
         return iter(range(self.settings.tries))
 
-    def read(self, path: str) -> Steps[stored.StoredObject | None]:
+    def read(self, path: str) -> Steps[platform_api.StoredObject | None]:
         """Read one object.
 
         :param path: its path.
@@ -139,7 +141,7 @@
         :raises PlatformError: if no answer comes that is recent enough.
         """
         for number in self.count_tries():
-            answer = yield stored.ReadObject(path)
+            answer = yield platform_api.ReadObject(path)
             if answer.status in (_Status.OK, _Status.NOT_FOUND):
                 found = answer.find_object(path)
                 if self._follow(answer) and self._take_version(path, found):
@@ -147,7 +149,9 @@
             yield self.pause(number)
         raise errors.PlatformError(f'{path} could not be read')
 
-    def list_objects(self, prefix: str) -> Steps[list[stored.StoredObject]]:
+    def list_objects(
+        self, prefix: str
+    ) -> Steps[list[platform_api.StoredObject]]:
         """Read all objects under a prefix.
 
         :param prefix: the prefix.
@@ -155,13 +159,13 @@
         :raises PlatformError: if no answer comes that is recent enough.
         """
         for number in self.count_tries():
-            answer = yield stored.ListObjects(prefix)
+            answer = yield platform_api.ListObjects(prefix)
             if answer.status is _Status.OK and self._take_list(prefix, answer):
                 return [e for e in answer.objects if e.value is not None]
             yield self.pause(number)
         raise errors.PlatformError(f'{prefix} could not be read')
 
-    def write(self, write: stored.WriteObject) -> Steps[Settled]:
+    def write(self, write: platform_api.WriteObject) -> Steps[Settled]:
         """Carry out a conditional write and settle a lost answer.
 
         :param write: the write; its value must be unique to the writer.
@@ -172,7 +176,7 @@
         for number in self.count_tries():
             answer = yield write
             if answer.status is _Status.OK:
-                self.note_version(write.path, write.expected_version + 1)
+                self.record_version(write.path, write.expected_version + 1)
                 return Settled(Outcome.DONE)
             if answer.status in (_Status.CONFLICT, _Status.NOT_FOUND):
                 was_refused = True
@@ -189,21 +193,21 @@
         return Settled(Outcome.REPLACED if was_refused else Outcome.UNKNOWN)
 
     def _read_back(
-        self, write: stored.WriteObject, was_refused: bool
+        self, write: platform_api.WriteObject, was_refused: bool
     ) -> Steps[Settled | None]:
-        answer = yield stored.ReadObject(write.path)
+        answer = yield platform_api.ReadObject(write.path)
         if answer.status not in (_Status.OK, _Status.NOT_FOUND):
             return None
         if not self._follow(answer):
             return None
         current = answer.find_object(write.path)
-        finding = store.judge_read(write, current, was_refused)
+        finding = store.resolve_write(write, current, was_refused)
         if finding not in _OUTCOMES:
             return None
         self._take_version(write.path, current)
         return Settled(_OUTCOMES[finding], current)
 
-    def _follow(self, answer: stored.PlatformAnswer) -> bool:
+    def _follow(self, answer: platform_api.PlatformAnswer) -> bool:
         """Follow the store into a later era, in which it counts anew.
 
         :param answer: its answer.
@@ -218,15 +222,17 @@
         return era == self._era
 
     def _take_version(
-        self, path: str, found: stored.StoredObject | None
+        self, path: str, found: platform_api.StoredObject | None
     ) -> bool:
         version = store.get_version(found)
         if version < self._versions.get(path, 0):
             return False
-        self.note_version(path, version)
+        self.record_version(path, version)
         return True
 
-    def _take_list(self, prefix: str, answer: stored.PlatformAnswer) -> bool:
+    def _take_list(
+        self, prefix: str, answer: platform_api.PlatformAnswer
+    ) -> bool:
         if not self._follow(answer) or answer.revision < self._revision:
             return False
         listed = {each.path: each for each in answer.objects}
--- a/skylarkfold/teams/_subtree.py
+++ b/skylarkfold/teams/_subtree.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold import service
 from skylarkfold import settings
-from skylarkfold import stored
 from skylarkfold.teams import _claim
 
 TEAM_PREFIX = '/teams/'
@@ -101,7 +101,9 @@
     return team if build_subtree_path(team) == path else None
 
 
-def read_subtree(team: str, found: stored.StoredObject | None) -> Subtree:
+def read_subtree(
+    team: str, found: platform_api.StoredObject | None
+) -> Subtree:
     """Read a subtree.
 
     :param team: the team's name.
--- a/skylarkfold/tests/admission/test_queue.py
+++ b/skylarkfold/tests/admission/test_queue.py
@@ -119,12 +119,12 @@
         self.assertIsInstance(admitted, admission.Admitted)
 
     def test_refuses_what_is_shorter_than_the_service_time(self):
-        self.queue.record_service(0.0, 'desk', 1.0)
+        self.queue.record_service_time(0.0, 'desk', 1.0)
         refusal = self.queue.offer(0.0, build_request(1), 0.5)
         self.assertEqual(admission.RefusalCode.DEADLINE, refusal.code)
 
     def test_an_old_measurement_does_not_refuse_for_ever(self):
-        self.queue.record_service(0.0, 'desk', 1.0)
+        self.queue.record_service_time(0.0, 'desk', 1.0)
         admitted = self.queue.offer(60.0, build_request(1), 60.5)
         self.assertIsInstance(admitted, admission.Admitted)
 
--- a/skylarkfold/tests/affinity/deciders.py
+++ b/skylarkfold/tests/affinity/deciders.py
@@ -54,7 +54,7 @@
         chosen.change_busy(now, 1)
         return chosen, ahead
 
-    def take_answer(self, now, chosen, ahead, seconds):
+    def handle_answer(self, now, chosen, ahead, seconds):
         """Take the answer of a flow's request, which ends it."""
         chosen.flows -= 1
         chosen.change_busy(now, -1)
@@ -151,7 +151,7 @@
         begun = max(now, free_at[slot])
         free_at[slot] = begun + work / self.speeds[place]
         seconds = free_at[slot] - now
-        answer = decider.take_answer
+        answer = decider.handle_answer
         at = free_at[slot]
         self._call(at, self._answer, answer, chosen, ahead, seconds)
 
--- a/skylarkfold/tests/affinity/samples.py
+++ b/skylarkfold/tests/affinity/samples.py
@@ -81,7 +81,7 @@
     return [
         each.upstream.name
         for each in effects
-        if isinstance(each, affinity.AskPeers)
+        if isinstance(each, affinity.QueryPeers)
     ]
 
 
--- a/skylarkfold/tests/affinity/test_admission.py
+++ b/skylarkfold/tests/affinity/test_admission.py
@@ -178,15 +178,15 @@
         )
         for port in range(20):
             now = port * 1.0
-            core.take_packet(now, samples.build_first(port))
+            core.handle_packet(now, samples.build_first(port))
             request = samples.build_packet(port, 1, 101, 501, 100)
-            core.take_packet(now, request)
+            core.handle_packet(now, request)
             answer = samples.build_packet(port, 1, 201, 2501)
-            core.take_packet(now + WORK_SECONDS, answer)
+            core.handle_packet(now + WORK_SECONDS, answer)
         core.note_confirmed(20.0)
         effects = []
         for port in range(100, 130):
-            effects += core.take_packet(20.0, samples.build_first(port))
+            effects += core.handle_packet(20.0, samples.build_first(port))
         self.assertEqual(
             30,
             len(samples.list_forwards(effects))
@@ -195,7 +195,8 @@
         crowded = [
             each
             for each in effects
-            if isinstance(each, affinity.Record) and each.reason == 'crowded'
+            if isinstance(each, affinity.RecordDecision)
+            and each.reason == 'crowded'
         ]
         self.assertTrue(crowded)
         details = crowded[-1].details
@@ -216,9 +217,9 @@
         )
         core._admission = build_admission()
         next(iter(core.directory)).change_busy(0.0, 50)
-        first = core.take_packet(0.0, samples.build_first(1))
+        first = core.handle_packet(0.0, samples.build_first(1))
         self.assertEqual(1, len(samples.list_resets(first)))
-        copy = core.take_packet(0.0, samples.build_first(2, copy=1))
+        copy = core.handle_packet(0.0, samples.build_first(2, copy=1))
         self.assertEqual([], samples.list_resets(copy))
         self.assertEqual(1, len(samples.list_forwards(copy)))
 
@@ -230,7 +231,7 @@
         next(iter(core.directory)).change_busy(0.0, 50)
         for port in range(1, 33):
             packet = samples.build_packet(port, 1, 201, 2501, 10)
-            effects = core.take_packet(0.0, packet)
+            effects = core.handle_packet(0.0, packet)
             self.assertEqual(1, len(samples.list_forwards(effects)))
 
     @hypothesis.given(
--- a/skylarkfold/tests/affinity/test_destination.py
+++ b/skylarkfold/tests/affinity/test_destination.py
@@ -50,7 +50,7 @@
         return counts
 
     def place_one(self, core, port, copy=0):
-        effects = core.take_packet(0.0, samples.build_first(port, copy))
+        effects = core.handle_packet(0.0, samples.build_first(port, copy))
         for standing in core.directory:
             # Nothing of it counts for the next one.
             standing.change_busy(0.0, -standing.busy)
@@ -103,7 +103,7 @@
             ((FIRST, 1), (SECOND, 1)), (FIRST, FIRST, SECOND, SECOND)
         )
         self.crowd(core, FIRST)
-        first = core.take_packet(0.0, samples.build_first(1))
+        first = core.handle_packet(0.0, samples.build_first(1))
         again = core.tick(0.05)
         names = samples.list_forwards([*first, *again])
         self.assertEqual(2, len(set(names)))
--- a/skylarkfold/tests/affinity/test_evacuation.py
+++ b/skylarkfold/tests/affinity/test_evacuation.py
@@ -51,7 +51,7 @@
         """Send first packets; tell which zones they went to."""
         zones = []
         for port in ports:
-            effects = self.core.take_packet(now, samples.build_first(port))
+            effects = self.core.handle_packet(now, samples.build_first(port))
             zones += self.list_zones(effects)
         return zones
 
@@ -66,7 +66,7 @@
     def test_an_instance_is_not_ready_before_it_knows_them(self):
         core = build_core(*self.upstreams)
         self.assertFalse(core.is_ready)
-        self.assertEqual([], core.take_packet(0.0, samples.build_first(1)))
+        self.assertEqual([], core.handle_packet(0.0, samples.build_first(1)))
         released = core.set_evacuations(0.1, evacuate(*ZONES[:2]))
         (name,) = samples.list_forwards(released)
         self.assertEqual(ZONES[2], self.by_name[name].zone)
@@ -92,11 +92,11 @@
         self.open_flows(0.0, [1])
         upstream = self.by_name[self.find_upstream(1)]
         packet = samples.build_packet(1, upstream.token, length=100)
-        self.core.take_packet(0.01, packet)
+        self.core.handle_packet(0.01, packet)
         effects = self.core.set_evacuations(0.1, evacuate(upstream.zone))
         self.assertEqual([], samples.list_resets(effects))
         later = samples.build_packet(1, upstream.token, 201, 601, 100)
-        forwarded = samples.list_forwards(self.core.take_packet(0.2, later))
+        forwarded = samples.list_forwards(self.core.handle_packet(0.2, later))
         self.assertEqual([upstream.name], forwarded)
 
     def find_upstream(self, port):
@@ -115,7 +115,7 @@
         few = self.upstreams[::EACH]
         core = build_core(*few)
         core.set_evacuations(0.0, evacuate())
-        core.take_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.0, samples.build_first(1))
         for step in range(15):
             core.tick(step * TICK_SECONDS)
         (flow,) = core._flows
@@ -123,7 +123,7 @@
         last = flow.standing.upstream.zone
         core.set_evacuations(COPY_SECONDS, evacuate(last))
         copy = samples.build_first(1, copy=1)
-        effects = core.take_packet(COPY_SECONDS, copy)
+        effects = core.handle_packet(COPY_SECONDS, copy)
         (name,) = samples.list_forwards(effects)
         self.assertNotEqual(last, self.by_name[name].zone)
 
@@ -131,10 +131,10 @@
         upstream = samples.build_upstream(1)
         core = build_core(upstream)
         core.set_evacuations(0.0, evacuate())
-        core.take_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.0, samples.build_first(1))
         core.set_upstreams(0.1, [samples.build_upstream(1, is_draining=True)])
         copy = samples.build_first(1, copy=1)
-        effects = core.take_packet(COPY_SECONDS, copy)
+        effects = core.handle_packet(COPY_SECONDS, copy)
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual(1, len(samples.list_resets(effects)))
         # It weighs on nobody's load any more.
@@ -143,7 +143,7 @@
 
     def test_where_nobody_is_left_the_caller_is_told_at_once(self):
         self.core.set_evacuations(1.0, evacuate(*ZONES))
-        effects = self.core.take_packet(1.0, samples.build_first(1))
+        effects = self.core.handle_packet(1.0, samples.build_first(1))
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual(1, len(samples.list_resets(effects)))
 
@@ -151,7 +151,7 @@
         self.open_flows(0.0, [1])
         self.core.set_evacuations(0.1, evacuate(*ZONES))
         copy = samples.build_first(1, copy=1)
-        effects = self.core.take_packet(COPY_SECONDS, copy)
+        effects = self.core.handle_packet(COPY_SECONDS, copy)
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual(1, len(samples.list_resets(effects)))
 
@@ -188,7 +188,7 @@
         lines = [
             (each.kind, each.reason, each.details['zone'])
             for each in (*begun, *ended)
-            if isinstance(each, affinity.Record)
+            if isinstance(each, affinity.RecordDecision)
         ]
         self.assertEqual(
             [
--- a/skylarkfold/tests/affinity/test_health.py
+++ b/skylarkfold/tests/affinity/test_health.py
@@ -20,13 +20,13 @@
     def open(self, now, port, upstream=None):
         token = (upstream or self.upstream).token
         packet = samples.build_packet(port, token)
-        self.core.take_packet(now, packet)
+        self.core.handle_packet(now, packet)
 
     def ask(self, now, port, sequence=101):
         packet = samples.build_packet(
             port, self.upstream.token, sequence, length=100
         )
-        return self.core.take_packet(now, packet)
+        return self.core.handle_packet(now, packet)
 
     def hear(self, now, upstream, port=77):
         # An instance that has not seen the flow learns where it stands
@@ -35,7 +35,7 @@
             packet = samples.build_packet(
                 port, upstream.token, acknowledged=number + int(now * 1000)
             )
-            self.core.take_packet(now, packet)
+            self.core.handle_packet(now, packet)
 
     def doubt(self, now):
         """Let a request wait until its upstream is probed."""
@@ -48,10 +48,14 @@
     def fail_probes(self, now, outcome=SILENT, count=2, is_proven=True):
         effects = []
         for _ in range(count):
-            effects += self.core.take_probe(now, self.upstream.name, outcome)
+            effects += self.core.handle_probe_result(
+                now, self.upstream.name, outcome
+            )
         if self.other.name in samples.list_probes(effects):
             control = ALIVE if is_proven else SILENT
-            effects += self.core.take_probe(now, self.other.name, control)
+            effects += self.core.handle_probe_result(
+                now, self.other.name, control
+            )
         return effects
 
     def test_a_request_without_answer_leads_to_a_question(self):
@@ -61,7 +65,7 @@
         doubt, asked = self.core.tick(1.11)
         self.assertEqual('not-answered', doubt.reason)
         self.assertEqual(samples.build_flow(1), doubt.flow)
-        self.assertIsInstance(asked, affinity.AskPeers)
+        self.assertIsInstance(asked, affinity.QueryPeers)
         self.assertEqual(self.upstream.name, asked.upstream.name)
 
     def test_without_a_word_from_peers_it_is_probed(self):
@@ -72,7 +76,7 @@
         self.open(0.0, 1)
         self.ask(1.0, 1)
         self.core.tick(1.11)
-        self.core.take_heard(1.115, {self.upstream.token: 0.05})
+        self.core.handle_last_seen(1.115, {self.upstream.token: 0.05})
         self.assertEqual([], samples.list_probes(self.core.tick(1.15)))
         self.assertEqual([], samples.list_probes(self.core.tick(1.17)))
 
@@ -80,13 +84,13 @@
         self.open(0.0, 1)
         self.ask(1.0, 1)
         self.core.tick(1.11)
-        self.core.take_heard(1.115, {self.upstream.token: 0.5})
+        self.core.handle_last_seen(1.115, {self.upstream.token: 0.5})
         effects = self.core.tick(1.15)
         self.assertEqual([self.upstream.name], samples.list_probes(effects))
 
     def test_a_peer_is_told_what_was_heard_here(self):
         self.hear(1.0, self.upstream)
-        heard = self.core.list_heard(1.2, [self.upstream.token, 99])
+        heard = self.core.list_last_seen(1.2, [self.upstream.token, 99])
         self.assertEqual([self.upstream.token], list(heard))
         self.assertAlmostEqual(0.2, heard[self.upstream.token])
 
@@ -133,11 +137,11 @@
     def test_answers_are_seen_wherever_the_numbers_begin(self):
         for begun in (501, 0x7FFFFFFF, 0x80000001, 0xFFFFFFF0):
             core = samples.build_core(samples.build_upstream(1))
-            core.take_packet(1.0, samples.build_first(5))
+            core.handle_packet(1.0, samples.build_first(5))
             request = samples.build_packet(5, 1, 101, begun, 100)
-            core.take_packet(1.01, request)
+            core.handle_packet(1.01, request)
             end = (begun + 2000) % (1 << 32)
-            core.take_packet(1.05, samples.build_packet(5, 1, 201, end))
+            core.handle_packet(1.05, samples.build_packet(5, 1, 201, end))
             answers = core.tally.histograms['answer_seconds']
             self.assertEqual(1, answers.count, hex(begun))
 
@@ -152,7 +156,7 @@
                 acknowledged=1000 + int(now * 1000),
                 length=100,
             )
-            self.core.take_packet(now, packet)
+            self.core.handle_packet(now, packet)
             self.hear(now + 0.3, self.upstream, 5)
             self.core.tick(now + 0.5)
         self.ask(30.0, 6)
@@ -160,7 +164,9 @@
 
     def test_an_upstream_that_answers_the_probe_keeps_its_flows(self):
         self.doubt(1.0)
-        effects = self.core.take_probe(1.21, self.upstream.name, ALIVE)
+        effects = self.core.handle_probe_result(
+            1.21, self.upstream.name, ALIVE
+        )
         self.assertEqual([], samples.list_resets(effects))
         effects = self.ask(1.3, 1)
         self.assertEqual([self.upstream.name], samples.list_forwards(effects))
@@ -186,21 +192,21 @@
                 [samples.build_flow(3)], samples.list_resets(effects)
             )
             self.assertEqual([], samples.list_forwards(effects))
-            new = self.core.take_packet(1.4, samples.build_first(9))
+            new = self.core.handle_packet(1.4, samples.build_first(9))
             self.assertEqual([self.other.name], samples.list_forwards(new))
 
     def test_a_verdict_is_told_to_the_peers(self):
         self.doubt(1.0)
         effects = self.fail_probes(1.3)
         (told,) = [
-            each for each in effects if isinstance(each, affinity.TellPeers)
+            each for each in effects if isinstance(each, affinity.NotifyPeers)
         ]
         self.assertEqual(self.upstream.name, told.upstream.name)
 
     def test_a_peer_s_verdict_is_looked_into_at_once(self):
         self.open(0.0, 1)
         self.hear(0.5, self.other)
-        effects = self.core.take_lost(1.0, [self.upstream.token, 99])
+        effects = self.core.handle_unreachable(1.0, [self.upstream.token, 99])
         self.assertEqual([self.upstream.name], samples.list_probes(effects))
         self.assertEqual([], samples.list_resets(effects))
         effects = self.fail_probes(1.2)
@@ -209,7 +215,7 @@
     def test_a_peer_s_verdict_on_one_that_is_heard_here_is_its_own(self):
         self.open(0.0, 1)
         self.hear(1.0, self.upstream)
-        effects = self.core.take_lost(1.05, [self.upstream.token])
+        effects = self.core.handle_unreachable(1.05, [self.upstream.token])
         self.assertEqual([], effects)
 
     def test_failed_probes_prove_nothing_if_another_one_fails_too(self):
@@ -217,7 +223,7 @@
         effects = self.fail_probes(1.3, is_proven=False)
         self.assertEqual([], samples.list_resets(effects))
         self.assertEqual([], samples.list_resets(self.ask(1.4, 1)))
-        new = self.core.take_packet(1.4, samples.build_first(9))
+        new = self.core.handle_packet(1.4, samples.build_first(9))
         self.assertEqual([self.other.name], samples.list_forwards(new))
 
     def test_one_silent_probe_is_no_verdict(self):
@@ -255,7 +261,7 @@
         self.assertEqual(
             [self.upstream.name], samples.list_probes(self.core.tick(1.8))
         )
-        self.core.take_probe(1.81, self.upstream.name, ALIVE)
+        self.core.handle_probe_result(1.81, self.upstream.name, ALIVE)
         self.assertEqual([], samples.list_probes(self.core.tick(3.0)))
         effects = self.ask(3.0, 4)
         self.assertEqual([self.upstream.name], samples.list_forwards(effects))
@@ -265,12 +271,12 @@
         self.doubt(1.0)
         self.fail_probes(1.3)
         self.core.tick(2.9)
-        self.core.take_probe(3.0, self.upstream.name, ALIVE)
-        new = self.core.take_packet(3.1, samples.build_first(50))
+        self.core.handle_probe_result(3.0, self.upstream.name, ALIVE)
+        new = self.core.handle_packet(3.1, samples.build_first(50))
         self.assertEqual([self.other.name], samples.list_forwards(new))
         chosen = {
             samples.list_forwards(
-                self.core.take_packet(7.0, samples.build_first(port))
+                self.core.handle_packet(7.0, samples.build_first(port))
             )[0]
             for port in range(100, 140)
         }
@@ -280,11 +286,11 @@
         self.doubt(1.0)
         self.fail_probes(1.3)
         self.core.tick(2.9)
-        self.core.take_probe(3.0, self.upstream.name, ALIVE)
+        self.core.handle_probe_result(3.0, self.upstream.name, ALIVE)
         self.hear(3.1, self.upstream, 8)
         chosen = {
             samples.list_forwards(
-                self.core.take_packet(3.2, samples.build_first(port))
+                self.core.handle_packet(3.2, samples.build_first(port))
             )[0]
             for port in range(100, 140)
         }
@@ -293,35 +299,40 @@
     def test_a_refusal_waits_for_the_control(self):
         # Within the zone it is back sooner than an answer from another.
         self.doubt(1.0)
-        self.core.take_probe(1.15, self.upstream.name, REFUSED)
+        self.core.handle_probe_result(1.15, self.upstream.name, REFUSED)
         self.assertEqual(
-            [], self.core.take_probe(1.151, self.upstream.name, REFUSED)
+            [],
+            self.core.handle_probe_result(1.151, self.upstream.name, REFUSED),
         )
-        effects = self.core.take_probe(1.153, self.other.name, ALIVE)
+        effects = self.core.handle_probe_result(1.153, self.other.name, ALIVE)
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
 
     def test_a_lapsed_entry_has_its_upstream_doubted(self):
         self.open(0.0, 1)
         effects = self.core.set_upstreams(1.0, [self.other])
         (asked,) = [
-            each for each in effects if isinstance(each, affinity.AskPeers)
+            each for each in effects if isinstance(each, affinity.QueryPeers)
         ]
         self.assertEqual(self.upstream.name, asked.upstream.name)
 
     def lose(self, now, upstream, port):
         """Have an upstream found out of reach."""
         packet = samples.build_packet(port, upstream.token, length=10)
-        self.core.take_packet(now, packet)
+        self.core.handle_packet(now, packet)
         self.core.tick(now + 0.11)
         self.core.tick(now + 0.14)
         effects = []
         for _ in range(2):
-            effects += self.core.take_probe(now + 0.3, upstream.name, SILENT)
-        effects += self.core.take_probe(now + 0.3, self.other.name, ALIVE)
+            effects += self.core.handle_probe_result(
+                now + 0.3, upstream.name, SILENT
+            )
+        effects += self.core.handle_probe_result(
+            now + 0.3, self.other.name, ALIVE
+        )
         return [
             each.upstream.name
             for each in effects
-            if isinstance(each, affinity.AskPeers)
+            if isinstance(each, affinity.QueryPeers)
         ]
 
     def test_two_silent_upstreams_make_their_zone_doubted(self):
--- a/skylarkfold/tests/affinity/test_link.py
+++ b/skylarkfold/tests/affinity/test_link.py
@@ -35,7 +35,9 @@
 
 def build_core(bytes_per_second=SMALL, routes=None, **fields):
     """Build a core with a link of its own."""
-    room = rooms.InstanceRoom(rooms.RoomSettings(**fields), bytes_per_second)
+    room = rooms.InstanceHeadroom(
+        rooms.RoomSettings(**fields), bytes_per_second
+    )
     core = affinity.AffinityCore(
         samples.ZONE, affinity.AffinitySettings(), room
     )
@@ -50,15 +52,15 @@
     for sent in range(0, size, 1200):
         length = min(1200, size - sent)
         packet = samples.build_packet(port, 1, 101 + sent, 501, length)
-        core.take_packet(now, packet)
+        core.handle_packet(now, packet)
     answered = samples.build_packet(port, 1, 101 + size, 901)
-    core.take_packet(now, answered)
+    core.handle_packet(now, answered)
 
 
 def teach(core, count=3):
     """Let uploads be seen."""
     for port in range(1, 1 + count):
-        core.take_packet(port * 1.0, samples.build_first(port))
+        core.handle_packet(port * 1.0, samples.build_first(port))
         upload(core, port * 1.0, port)
     core.tick(5.0)
     core.note_confirmed(5.0)
@@ -71,7 +73,7 @@
     """
     sent, held, refused = [], [], []
     for port in range(first, first + count):
-        effects = core.take_packet(now, samples.build_first(port))
+        effects = core.handle_packet(now, samples.build_first(port))
         if samples.list_forwards(effects):
             sent.append(port)
         elif samples.list_resets(effects):
@@ -100,9 +102,11 @@
         core = build_core()
         teach(core)
         press(core, 5.0, 39)
-        effects = core.take_packet(5.0, samples.build_first(2000))
+        effects = core.handle_packet(5.0, samples.build_first(2000))
         (record,) = (
-            each for each in effects if isinstance(each, affinity.Record)
+            each
+            for each in effects
+            if isinstance(each, affinity.RecordDecision)
         )
         self.assertEqual('link-full', record.reason)
         details = record.details
@@ -116,7 +120,7 @@
         core = build_core()
         teach(core)
         _, held, _ = press(core, 5.0, 2)
-        effects = core.take_packet(5.0, samples.build_first(2000))
+        effects = core.handle_packet(5.0, samples.build_first(2000))
         (record,) = effects
         self.assertEqual(('hold', 'link-full'), (record.kind, record.reason))
         self.assertEqual(len(held), record.details['waiting'])
@@ -163,7 +167,7 @@
         _, held, _ = press(core, 5.0, 40)
         before = core.link.list_gauges()
         copy = samples.build_first(held[0], copy=1)
-        effects = core.take_packet(5.001, copy)
+        effects = core.handle_packet(5.001, copy)
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual([], samples.list_resets(effects))
         self.assertEqual(before, core.link.list_gauges())
@@ -176,7 +180,7 @@
         effects = []
         for port in range(2000, 2020):
             copy = samples.build_first(port, copy=1)
-            effects += core.take_packet(5.0, copy)
+            effects += core.handle_packet(5.0, copy)
         effects += core.tick(5.0 + WAIT_SECONDS)
         resets = samples.list_resets(effects)
         copies = {samples.build_flow(port) for port in range(2000, 2020)}
@@ -189,7 +193,7 @@
         press(core, 5.0, 40)
         for sent in range(0, 100 * 1200, 1200):
             packet = samples.build_packet(1, 1, 101 + sent, 901, 1200)
-            effects = core.take_packet(5.0, packet)
+            effects = core.handle_packet(5.0, packet)
             self.assertEqual(1, len(samples.list_forwards(effects)))
 
     def test_preferred_routes_are_never_held(self):
@@ -207,7 +211,7 @@
     def test_small_requests_are_never_held(self):
         core = build_core()
         for port in range(1, 20):
-            core.take_packet(0.0, samples.build_first(port))
+            core.handle_packet(0.0, samples.build_first(port))
             upload(core, 0.0, port, 900)
         sent, held, refused = press(core, 1.0, 200)
         self.assertEqual(200, len(sent))
@@ -237,10 +241,10 @@
     def test_what_opens_says_how_much_gets_lost_here(self):
         core = build_core()
         for _ in range(5):
-            core.room.note_probe(0.0, False)
+            core.room.record_probe(0.0, False)
         before = core.room.compute_loss_share(0.0)
-        core.take_packet(0.0, samples.build_first(1))
-        core.take_packet(0.0, samples.build_packet(1, 1))
+        core.handle_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.0, samples.build_packet(1, 1))
         self.assertLess(core.room.compute_loss_share(0.0), before)
 
     def test_it_wakes_up_for_those_that_wait(self):
--- a/skylarkfold/tests/affinity/test_machine.py
+++ b/skylarkfold/tests/affinity/test_machine.py
@@ -127,7 +127,7 @@
             wanted = pending.pop(0)
             if isinstance(wanted, affinity.Probe):
                 outcome = self.probe(name, wanted.upstream)
-                pending += self.instances[name].core.take_probe(
+                pending += self.instances[name].core.handle_probe_result(
                     self.now, wanted.upstream.name, outcome
                 )
             elif isinstance(wanted, affinity.Reset):
@@ -284,7 +284,7 @@
         for copy, name in enumerate(names):
             packet = samples.build_first(flow.number, copy)
             instance = self.instances[name]
-            effects = instance.core.take_packet(self.now, packet)
+            effects = instance.core.handle_packet(self.now, packet)
             for wanted in effects:
                 if isinstance(wanted, affinity.Forward):
                     assert not instance.is_draining(wanted.upstream.name)
@@ -306,7 +306,7 @@
             flow.number, upstream.token, flow.sequence, flow.sequence, 100
         )
         instance = self.instances[name]
-        effects = instance.core.take_packet(self.now, packet)
+        effects = instance.core.handle_packet(self.now, packet)
         if instance.has_route and instance.knows(flow.process):
             assert samples.list_forwards(effects) == [upstream.name]
         self.perform(name, effects)
@@ -333,7 +333,7 @@
             flow.number, upstream.token, flow.sequence, 501, 100
         )
         core = self.instances[name].core
-        self.perform(name, core.take_packet(self.now, packet))
+        self.perform(name, core.handle_packet(self.now, packet))
 
     @stateful.rule(seconds=strategies.sampled_from([0.05, 0.5, 3.0]))
     def wait(self, seconds):
--- a/skylarkfold/tests/affinity/test_opening.py
+++ b/skylarkfold/tests/affinity/test_opening.py
@@ -14,7 +14,7 @@
         core = samples.build_core(*upstreams)
         counts = {each.name: 0 for each in upstreams}
         for port in range(300):
-            effects = core.take_packet(0.0, samples.build_first(port))
+            effects = core.handle_packet(0.0, samples.build_first(port))
             counts[samples.list_forwards(effects)[0]] += 1
         self.assertEqual([100, 100, 100], list(counts.values()))
 
@@ -22,7 +22,7 @@
         core = samples.build_core(
             samples.build_upstream(1), samples.build_upstream(2)
         )
-        effects = core.take_packet(0.0, samples.build_first(1))
+        effects = core.handle_packet(0.0, samples.build_first(1))
         (first,) = samples.list_forwards(effects)
         self.assertEqual([], samples.list_forwards(core.tick(0.03)))
         (second,) = samples.list_forwards(core.tick(0.05))
@@ -32,24 +32,24 @@
     def test_an_open_flow_is_not_opened_again(self):
         upstream = samples.build_upstream(1)
         core = samples.build_core(upstream, samples.build_upstream(2))
-        core.take_packet(0.0, samples.build_first(1))
-        core.take_packet(0.01, samples.build_packet(1, upstream.token))
+        core.handle_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.01, samples.build_packet(1, upstream.token))
         self.assertEqual([], samples.list_forwards(core.tick(0.05)))
-        late = core.take_packet(0.2, samples.build_first(1, copy=1))
+        late = core.handle_packet(0.2, samples.build_first(1, copy=1))
         self.assertEqual([], samples.list_forwards(late))
 
     def test_a_copy_goes_to_an_upstream_that_has_not_had_it(self):
         core = samples.build_core(
             samples.build_upstream(1), samples.build_upstream(2)
         )
-        effects = core.take_packet(0.0, samples.build_first(1))
-        effects += core.take_packet(0.2, samples.build_first(1, copy=1))
+        effects = core.handle_packet(0.0, samples.build_first(1))
+        effects += core.handle_packet(0.2, samples.build_first(1, copy=1))
         self.assertEqual(2, len(set(samples.list_forwards(effects))))
 
     def test_a_copy_has_its_upstream_probed(self):
         core = samples.build_core(samples.build_upstream(1))
-        core.take_packet(0.0, samples.build_first(1))
-        core.take_packet(0.2, samples.build_first(1, copy=1))
+        core.handle_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.2, samples.build_first(1, copy=1))
         effects = core.tick(0.25)
         self.assertEqual(['i-0000000001'], samples.list_probes(effects))
 
@@ -57,8 +57,8 @@
         core = samples.build_core(
             samples.build_upstream(1), samples.build_upstream(2)
         )
-        effects = core.take_packet(0.0, samples.build_first(1))
-        effects += core.take_packet(0.001, samples.build_first(1, copy=1))
+        effects = core.handle_packet(0.0, samples.build_first(1))
+        effects += core.handle_packet(0.001, samples.build_first(1, copy=1))
         self.assertEqual(1, len(samples.list_forwards(effects)))
 
     def test_a_draining_upstream_gets_no_new_flow(self):
@@ -67,14 +67,14 @@
             samples.build_upstream(2),
         )
         for port in range(50):
-            effects = core.take_packet(0.0, samples.build_first(port))
+            effects = core.handle_packet(0.0, samples.build_first(port))
             self.assertEqual(['i-0000000002'], samples.list_forwards(effects))
 
     def test_a_flow_stays_in_the_zone_while_loads_are_alike(self):
         far = samples.build_upstream(1, zone=samples.OTHER_ZONE)
         near = samples.build_upstream(2)
         core = samples.build_core(far, near)
-        effects = core.take_packet(0.0, samples.build_first(1))
+        effects = core.handle_packet(0.0, samples.build_first(1))
         self.assertEqual([near.name], samples.list_forwards(effects))
 
     def test_a_zone_that_is_loaded_well_above_the_mean_is_left(self):
@@ -83,7 +83,7 @@
         core = samples.build_core(far, near)
         chosen = [
             samples.list_forwards(
-                core.take_packet(0.0, samples.build_first(port))
+                core.handle_packet(0.0, samples.build_first(port))
             )[0]
             for port in range(200)
         ]
@@ -93,20 +93,22 @@
 
     def test_without_upstream_the_caller_is_told_at_once(self):
         core = samples.build_core()
-        effects = core.take_packet(0.0, samples.build_first(1))
+        effects = core.handle_packet(0.0, samples.build_first(1))
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
 
     def test_an_unknown_address_is_refused_only_on_fresh_knowledge(self):
         core = samples.build_core(samples.build_upstream(1))
         first = samples.build_first(1, address=samples.OTHER_ADDRESS)
         self.assertEqual(
-            [first.flow], samples.list_resets(core.take_packet(0.5, first))
+            [first.flow], samples.list_resets(core.handle_packet(0.5, first))
+        )
+        self.assertEqual(
+            [], samples.list_resets(core.handle_packet(9.0, first))
         )
-        self.assertEqual([], samples.list_resets(core.take_packet(9.0, first)))
 
     def test_packets_wait_for_the_first_configuration(self):
         core = affinity.AffinityCore(samples.ZONE, affinity.AffinitySettings())
-        self.assertEqual([], core.take_packet(0.0, samples.build_first(1)))
+        self.assertEqual([], core.handle_packet(0.0, samples.build_first(1)))
         core.set_upstreams(0.1, [samples.build_upstream(1)])
         self.assertFalse(core.is_ready)
         effects = core.set_routes(0.2, samples.build_routes())
@@ -120,7 +122,7 @@
         core = affinity.AffinityCore(samples.ZONE, settings)
         core.set_routes(0.0, samples.build_routes())
         core.note_confirmed(0.0)
-        self.assertEqual([], core.take_packet(0.1, samples.build_first(1)))
+        self.assertEqual([], core.handle_packet(0.1, samples.build_first(1)))
         upstream = samples.build_upstream(1)
         effects = core.set_upstreams(0.2, [upstream])
         self.assertEqual([upstream.name], samples.list_forwards(effects))
@@ -130,7 +132,7 @@
         core.set_routes(0.0, samples.build_routes(version=7))
         core.set_routes(0.1, affinity.RouteTable(6, []))
         self.assertEqual(7, core.version)
-        effects = core.take_packet(0.2, samples.build_first(1))
+        effects = core.handle_packet(0.2, samples.build_first(1))
         self.assertEqual(1, len(samples.list_forwards(effects)))
 
     @hypothesis.given(
--- a/skylarkfold/tests/affinity/test_own_link.py
+++ b/skylarkfold/tests/affinity/test_own_link.py
@@ -54,7 +54,7 @@
         self.loss = loss
         self.gone = set(gone)
         self.now = 0.0
-        self.room = room.InstanceRoom(room.RoomSettings(), link or 0.0)
+        self.room = room.InstanceHeadroom(room.RoomSettings(), link or 0.0)
         self.upstreams = [
             samples.build_upstream(number + 1, zone=ZONES[number % 3])
             for number in range(UPSTREAMS)
@@ -92,7 +92,7 @@
                 self.probe(each)
             elif isinstance(each, affinity.Reset):
                 self.resets.append(each.flow)
-            elif isinstance(each, affinity.AskPeers):
+            elif isinstance(each, affinity.QueryPeers):
                 self.asked += 1
 
     def probe(self, wanted):
@@ -104,7 +104,7 @@
 
     def end_probe(self, wanted, outcome):
         upstream = wanted.upstream
-        effects = self.core.take_probe(
+        effects = self.core.handle_probe_result(
             self.now,
             upstream.name,
             outcome,
@@ -126,7 +126,7 @@
         packet = samples.build_packet(
             port, upstream.token, sequence, self.answered[port], 100
         )
-        self.perform(self.core.take_packet(self.now, packet))
+        self.perform(self.core.handle_packet(self.now, packet))
         if self.is_lost(upstream):
             self.later(REPEAT_SECONDS, self.send, port, upstream, sequence)
         else:
@@ -137,12 +137,12 @@
         packet = samples.build_packet(
             port, upstream.token, self.sent[port] + 100, self.answered[port]
         )
-        self.perform(self.core.take_packet(self.now, packet))
+        self.perform(self.core.handle_packet(self.now, packet))
 
     def open(self, port):
         """Open a flow that nobody goes on with."""
         packet = samples.build_first(port)
-        effects = self.core.take_packet(self.now, packet)
+        effects = self.core.handle_packet(self.now, packet)
         self.perform(effects)
         names = samples.list_forwards(effects)
         if names and not self.is_lost(
@@ -155,7 +155,7 @@
         upstream = self.core.directory.get(name).upstream
         self.opened[port] = upstream
         packet = samples.build_packet(port, upstream.token)
-        self.perform(self.core.take_packet(self.now, packet))
+        self.perform(self.core.handle_packet(self.now, packet))
 
     def run(self, until=END):
         for number, port in enumerate(self.flows):
@@ -223,7 +223,7 @@
 
     def setUp(self):
         super().setUp()
-        self.room = room.InstanceRoom(room.RoomSettings(), self.RATE)
+        self.room = room.InstanceHeadroom(room.RoomSettings(), self.RATE)
         self.upstreams = [
             samples.build_upstream(number, zone=zone)
             for number, zone in enumerate(ZONES, 1)
@@ -236,40 +236,40 @@
         self.core.note_confirmed(0.0)
 
     def fill(self, now):
-        self.room.note_traffic(now, int(self.RATE), int(self.RATE))
+        self.room.record_traffic(now, int(self.RATE), int(self.RATE))
 
     def test_an_unanswered_request_raises_no_question(self):
         token = self.upstreams[0].token
-        self.core.take_packet(1.0, samples.build_packet(1, token))
+        self.core.handle_packet(1.0, samples.build_packet(1, token))
         request = samples.build_packet(1, token, length=100)
-        self.core.take_packet(1.0, request)
+        self.core.handle_packet(1.0, request)
         self.fill(1.1)
         effects = self.core.tick(1.12)
         self.assertEqual([], samples.list_asked(effects))
         self.assertEqual([], samples.list_probes(self.core.tick(1.2)))
 
     def test_an_unanswered_first_packet_is_not_copied(self):
-        self.core.take_packet(1.0, samples.build_first(5))
+        self.core.handle_packet(1.0, samples.build_first(5))
         self.fill(1.03)
         self.assertEqual([], samples.list_forwards(self.core.tick(1.05)))
 
     def test_the_caller_s_own_copy_goes_to_another_upstream(self):
-        first = self.core.take_packet(1.0, samples.build_first(5))
+        first = self.core.handle_packet(1.0, samples.build_first(5))
         self.fill(1.03)
         self.core.tick(1.05)
-        again = self.core.take_packet(1.2, samples.build_first(5, 1))
+        again = self.core.handle_packet(1.2, samples.build_first(5, 1))
         (name,) = samples.list_forwards(again)
         self.assertNotEqual(samples.list_forwards(first), [name])
 
     def test_probes_under_way_are_no_verdict(self):
         token = self.upstreams[0].token
-        self.core.take_packet(1.0, samples.build_packet(1, token))
-        self.core.take_packet(1.0, samples.build_packet(1, token, length=9))
+        self.core.handle_packet(1.0, samples.build_packet(1, token))
+        self.core.handle_packet(1.0, samples.build_packet(1, token, length=9))
         self.core.tick(1.11)
         (probed,) = samples.list_probes(self.core.tick(1.14))
         self.fill(1.2)
         for _ in range(4):
-            effects = self.core.take_probe(
+            effects = self.core.handle_probe_result(
                 1.24, probed, affinity.ProbeOutcome.SILENT
             )
             self.assertEqual([], samples.list_resets(effects))
@@ -279,7 +279,7 @@
     def test_a_peer_s_verdict_is_not_looked_into(self):
         self.fill(1.0)
         lost = [self.upstreams[1].incarnation]
-        self.assertEqual([], self.core.take_lost(1.0, lost))
+        self.assertEqual([], self.core.handle_unreachable(1.0, lost))
 
 
 class BusyUpstreamTest(testtools.TestCase):
@@ -295,9 +295,9 @@
         self.core = samples.build_core(self.busy, self.other)
         for port in range(1, 1 + self.REQUESTS):
             packet = samples.build_packet(port, self.busy.token)
-            self.core.take_packet(0.9, packet)
+            self.core.handle_packet(0.9, packet)
             packet = samples.build_packet(port, self.busy.token, length=100)
-            self.core.take_packet(1.0, packet)
+            self.core.handle_packet(1.0, packet)
 
     def repeat(self, now, resets):
         """Have callers repeat what is not answered."""
@@ -307,7 +307,7 @@
                 packet = samples.build_packet(
                     port, self.busy.token, length=100
                 )
-                effects += self.core.take_packet(now, packet)
+                effects += self.core.handle_packet(now, packet)
         return effects
 
     def run_until(self, now, until):
@@ -333,7 +333,7 @@
                     outcome = affinity.ProbeOutcome.ALIVE
                     if is_busy:
                         outcome = affinity.ProbeOutcome.SILENT
-                    effects += self.core.take_probe(
+                    effects += self.core.handle_probe_result(
                         now, each.upstream.name, outcome, None, each.is_control
                     )
         return resets
--- a/skylarkfold/tests/affinity/test_presence.py
+++ b/skylarkfold/tests/affinity/test_presence.py
@@ -16,7 +16,7 @@
     return [
         (each.kind, each.reason, each.details)
         for each in effects
-        if isinstance(each, affinity.Record)
+        if isinstance(each, affinity.RecordDecision)
     ]
 
 
--- a/skylarkfold/tests/affinity/test_restart.py
+++ b/skylarkfold/tests/affinity/test_restart.py
@@ -32,9 +32,9 @@
 
     def open_flow(self, now, port, core=None):
         core = core or self.core
-        core.take_packet(now, samples.build_first(port))
+        core.handle_packet(now, samples.build_first(port))
         packet = samples.build_packet(port, self.first.token)
-        effects = core.take_packet(now + 0.01, packet)
+        effects = core.handle_packet(now + 0.01, packet)
         self.assertEqual([self.first.name], samples.list_forwards(effects))
 
     def send(self, now, port, length=100, core=None):
@@ -42,7 +42,7 @@
         packet = samples.build_packet(
             port, self.first.token, int(now * 1000), 501, length
         )
-        return core.take_packet(now, packet)
+        return core.handle_packet(now, packet)
 
     def get_standing(self):
         return self.core.directory.get(self.first.name)
@@ -50,7 +50,7 @@
     def test_nothing_of_the_start_before_holds(self):
         self.open_flow(0.0, 1)
         loads = {self.first.incarnation: upstream_load.UpstreamLoad(7, 3.0)}
-        self.core.take_load(0.1, 'peer', loads)
+        self.core.handle_load(0.1, 'peer', loads)
         before = self.get_standing()
         before.health = 'out-of-reach'
         before.hasty_share = 0.9
@@ -70,7 +70,7 @@
         self.core.set_upstreams(1.0, [])
         self.core.set_upstreams(2.0, [self.second])
         self.assertIsNone(self.get_standing().lapsed_at)
-        effects = self.core.take_packet(2.1, samples.build_first(1))
+        effects = self.core.handle_packet(2.1, samples.build_first(1))
         self.assertEqual([self.second.name], samples.list_forwards(effects))
 
     def test_the_same_start_keeps_all(self):
@@ -103,11 +103,11 @@
         self.core.set_upstreams(1.0, [self.second])
         old = self.first.incarnation
         loads = {old: upstream_load.UpstreamLoad(7, 3.0)}
-        self.core.take_load(1.1, 'peer', loads)
-        self.core.take_heard(1.1, {old: 0.0})
-        effects = self.core.take_lost(1.1, [old])
+        self.core.handle_load(1.1, 'peer', loads)
+        self.core.handle_last_seen(1.1, {old: 0.0})
+        effects = self.core.handle_unreachable(1.1, [old])
         self.assertEqual([], effects)
-        self.assertEqual({}, self.core.list_heard(1.1, [old]))
+        self.assertEqual({}, self.core.list_last_seen(1.1, [old]))
         standing = self.get_standing()
         self.assertEqual(0, standing.load)
         self.assertLess(standing.last_heard, 0.0)
@@ -115,7 +115,7 @@
 
     def test_words_of_peers_who_were_first_hold_once_it_is_known(self):
         loads = {self.second.incarnation: upstream_load.UpstreamLoad(7, 3.0)}
-        self.core.take_load(0.9, 'peer', loads)
+        self.core.handle_load(0.9, 'peer', loads)
         self.assertEqual(0, self.get_standing().load)
         self.core.set_upstreams(1.0, [self.second])
         self.assertEqual(7, self.get_standing().load)
@@ -128,13 +128,13 @@
         (probed,) = samples.list_probes(core.tick(1.25))
         self.assertEqual(self.first.name, probed)
         core.set_upstreams(1.3, [self.second])
-        core.take_probe(
+        core.handle_probe_result(
             1.35, probed, affinity.ProbeOutcome.REFUSED, self.first.incarnation
         )
         standing = self.get_standing()
         self.assertEqual('good', standing.health)
         self.assertEqual(0, standing.failures)
-        core.take_probe(
+        core.handle_probe_result(
             1.35, probed, affinity.ProbeOutcome.ALIVE, self.first.incarnation
         )
         self.assertLess(standing.alive_at, 0.0)
@@ -201,7 +201,7 @@
         self.assertEqual('good', self.get_standing().health)
 
     def test_a_first_packet_to_the_start_before_is_no_doubt_either(self):
-        self.core.take_packet(1.0, samples.build_first(1))
+        self.core.handle_packet(1.0, samples.build_first(1))
         self.core.set_upstreams(1.01, [self.second])
         self.assertEqual([], samples.list_asked(self.core.tick(1.1)))
         self.assertEqual('good', self.get_standing().health)
@@ -214,7 +214,7 @@
         self.assertEqual(1, self.get_standing().flows)
 
     def test_an_answer_to_whatever_start_is_no_word_of_the_new_one(self):
-        self.core.take_packet(1.0, samples.build_first(1))
+        self.core.handle_packet(1.0, samples.build_first(1))
         self.core.set_upstreams(1.01, [self.second])
         self.send(1.1, 1)
         self.assertLess(self.get_standing().last_heard, 0.0)
@@ -224,8 +224,8 @@
             2, created=7, revision=7, address=('10.0.0.77', 80)
         )
         core = samples.build_core(other)
-        core.take_packet(0.0, samples.build_first(1))
-        core.take_packet(0.01, samples.build_packet(1, other.token))
+        core.handle_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.01, samples.build_packet(1, other.token))
         # The name's entry was created before that of whose address it has.
         moved = build(revision=SECOND, address=other.address)
         effects = core.set_upstreams(5.0, [moved])
@@ -242,8 +242,8 @@
             address=address,
         )
         core = samples.build_core(former)
-        core.take_packet(0.0, samples.build_first(1))
-        core.take_packet(0.01, samples.build_packet(1, former.token))
+        core.handle_packet(0.0, samples.build_first(1))
+        core.handle_packet(0.01, samples.build_packet(1, former.token))
         later = revisions.Revision(26, 2)
         new = samples.build_upstream(
             3, created=later, revision=later, address=address
@@ -255,7 +255,7 @@
         other = samples.build_core(self.second)
         self.core.set_upstreams(1.0, [self.second])
         for core in (self.core, other):
-            effects = core.take_packet(2.0, samples.build_first(1))
+            effects = core.handle_packet(2.0, samples.build_first(1))
             self.assertEqual(
                 [self.second.name], samples.list_forwards(effects)
             )
@@ -282,7 +282,7 @@
     def test_one_of_no_service_takes_nothing_from_others(self):
         routes = self.build_routes(1, samples.SERVICE)
         core = samples.build_core(self.known, self.foreign, routes=routes)
-        effects = core.take_packet(1.0, samples.build_first(1))
+        effects = core.handle_packet(1.0, samples.build_first(1))
         self.assertEqual([self.known.name], samples.list_forwards(effects))
         self.assertIsNone(core.directory.get(self.foreign.name))
 
@@ -300,10 +300,10 @@
         core = samples.build_core(
             self.known, routes=self.build_routes(1, samples.SERVICE)
         )
-        core.take_packet(1.0, samples.build_first(1))
-        core.take_packet(1.01, samples.build_packet(1, self.known.token))
+        core.handle_packet(1.0, samples.build_first(1))
+        core.handle_packet(1.01, samples.build_packet(1, self.known.token))
         core.set_routes(1.5, self.build_routes(2, 'another'))
-        effects = core.take_packet(
+        effects = core.handle_packet(
             2.0, samples.build_packet(1, self.known.token, 900, 501, 10)
         )
         self.assertEqual([self.known.name], samples.list_forwards(effects))
--- a/skylarkfold/tests/affinity/test_sharing.py
+++ b/skylarkfold/tests/affinity/test_sharing.py
@@ -78,7 +78,7 @@
             for at, host in arrivals:
                 self.port += 1
                 self.core.note_confirmed(at)
-                effects = self.core.take_packet(
+                effects = self.core.handle_packet(
                     at, build_packet(host, self.port)
                 )
                 asked[host] += 1
@@ -92,14 +92,14 @@
         """Do what the daemon does several times a second."""
         sharing = self.core.shares.sharing
         if sharing is not None:
-            sharing.refresh(self.now, shares.Fleet(0))
+            sharing.refresh(self.now, shares.FleetSize(0))
 
     def list_refused(self):
         """List the lines of refusals."""
         return [
             each
             for each in self.effects
-            if isinstance(each, affinity.Record)
+            if isinstance(each, affinity.RecordDecision)
             and each.reason == 'over-share'
         ]
 
@@ -149,7 +149,7 @@
         case.play(2.0, self.RATES)
         for port in range(100):
             packet = build_packet(PRESSING, port, copy=1)
-            effects = case.core.take_packet(case.now, packet)
+            effects = case.core.handle_packet(case.now, packet)
             self.assertEqual([], samples.list_resets(effects))
 
     def test_open_flows_are_carried_on(self):
@@ -159,7 +159,7 @@
             packet = build_packet(
                 PRESSING, port, False, token=case.token, length=10
             )
-            effects = case.core.take_packet(case.now, packet)
+            effects = case.core.handle_packet(case.now, packet)
             self.assertEqual(1, len(samples.list_forwards(effects)))
 
     def test_all_instances_draw_alike(self):
@@ -185,11 +185,11 @@
                 copy=500 + 10 * step,
                 length=10,
             )
-            core.take_packet(now, packet)
+            core.handle_packet(now, packet)
         case.now = 2.0
         case.refresh()
         callers = core.shares.sharing.callers
-        digest = shares.digest_service(samples.SERVICE)
+        digest = shares.hash_service(samples.SERVICE)
         slots, rate = callers._counts.measure_services(2.0)[digest]
         self.assertAlmostEqual(100.0, rate, delta=5.0)
 
--- a/skylarkfold/tests/affinity/test_speeds.py
+++ b/skylarkfold/tests/affinity/test_speeds.py
@@ -22,7 +22,7 @@
 WORK_SECONDS = 0.013
 # Of one upstream, at all instances.
 ANSWERS_PER_SECOND = 25
-MOST = upstream_load.MOST_ANSWERS
+MOST = upstream_load.MAXIMUM_ANSWERS
 
 
 class LearningTest(testtools.TestCase):
@@ -119,7 +119,10 @@
     def test_one_peer_that_errs_changes_nothing(self):
         # What it may say of an upstream at most, besides the true word of 25
         # answers a second.
-        for said in (upstream_load.MOST_MEAN, -upstream_load.MOST_MEAN):
+        for said in (
+            upstream_load.MAXIMUM_MEAN_SLOWNESS,
+            -upstream_load.MAXIMUM_MEAN_SLOWNESS,
+        ):
             self.answer(4.0, [1.0] * 5)
             self.standings[0].remote_answers = MOST
             self.standings[0].remote_slowness = MOST * said
@@ -174,7 +177,7 @@
     def test_where_a_flow_is_opened_its_speed_is_said(self):
         core = samples.build_core(samples.build_upstream(1))
         next(iter(core.directory)).speed = 0.5
-        opened, _ = core.take_packet(0.0, samples.build_first(1))
+        opened, _ = core.handle_packet(0.0, samples.build_first(1))
         self.assertEqual(0.5, opened.details['speed'])
 
     def test_a_slow_one_answers_later_by_estimate(self):
@@ -253,7 +256,7 @@
         self.assertLess(waits[0], waits[1] / 2)
 
     def test_one_liar_among_seven_sends_nobody_astray(self):
-        lie = (0, 0.0, MOST, MOST * upstream_load.MOST_MEAN)
+        lie = (0, 0.0, MOST, MOST * upstream_load.MAXIMUM_MEAN_SLOWNESS)
         told = [lie] + [(0, 0.0, 0.0, 0.0)] * 8
         fleet = deciders.Deciders(7, [1.0] * 9, 0.2, 0.5, told=told)
         for step in range(2, 7):
--- a/skylarkfold/tests/affinity/test_token.py
+++ b/skylarkfold/tests/affinity/test_token.py
@@ -11,7 +11,7 @@
         upstream = samples.build_upstream(1)
         core = samples.build_core(upstream, samples.build_upstream(2))
         packet = samples.build_packet(1, upstream.token, length=10)
-        effects = core.take_packet(0.0, packet)
+        effects = core.handle_packet(0.0, packet)
         self.assertEqual([upstream.name], samples.list_forwards(effects))
 
     def test_a_lapsed_entry_is_no_dead_upstream(self):
@@ -19,32 +19,32 @@
         core = samples.build_core(upstream, samples.build_upstream(2))
         core.set_upstreams(1.0, [samples.build_upstream(2)])
         packet = samples.build_packet(1, upstream.token, length=10)
-        effects = core.take_packet(5.0, packet)
+        effects = core.handle_packet(5.0, packet)
         self.assertEqual([upstream.name], samples.list_forwards(effects))
-        new = core.take_packet(5.0, samples.build_first(2))
+        new = core.handle_packet(5.0, samples.build_first(2))
         self.assertEqual(['i-0000000002'], samples.list_forwards(new))
 
     def test_a_lapsed_upstream_is_used_where_there_is_no_other(self):
         upstream = samples.build_upstream(1)
         core = samples.build_core(upstream)
         core.set_upstreams(1.0, [])
-        soon = core.take_packet(2.0, samples.build_first(1))
+        soon = core.handle_packet(2.0, samples.build_first(1))
         self.assertEqual([upstream.name], samples.list_forwards(soon))
-        late = core.take_packet(4.0, samples.build_first(2))
+        late = core.handle_packet(4.0, samples.build_first(2))
         self.assertEqual(1, len(samples.list_resets(late)))
 
     def test_an_address_with_a_new_owner_ends_the_flows_of_the_old(self):
         old = samples.build_upstream(1, address=('10.0.0.9', 8080))
         core = samples.build_core(old)
         packet = samples.build_packet(1, old.token, length=10)
-        core.take_packet(0.0, packet)
+        core.handle_packet(0.0, packet)
         new = samples.build_upstream(
             2, samples.OTHER_SERVICE, address=('10.0.0.9', 8080)
         )
         effects = core.set_upstreams(3.0, [new])
         self.assertEqual([packet.flow], samples.list_resets(effects))
         later = samples.build_packet(2, old.token, length=10)
-        effects = core.take_packet(3.1, later)
+        effects = core.handle_packet(3.1, later)
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual([later.flow], samples.list_resets(effects))
 
@@ -55,24 +55,24 @@
         for order in ((older, newer), (newer, older)):
             core = samples.build_core(*order)
             for port in range(20):
-                effects = core.take_packet(0.0, samples.build_first(port))
+                effects = core.handle_packet(0.0, samples.build_first(port))
                 self.assertEqual([older.name], samples.list_forwards(effects))
             packet = samples.build_packet(50, older.token)
-            effects = core.take_packet(0.0, packet)
+            effects = core.handle_packet(0.0, packet)
             self.assertEqual([older.name], samples.list_forwards(effects))
 
     def test_a_token_of_an_upstream_not_known_yet_waits_for_it(self):
         core = samples.build_core(samples.build_upstream(1))
         new = samples.build_upstream(2)
         packet = samples.build_packet(1, new.token, length=10)
-        self.assertEqual([], core.take_packet(0.0, packet))
+        self.assertEqual([], core.handle_packet(0.0, packet))
         effects = core.set_upstreams(0.1, [samples.build_upstream(1), new])
         self.assertEqual([new.name], samples.list_forwards(effects))
 
     def test_what_waits_is_bounded_in_number_and_time(self):
         core = samples.build_core(samples.build_upstream(1))
         for port in range(2000):
-            core.take_packet(0.0, samples.build_packet(port, 99))
+            core.handle_packet(0.0, samples.build_packet(port, 99))
         self.assertGreater(core.tally.counters['drop.token-unknown'], 1000)
         core.tick(1.0)
         new = samples.build_upstream(99)
@@ -83,9 +83,9 @@
         upstream = samples.build_upstream(1)
         core = samples.build_core(upstream)
         packet = samples.build_packet(1, upstream.token, length=10)
-        core.take_packet(0.0, packet)
+        core.handle_packet(0.0, packet)
         core.set_routes(0.1, affinity.RouteTable(2, []))
-        effects = core.take_packet(0.2, packet)
+        effects = core.handle_packet(0.2, packet)
         self.assertEqual([packet.flow], samples.list_resets(effects))
 
     def test_a_route_that_is_not_known_yet_ends_no_flow(self):
@@ -96,12 +96,12 @@
         core.set_routes(0.0, affinity.RouteTable(3, []))
         core.set_upstreams(0.0, [upstream])
         packet = samples.build_packet(1, upstream.token, length=10)
-        effects = core.take_packet(0.1, packet)
+        effects = core.handle_packet(0.1, packet)
         self.assertEqual([upstream.name], samples.list_forwards(effects))
         # That it isn't there is certain now.
         core.note_confirmed(0.2)
         again = samples.build_packet(1, upstream.token, 111, length=10)
-        effects = core.take_packet(0.3, again)
+        effects = core.handle_packet(0.3, again)
         self.assertEqual([packet.flow], samples.list_resets(effects))
 
     def test_a_route_that_was_known_and_removed_ends_its_flows_at_once(self):
@@ -110,11 +110,11 @@
         core.set_routes(0.0, affinity.RouteTable(3, []))
         core.set_upstreams(0.0, [upstream])
         packet = samples.build_packet(1, upstream.token, length=10)
-        core.take_packet(0.1, packet)
+        core.handle_packet(0.1, packet)
         core.set_routes(0.2, samples.build_routes(4))
-        core.take_packet(0.3, packet)
+        core.handle_packet(0.3, packet)
         core.set_routes(0.4, affinity.RouteTable(5, []))
-        effects = core.take_packet(0.5, packet)
+        effects = core.handle_packet(0.5, packet)
         self.assertEqual([packet.flow], samples.list_resets(effects))
 
     def test_other_weights_leave_open_flows_where_they_are(self):
@@ -122,10 +122,10 @@
         new = samples.build_upstream(2, samples.OTHER_SERVICE)
         core = samples.build_core(old, new)
         packet = samples.build_packet(1, old.token, length=10)
-        core.take_packet(0.0, packet)
+        core.handle_packet(0.0, packet)
         shares = ((samples.OTHER_SERVICE, 1),)
         core.set_routes(0.1, samples.build_routes(2, shares))
-        effects = core.take_packet(0.2, packet)
+        effects = core.handle_packet(0.2, packet)
         self.assertEqual([old.name], samples.list_forwards(effects))
-        effects = core.take_packet(0.2, samples.build_first(2))
+        effects = core.handle_packet(0.2, samples.build_first(2))
         self.assertEqual([new.name], samples.list_forwards(effects))
--- a/skylarkfold/tests/affinity/test_warm_up.py
+++ b/skylarkfold/tests/affinity/test_warm_up.py
@@ -87,7 +87,7 @@
             now = SETTLED + number / per_second
             core = cores[names[(number * 7919) % instances]]
             packet = samples.build_first(number + 1)
-            effects = core.take_packet(now, packet)
+            effects = core.handle_packet(now, packet)
             refused += len(samples.list_resets(effects))
             for name in samples.list_forwards(effects):
                 openings[name].append(now)
@@ -135,7 +135,7 @@
         names = []
         for port in ports:
             packet = samples.build_first(port)
-            effects = self.core.take_packet(now, packet)
+            effects = self.core.handle_packet(now, packet)
             names += samples.list_forwards(effects)
         return names
 
@@ -163,7 +163,7 @@
         names = self.open_flows(SETTLED, range(40))
         self.assertLessEqual(len(names), 2 * SLACK)
         packet = samples.build_first(99)
-        effects = self.core.take_packet(SETTLED, packet)
+        effects = self.core.handle_packet(SETTLED, packet)
         self.assertEqual(1, len(samples.list_resets(effects)))
 
     def test_one_that_is_warm_takes_all_again(self):
@@ -214,7 +214,7 @@
             sent += samples.list_forwards(self.core.tick(now))
             if step in (20, 39):
                 copy = samples.build_first(1, copy=step)
-                effects = self.core.take_packet(now, copy)
+                effects = self.core.handle_packet(now, copy)
                 sent += samples.list_forwards(effects)
         self.assertLessEqual(len(sent), SLACK)
 
@@ -223,7 +223,7 @@
         core.set_mates(SETTLED, 'one', [])
         upstream = samples.build_upstream(1, warm_up_seconds=2.0)
         core.set_upstreams(SETTLED, [upstream])
-        effects = core.take_packet(SETTLED + 1.0, samples.build_first(1))
+        effects = core.handle_packet(SETTLED + 1.0, samples.build_first(1))
         self.assertEqual([], samples.list_forwards(effects))
 
     def test_an_instance_of_another_zone_sends_none(self):
@@ -278,7 +278,7 @@
             packet = samples.build_packet(
                 port, token, sequence, sequence + 400, length
             )
-            self.core.take_packet(now + wait, packet)
+            self.core.handle_packet(now + wait, packet)
 
 
 class Upstream:
@@ -422,7 +422,7 @@
             self.now += seconds / 10
             for instance in self.instances:
                 packet = samples.build_first(next(self.ports) % 60000)
-                effects = instance.core.take_packet(self.now, packet)
+                effects = instance.core.handle_packet(self.now, packet)
                 effects += instance.core.tick(self.now)
                 for name in samples.list_forwards(effects):
                     upstream = by_name[name]
--- a/skylarkfold/tests/affinity/test_zone_loss.py
+++ b/skylarkfold/tests/affinity/test_zone_loss.py
@@ -62,7 +62,9 @@
                 if upstream.name in self.lost:
                     outcome = affinity.ProbeOutcome.SILENT
                 self.perform(
-                    self.core.take_probe(self.now, upstream.name, outcome)
+                    self.core.handle_probe_result(
+                        self.now, upstream.name, outcome
+                    )
                 )
             self.perform(self.core.tick(self.now))
 
@@ -73,7 +75,7 @@
             packet = samples.build_packet(
                 port, upstream.token, sequence, sequence + 400, 100
             )
-            self.perform(self.core.take_packet(self.now, packet))
+            self.perform(self.core.handle_packet(self.now, packet))
 
     def play(self):
         """Have the zone fall silent while callers use some of it."""
@@ -89,7 +91,7 @@
                     packet = samples.build_packet(
                         port, upstream.token, 101, 501, 100
                     )
-                    effects = self.core.take_packet(self.now, packet)
+                    effects = self.core.handle_packet(self.now, packet)
                     self.perform(effects)
 
     def test_few_probes_are_under_way(self):
@@ -108,7 +110,7 @@
     def test_no_new_flow_goes_there(self):
         self.play()
         for port in range(20000, 20100):
-            effects = self.core.take_packet(
+            effects = self.core.handle_packet(
                 self.now, samples.build_first(port)
             )
             (name,) = samples.list_forwards(effects)
@@ -117,23 +119,25 @@
 
     def test_what_peers_found_lost_is_probed_and_passed_on(self):
         far = self.far[7]
-        effects = self.core.take_lost(1.0, [far.incarnation])
+        effects = self.core.handle_unreachable(1.0, [far.incarnation])
         self.assertEqual([far.name], samples.list_probes(effects))
 
     def test_beyond_a_zone_of_them_they_are_passed_by_without_a_probe(self):
         lost = [each.incarnation for each in self.far]
-        effects = self.core.take_lost(1.0, lost)
+        effects = self.core.handle_unreachable(1.0, lost)
         self.assertEqual(SAMPLED, len(samples.list_probes(effects)))
         standing = self.core.directory.get(self.far[-1].name)
         self.assertGreater(standing.avoided_until, 4.0)
 
     def test_one_that_is_passed_by_is_used_again_once_it_is_heard(self):
-        self.core.take_lost(1.0, [each.incarnation for each in self.far])
+        self.core.handle_unreachable(
+            1.0, [each.incarnation for each in self.far]
+        )
         far = self.far[-1]
         for sequence in (101, 201):
             packet = samples.build_packet(
                 60001, far.token, sequence, sequence + 400, 100
             )
-            self.core.take_packet(1.1, packet)
+            self.core.handle_packet(1.1, packet)
         standing = self.core.directory.get(far.name)
         self.assertLess(standing.avoided_until, 1.0)
--- a/skylarkfold/tests/distribution/test_convergence.py
+++ b/skylarkfold/tests/distribution/test_convergence.py
@@ -14,13 +14,13 @@
 from skylarkfold.measure import _control_fleet
 from skylarkfold.measure import _control_platform
 from skylarkfold import member
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 ZONES = ('hall-a', 'hall-b', 'hall-c')
 HOSTS = tuple(f'entry-{number}' for number in range(6))
 PATHS = ('/teams/desk/settings', '/tables/desk', '/claims/x', '/leases/y')
 BOUND_SECONDS = 90.0
-OK = stored.PlatformStatus.OK
+OK = platform_api.PlatformStatus.OK
 
 hosts = strategies.sampled_from(HOSTS)
 waits = strategies.sampled_from((0, 0.5, 4, 12, 30))
--- a/skylarkfold/tests/distribution/test_core.py
+++ b/skylarkfold/tests/distribution/test_core.py
@@ -7,10 +7,10 @@
 from skylarkfold import endpoint
 from skylarkfold import event
 from skylarkfold import instance
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
-from skylarkfold import stored
 
-OK = stored.PlatformStatus.OK
+OK = platform_api.PlatformStatus.OK
 
 
 def build_core(name='a1', **changes):
@@ -23,7 +23,7 @@
 
 
 def build_object(path, revision, value=b'x'):
-    return stored.StoredObject(path, 1, revision, value)
+    return platform_api.StoredObject(path, 1, revision, value)
 
 
 def list_of(kind, effects):
@@ -32,14 +32,14 @@
 
 def load(core, now, revision, *objects):
     (call,) = list_of(effect.CallPlatform, core.handle(now, event.Tick()))
-    answer = stored.PlatformAnswer(OK, objects, revision)
+    answer = platform_api.PlatformAnswer(OK, objects, revision)
     return core.handle(now, event.PlatformAnswered(call.call, answer))
 
 
 def refuse(core, now):
     """Answer the next call as one whose revision is compacted away."""
     (call,) = list_of(effect.CallPlatform, core.handle(now, event.Tick()))
-    answer = stored.PlatformAnswer(stored.PlatformStatus.REFUSED)
+    answer = platform_api.PlatformAnswer(platform_api.PlatformStatus.REFUSED)
     core.handle(now, event.PlatformAnswered(call.call, answer))
 
 
@@ -161,7 +161,7 @@
         for now in (1.0, 4.0):
             connected = cores['a1'].handle(now, event.PeerConnected('a2'))
             exchange(now, cores, connected, 'a1')
-        idle = stored.PlatformAnswer(OK, (), 9)
+        idle = platform_api.PlatformAnswer(OK, (), 9)
         cores['a2'].handle(5.0, event.PlatformAnswered(watch.call, idle))
         effects = load(cores['a2'], 5.0, 9, *whole)
         self.assertIn(effect.PublishObject(whole[2]), effects)
@@ -236,7 +236,7 @@
     def build(self, number, era, version):
         """Build the settings as the store has them."""
         revision = int(revisions.Revision(number, era))
-        return stored.StoredObject(
+        return platform_api.StoredObject(
             self.PATH, version, revision, f'v{version}'.encode()
         )
 
@@ -273,8 +273,8 @@
         self.assertEqual([], self.list_all(core, 2.0, self.build(26, 2, 4)))
         (call,) = list_of(effect.CallPlatform, core.handle(3.0, event.Tick()))
         revision = int(revisions.Revision(27, 2))
-        new = stored.StoredObject(self.PATH, 5, revision, b'new')
-        answer = stored.PlatformAnswer(OK, (new,), revision)
+        new = platform_api.StoredObject(self.PATH, 5, revision, b'new')
+        answer = platform_api.PlatformAnswer(OK, (new,), revision)
         effects = core.handle(3.1, event.PlatformAnswered(call.call, answer))
         (published,) = list_of(effect.PublishObject, effects)
         self.assertEqual(b'new', published.stored.value)
@@ -310,8 +310,8 @@
         self.list_all(core, 2.0, self.build(26, 2, 2))
         (call,) = list_of(effect.CallPlatform, core.handle(3.0, event.Tick()))
         revision = int(revisions.Revision(27, 2))
-        gone = stored.StoredObject(self.PATH, 3, revision, None)
-        answer = stored.PlatformAnswer(OK, (gone,), revision)
+        gone = platform_api.StoredObject(self.PATH, 3, revision, None)
+        answer = platform_api.PlatformAnswer(OK, (gone,), revision)
         effects = core.handle(3.1, event.PlatformAnswered(call.call, answer))
         (published,) = list_of(effect.PublishObject, effects)
         self.assertIsNone(published.stored.value)
@@ -319,11 +319,11 @@
     def test_what_the_system_writes_is_as_the_store_has_it(self):
         core = build_core()
         first = int(revisions.Revision(38, 1))
-        table = stored.StoredObject('/tables/desk', 3, first, b'new')
+        table = platform_api.StoredObject('/tables/desk', 3, first, b'new')
         load(core, 0.0, first, table)
         refuse(core, 1.0)
         later = int(revisions.Revision(26, 2))
-        older = stored.StoredObject('/tables/desk', 2, later, b'old')
+        older = platform_api.StoredObject('/tables/desk', 2, later, b'old')
         effects = load(core, 2.0, later, older)
         (published,) = list_of(effect.PublishObject, effects)
         self.assertEqual(b'old', published.stored.value)
--- a/skylarkfold/tests/distribution/test_messages.py
+++ b/skylarkfold/tests/distribution/test_messages.py
@@ -89,7 +89,7 @@
                 self.feed(cores, now, event.Tick())
 
     def test_the_highest_incarnation_is_refuted_or_malformed(self):
-        fact = membership.Fact(
+        fact = membership.MemberUpdate(
             name='a1',
             zone='hall-a',
             region='norte',
@@ -102,12 +102,12 @@
         decoder = codec.StreamDecoder(MESSAGES)
         for incarnation in (1 << 62, (1 << 64) - 1):
             told = msgspec.structs.replace(fact, incarnation=incarnation)
-            data = codec.encode(membership.Introduction(told, True))
+            data = codec.encode(membership.Hello(told, True))
             try:
                 (message,) = decoder.feed(data)
             except errors.DecodeError:
                 continue
-            rumor = membership.Rumor((message.fact,))
+            rumor = membership.Gossip((message.fact,))
             received = event.PeerMessageReceived('a2', rumor)
             cores = build_cores()
             self.feed(cores, 0.0, received)
--- a/skylarkfold/tests/distribution/test_packing.py
+++ b/skylarkfold/tests/distribution/test_packing.py
@@ -9,11 +9,11 @@
 from skylarkfold import codec
 from skylarkfold.distribution import _packing
 from skylarkfold import errors
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 objects = strategies.lists(
     strategies.builds(
-        stored.StoredObject,
+        platform_api.StoredObject,
         path=strategies.text(max_size=9),
         version=strategies.integers(0, 9),
         revision=strategies.integers(0, 1 << 62),
--- a/skylarkfold/tests/edge/test_datagram.py
+++ b/skylarkfold/tests/edge/test_datagram.py
@@ -66,7 +66,7 @@
             lambda: self.socket, local_addr=(fixture.HOST, 0)
         )
         _, self.listener = await loop.create_datagram_endpoint(
-            lambda: edge.Listener(
+            lambda: edge.DatagramListener(
                 self.runtime, self.service, self.router, self.socket
             ),
             local_addr=self.service.address,
--- a/skylarkfold/tests/edge/test_peer.py
+++ b/skylarkfold/tests/edge/test_peer.py
@@ -76,7 +76,7 @@
             serialization.PrivateFormat.PKCS8,
             serialization.NoEncryption(),
         )
-        return edge.make_contexts(
+        return edge.make_tls_contexts(
             self.write(name, self.sign(name, key)),
             self.write(f'{name}-key', encoded),
             self.path,
