--- a/skylarkfold/tests/edge/test_platform.py
+++ b/skylarkfold/tests/edge/test_platform.py
@@ -6,14 +6,14 @@
 import testtools
 
 from skylarkfold import edge
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
 from skylarkfold import standin
 from skylarkfold.standin import _daemon
 from skylarkfold.standin import _platform
-from skylarkfold import stored
 from skylarkfold.tests.edge import fixture
 
-OK = stored.PlatformStatus.OK
+OK = platform_api.PlatformStatus.OK
 
 
 @contextlib.asynccontextmanager
@@ -38,7 +38,7 @@
 
 
 def write(value, version, path='/teams/desk/settings'):
-    return stored.WriteObject(path, value, version)
+    return platform_api.WriteObject(path, value, version)
 
 
 class PlatformClientTest(testtools.TestCase):
@@ -49,20 +49,20 @@
                     write(b'one', 0),
                     write(b'two', 0),
                     write(b'two', 1),
-                    stored.ReadObject('/teams/desk/settings'),
-                    stored.ReadObject('/none'),
-                    stored.ListObjects('/teams/'),
-                    stored.WatchObjects('/', place(1), 1.0),
+                    platform_api.ReadObject('/teams/desk/settings'),
+                    platform_api.ReadObject('/none'),
+                    platform_api.ListObjects('/teams/'),
+                    platform_api.WatchObjects('/', place(1), 1.0),
                     write(None, 2),
                 ]
                 return [await client.call(each, 5.0) for each in calls]
 
         answers = fixture.run(check())
         statuses = [each.status for each in answers]
-        conflict = stored.PlatformStatus.CONFLICT
-        missing = stored.PlatformStatus.NOT_FOUND
+        conflict = platform_api.PlatformStatus.CONFLICT
+        missing = platform_api.PlatformStatus.NOT_FOUND
         self.assertEqual([OK, conflict, OK, OK, missing, OK, OK, OK], statuses)
-        expected = stored.StoredObject(
+        expected = platform_api.StoredObject(
             '/teams/desk/settings', 2, place(2), b'two'
         )
         for index in (2, 3, 5, 6):
@@ -76,21 +76,21 @@
                 saved = platform.store.copy()
                 await client.call(write(b'two', 1), 5.0)
                 await client.call(write(b'three', 2), 5.0)
-                before = await client.call(stored.ListObjects('/'), 5.0)
+                before = await client.call(platform_api.ListObjects('/'), 5.0)
                 platform.store = platform.store.restore(saved)
-                watch = stored.WatchObjects('/', before.revision, 0.1)
+                watch = platform_api.WatchObjects('/', before.revision, 0.1)
                 watched = await client.call(watch, 5.0)
                 for version in (1, 2, 3):
                     await client.call(write(b'x', version), 5.0)
                 again = await client.call(watch, 5.0)
-                after = await client.call(stored.ListObjects('/'), 5.0)
+                after = await client.call(platform_api.ListObjects('/'), 5.0)
                 return before, watched, again, after
 
         before, watched, again, after = fixture.run(check())
         self.assertEqual(place(3), before.revision)
         # One that the store doesn't have, then one that it has given to
         # something else since.
-        refused = stored.PlatformStatus.REFUSED
+        refused = platform_api.PlatformStatus.REFUSED
         self.assertEqual([refused] * 2, [watched.status, again.status])
         self.assertEqual(place(4, era=2), after.revision)
         self.assertEqual(place(4, era=2), after.objects[0].revision)
@@ -100,10 +100,10 @@
             async with open_client() as (platform, client):
                 saved = platform.store.copy()
                 platform.store = platform.store.restore(saved)
-                return await client.call(stored.ReadObject('/none'), 5.0)
+                return await client.call(platform_api.ReadObject('/none'), 5.0)
 
         answer = fixture.run(check())
-        self.assertEqual(stored.PlatformStatus.NOT_FOUND, answer.status)
+        self.assertEqual(platform_api.PlatformStatus.NOT_FOUND, answer.status)
         self.assertEqual(place(0, era=2), answer.revision)
 
     def test_an_answer_without_an_era_is_of_the_last_one(self):
@@ -111,9 +111,11 @@
             async with open_client() as (platform, client):
                 await client.call(write(b'one', 0), 5.0)
                 platform.store = platform.store.restore(platform.store.copy())
-                await client.call(stored.ListObjects('/'), 5.0)
+                await client.call(platform_api.ListObjects('/'), 5.0)
                 with mock.patch.object(_platform, 'ERA_HEADER', 'X-Other'):
-                    return await client.call(stored.ListObjects('/'), 5.0)
+                    return await client.call(
+                        platform_api.ListObjects('/'), 5.0
+                    )
 
         answer = fixture.run(check())
         self.assertEqual(place(1, era=2), answer.revision)
@@ -124,33 +126,34 @@
                 platform.faults = standin.Faults(lose_answers=1)
                 lost = await client.call(write(b'one', 0), 5.0)
                 read = await client.call(
-                    stored.ReadObject('/teams/desk/settings'), 5.0
+                    platform_api.ReadObject('/teams/desk/settings'), 5.0
                 )
                 return lost, read
 
         lost, read = fixture.run(check())
-        self.assertEqual(stored.PlatformStatus.UNKNOWN, lost.status)
+        self.assertEqual(platform_api.PlatformStatus.UNKNOWN, lost.status)
         self.assertEqual(b'one', read.objects[0].value)
 
     def test_platform_that_is_down_or_slow_is_unknown(self):
         async def check():
             async with open_client() as (platform, client):
                 platform.faults = standin.Faults(down=True)
-                down = await client.call(stored.ListInstances(), 5.0)
+                down = await client.call(platform_api.ListInstances(), 5.0)
                 platform.faults = standin.Faults(delay_ms=2000)
-                slow = await client.call(stored.ListInstances(), 0.05)
+                slow = await client.call(platform_api.ListInstances(), 0.05)
                 return down.status, slow.status
 
-        unknown = stored.PlatformStatus.UNKNOWN
+        unknown = platform_api.PlatformStatus.UNKNOWN
         self.assertEqual((unknown, unknown), fixture.run(check()))
 
     def test_instances_are_listed(self):
         async def check():
             async with open_client() as (platform, client):
                 platform._instances.put(
-                    0.0, stored.ListedInstance('a', 'z', 'r', '127.0.0.1:1')
+                    0.0,
+                    platform_api.ListedInstance('a', 'z', 'r', '127.0.0.1:1'),
                 )
-                return await client.call(stored.ListInstances(), 5.0)
+                return await client.call(platform_api.ListInstances(), 5.0)
 
         answer = fixture.run(check())
         self.assertEqual(('a',), tuple(e.name for e in answer.instances))
--- a/skylarkfold/tests/explain/test_explain.py
+++ b/skylarkfold/tests/explain/test_explain.py
@@ -36,7 +36,7 @@
 class ExplainTest(testtools.TestCase):
     def tell(self, flow=FLOW, logs=None):
         lines = list(explain.read_lines(logs or build_logs()))
-        return explain.tell(flow, lines)
+        return explain.build_history(flow, lines)
 
     def test_lines_of_the_flow_and_of_its_upstream_are_told(self):
         story = self.tell()
@@ -72,7 +72,7 @@
             )
         ]
         for flow in (FLOW, '192.0.2.7:40001'):
-            text = explain.format_story(self.tell(flow, logs))
+            text = explain.format_history(self.tell(flow, logs))
             self.assertIn('last decision: reset over-share', text)
             self.assertIn('demand_slots=9.5 share_slots=3.0', text)
             self.assertIn('word_age_ms=240', text)
@@ -92,7 +92,7 @@
 
     def test_the_text_says_what_is_not_known(self):
         logs = [*build_logs(), samples.write(5.0, 'three', 'open', flow=FLOW)]
-        text = explain.format_story(self.tell(logs=logs))
+        text = explain.format_history(self.tell(logs=logs))
         self.assertIn('three: not comparable', text)
         self.assertIn('two: +2.010 s, from 2 changes', text)
         self.assertIn('last decision:', text)
@@ -102,7 +102,7 @@
             *build_logs(),
             samples.write(101.3, 'one', 'lines left out', count=3),
         ]
-        text = explain.format_story(self.tell(logs=logs))
+        text = explain.format_history(self.tell(logs=logs))
         self.assertIn('the story has gaps', text)
 
     def test_what_a_collector_puts_before_a_line_is_passed_over(self):
--- a/skylarkfold/tests/fakes.py
+++ b/skylarkfold/tests/fakes.py
@@ -2,9 +2,9 @@
 
 import dataclasses
 
-from skylarkfold import stored
+from skylarkfold import platform_api
 
-Status = stored.PlatformStatus
+Status = platform_api.PlatformStatus
 
 
 class FakePlatform:
@@ -28,13 +28,15 @@
 
     def perform(self, call, behind=0):
         """Answer a call, reads from some revisions ago."""
-        if isinstance(call, stored.WriteObject):
+        if isinstance(call, platform_api.WriteObject):
             return self._write(call)
-        if isinstance(call, stored.ReadObject):
+        if isinstance(call, platform_api.ReadObject):
             found = self.get(call.path, behind)
             if found is None:
-                return stored.PlatformAnswer(Status.NOT_FOUND)
-            return stored.PlatformAnswer(Status.OK, (found,), found.revision)
+                return platform_api.PlatformAnswer(Status.NOT_FOUND)
+            return platform_api.PlatformAnswer(
+                Status.OK, (found,), found.revision
+            )
         revision = max(0, self.revision - behind)
         state = self._states[revision]
         found = tuple(
@@ -42,14 +44,14 @@
             for path, each in sorted(state.items())
             if path.startswith(call.prefix)
         )
-        return stored.PlatformAnswer(Status.OK, found, revision)
+        return platform_api.PlatformAnswer(Status.OK, found, revision)
 
     def _write(self, call):
         current = self.get(call.path)
         version = current.version if current else 0
         if version != call.expected_version:
-            return stored.PlatformAnswer(Status.CONFLICT)
-        written = stored.StoredObject(
+            return platform_api.PlatformAnswer(Status.CONFLICT)
+        written = platform_api.StoredObject(
             call.path, version + 1, self.revision + 1, call.value
         )
         self.log.append(written)
@@ -59,8 +61,10 @@
             del state[call.path]
         self._states.append(state)
         told = dataclasses.replace(written, value=None)
-        return stored.PlatformAnswer(Status.OK, (told,), written.revision)
+        return platform_api.PlatformAnswer(
+            Status.OK, (told,), written.revision
+        )
 
 
-LOST = stored.PlatformAnswer(Status.UNKNOWN)
-SHED = stored.PlatformAnswer(Status.REFUSED)
+LOST = platform_api.PlatformAnswer(Status.UNKNOWN)
+SHED = platform_api.PlatformAnswer(Status.REFUSED)
--- a/skylarkfold/tests/flows/cluster.py
+++ b/skylarkfold/tests/flows/cluster.py
@@ -12,9 +12,9 @@
 from skylarkfold import flows
 from skylarkfold import instance
 from skylarkfold import member
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
 from skylarkfold import service
-from skylarkfold import stored
 
 ADDRESS = endpoint.Endpoint('10.0.0.1', 7000)
 ZONES = ('hall-a', 'hall-b', 'hall-c')
@@ -215,10 +215,10 @@
     def write(self, name, write):
         """Write conditionally to the store."""
         version = self.stored.version if self.stored else 0
-        status = stored.PlatformStatus.CONFLICT
+        status = platform_api.PlatformStatus.CONFLICT
         if not self.is_store_down and version == write.expected_version:
-            status = stored.PlatformStatus.OK
-            self.stored = stored.StoredObject(
+            status = platform_api.PlatformStatus.OK
+            self.stored = platform_api.StoredObject(
                 write.path,
                 version + 1,
                 int(revisions.Revision(version + 1, self.era)),
@@ -227,7 +227,7 @@
             self.publish_table()
         current = self.stored
         if self.is_store_down or self.loses_answers:
-            status = stored.PlatformStatus.UNKNOWN
+            status = platform_api.PlatformStatus.UNKNOWN
             current = None
         ended = event.WriteEnded(write.path, status, current)
         self.deliver('platform', name, ended, self.delay)
@@ -239,7 +239,7 @@
         if saved is not None:
             version, value = saved.version, saved.value
         revision = int(revisions.Revision(version, self.era))
-        found = stored.StoredObject(path, version, revision, value)
+        found = platform_api.StoredObject(path, version, revision, value)
         self.stored = None if saved is None else found
         self.publish(event.ObjectChanged(found))
 
--- a/skylarkfold/tests/forwarder/test_lines.py
+++ b/skylarkfold/tests/forwarder/test_lines.py
@@ -56,7 +56,7 @@
             for _ in range(100):
                 self.emit(handler, 'm' * 500)
             handler.flush()
-        self.assertGreater(handler.left_out, 0)
+        self.assertGreater(handler.dropped, 0)
         before = len(self.read())
         self.assertGreater(before, 0)
         handler.flush()
@@ -75,7 +75,7 @@
         messages = [line['message'] for line in self.read()]
         self.assertEqual(2, messages.count('flow'))
         self.assertEqual(1, messages.count('health'))
-        self.assertEqual(3, handler.left_out)
+        self.assertEqual(3, handler.dropped)
         self.assertIn('lines left out', messages)
 
     def test_a_reader_that_is_gone_ends_nothing(self):
@@ -101,4 +101,4 @@
         messages = [line['message'] for line in self.read()]
         self.assertIn('1.0', messages)
         self.assertIn('2.0', messages)
-        self.assertEqual(2, handler.left_out)
+        self.assertEqual(2, handler.dropped)
--- a/skylarkfold/tests/forwarder/test_link.py
+++ b/skylarkfold/tests/forwarder/test_link.py
@@ -13,7 +13,7 @@
 
 class LinkCountTest(testtools.TestCase):
     def test_packets_and_their_headers_are_noted_together(self):
-        own = room.InstanceRoom(room.RoomSettings(), RATE)
+        own = room.InstanceHeadroom(room.RoomSettings(), RATE)
         count = _link.LinkCount(own)
         for _ in range(10):
             count.count_received(72)
@@ -29,7 +29,7 @@
     def __init__(self):
         self.told = []
 
-    def tell_zone(self, now, doubts, lost):
+    def notify_zone(self, now, doubts, lost):
         self.told.append((now, doubts, lost))
         return ['beacon']
 
@@ -49,8 +49,8 @@
         self.assertEqual([], questions.send(1.0, announcer))
         first, second = (samples.build_upstream(each) for each in (7, 9))
         for upstream in (first, second, first):
-            questions.ask(affinity.AskPeers(upstream))
-        questions.tell(affinity.TellPeers(second))
+            questions.ask(affinity.QueryPeers(upstream))
+        questions.tell(affinity.NotifyPeers(second))
         self.assertEqual(['beacon'], questions.send(2.0, announcer))
         self.assertEqual([], questions.send(3.0, announcer))
         doubts = (first.incarnation, second.incarnation)
--- a/skylarkfold/tests/forwarder/test_own.py
+++ b/skylarkfold/tests/forwarder/test_own.py
@@ -17,7 +17,7 @@
 
 class OwnTest(testtools.TestCase):
     def parse(self, text):
-        return forwarder.parse_own_settings(text, 'file')
+        return forwarder.parse_forwarder_settings(text, 'file')
 
     def test_what_is_left_out_has_its_default(self):
         own = self.parse('{}')
--- a/skylarkfold/tests/forwarder/test_precedence.py
+++ b/skylarkfold/tests/forwarder/test_precedence.py
@@ -21,13 +21,13 @@
         settings = machines.build_settings(
             change_seconds=5.0, disturbed_seconds=15.0
         )
-        self.own = _own.OwnSettings()
-        _own.take_machine(self.own, settings)
+        self.own = _own.ForwarderSettings()
+        _own.apply_machine_settings(self.own, settings)
         platform = _adapter.Adapter(settings)
-        self.precedence = _precedence.Precedence(platform, self.own)
+        self.retention_policy = _precedence.Precedence(platform, self.own)
 
     def compare(self, topic, former, current, is_fresh=False):
-        return self.precedence.compute_hold(
+        return self.retention_policy.compute_retention_seconds(
             topic,
             items.build_item(NAME, 38, 3, former, era=1),
             items.build_item(NAME, 26, 3, current, era=2),
--- a/skylarkfold/tests/forwarder/test_rhythm.py
+++ b/skylarkfold/tests/forwarder/test_rhythm.py
@@ -35,27 +35,27 @@
         self.assertIsNone(self.core.find_due(1.0))
 
     def test_a_first_packet_is_due_until_it_is_answered(self):
-        self.core.take_packet(1.0, samples.build_first(1))
+        self.core.handle_packet(1.0, samples.build_first(1))
         due = 1.0 + self.settings.open_patience_seconds
         self.assertEqual(due, self.core.find_due(1.0))
-        self.core.take_packet(1.01, samples.build_packet(1, 1))
+        self.core.handle_packet(1.01, samples.build_packet(1, 1))
         self.assertIsNone(self.core.find_due(1.01))
 
     def test_a_request_is_due_until_it_is_answered(self):
-        self.core.take_packet(1.0, samples.build_first(1))
-        self.core.take_packet(1.01, samples.build_packet(1, 1, length=10))
+        self.core.handle_packet(1.0, samples.build_first(1))
+        self.core.handle_packet(1.01, samples.build_packet(1, 1, length=10))
         due = self.core.find_due(1.01)
         self.assertGreater(due, 1.01)
         answered = samples.build_packet(1, 1, 111, acknowledged=601)
-        self.core.take_packet(1.03, answered)
+        self.core.handle_packet(1.03, answered)
         self.assertIsNone(self.core.find_due(1.03))
 
     def test_what_is_in_doubt_is_due_at_once(self):
-        self.core.take_packet(1.0, samples.build_first(1))
-        self.core.take_packet(1.01, samples.build_packet(1, 1, length=10))
+        self.core.handle_packet(1.0, samples.build_first(1))
+        self.core.handle_packet(1.01, samples.build_packet(1, 1, length=10))
         self.core.tick(1.2)
         self.assertEqual(1.2, self.core.find_due(1.2))
 
     def test_a_packet_that_waits_for_its_upstream_is_due(self):
-        self.core.take_packet(1.0, samples.build_packet(1, 99))
+        self.core.handle_packet(1.0, samples.build_packet(1, 99))
         self.assertGreater(self.core.find_due(1.0), 1.0)
--- a/skylarkfold/tests/forwarder/test_sharing.py
+++ b/skylarkfold/tests/forwarder/test_sharing.py
@@ -30,7 +30,7 @@
         self.addCleanup(scratch.cleanup)
         self.path = pathlib.Path(scratch.name) / 'own.json'
         self.path.write_text('{}')
-        self.own = _own.read_own_settings(str(self.path))
+        self.own = _own.read_forwarder_settings(str(self.path))
         self.core = affinity.AffinityCore('z', self.own.affinity)
         settings = relay.RelaySettings(topics=('t',))
         self.relay = relay.RelayCore('n', 'z', 'h', settings)
@@ -51,7 +51,7 @@
         self.sharing.put(self.own, False)
         self.assertIsNone(self.core.shares.sharing)
         self.sharing.refresh(1.0, 0)
-        word = relay.TakeCallers('m', False, 0.0, b'x')
+        word = relay.CallerDemandReported('m', False, 0.0, b'x')
         self.sharing.take(1.0, word)
         self.assertEqual(0, self.reporter.counters['callers.malformed'])
         gauges = _gauges.list_gauges(1.0, self.core, self.relay, True)
@@ -63,9 +63,9 @@
             'import sys\n'
             'from skylarkfold import forwarder\n'
             'from skylarkfold.platform import _adapter\n'
-            "own = forwarder.parse_own_settings('{}', 'file')\n"
+            "own = forwarder.parse_forwarder_settings('{}', 'file')\n"
             "print([n for n in sys.modules if n.startswith('skylarkfold.sh')"
-            " and not n.startswith('skylarkfold.shelf')])\n"
+            '])\n'
         )
         told = subprocess.run(
             [sys.executable, '-c', text],
@@ -109,7 +109,9 @@
 
     def test_untrue_words_are_counted(self):
         self.sharing.put(self.own, True)
-        self.sharing.take(1.0, relay.TakeCallers('m', False, 0.0, b'x'))
+        self.sharing.take(
+            1.0, relay.CallerDemandReported('m', False, 0.0, b'x')
+        )
         self.assertEqual(1, self.reporter.counters['callers.malformed'])
 
     def test_what_callers_ask_for_is_told_on(self):
@@ -120,21 +122,21 @@
             0,
             False,
             False,
-            (relay.Position(revisions.NONE, revisions.NONE, None),),
+            (relay.Position(revisions.ZERO, revisions.ZERO, None),),
         )
-        self.relay.take_beacon(1.0, 'host', beacon)
+        self.relay.handle_beacon(1.0, 'host', beacon)
         upstream = affinity.Upstream(
             'i-1', 1, 's', ('10.0.0.1', 1), slots=2, zone='z'
         )
         self.core.set_upstreams(1.0, [upstream])
         callers = self.core.shares.sharing.callers
-        digest = shares.digest_service('s')
+        digest = shares.hash_service('s')
         for number in range(200):
             callers.note(1.0 + number / 200, digest, 0, CALLER, 0.05)
         self.sharing.refresh(2.0, 1)
-        self.assertNotEqual(b'', callers.word)
+        self.assertNotEqual(b'', callers.demand)
         report = self.relay.announcer.callers.choose_near(2.0, 1)
-        self.assertEqual(callers.word, report.word)
+        self.assertEqual(callers.demand, report.demand)
         gauges = callers.list_gauges()
         self.assertEqual(1.0, gauges['services_short'])
         self.assertEqual(1.0, gauges['callers_counted'])
--- a/skylarkfold/tests/measure/test_ablation.py
+++ b/skylarkfold/tests/measure/test_ablation.py
@@ -38,7 +38,7 @@
         files = _mechanism.write_settings(own, self.folder / 'into')
         names = [pathlib.Path(each).stem for each in files]
         self.assertEqual(['none', *_mechanism.MECHANISMS], names)
-        read = dict(zip(names, map(forwarder.read_own_settings, files)))
+        read = dict(zip(names, map(forwarder.read_forwarder_settings, files)))
         self.assertEqual(9464, read['refusal'].metrics_port)
         self.assertEqual(2, read['none'].affinity.open_tries)
         self.assertEqual(1, read['hedges'].affinity.open_tries)
--- a/skylarkfold/tests/membership/test_progress.py
+++ b/skylarkfold/tests/membership/test_progress.py
@@ -15,7 +15,7 @@
 def build_progress(incarnation=1):
     roster = _roster.Roster()
     for name in NAMES:
-        fact = membership.Fact(
+        fact = membership.MemberUpdate(
             name,
             'hall-a',
             'norte',
--- a/skylarkfold/tests/platform/test_foreign.py
+++ b/skylarkfold/tests/platform/test_foreign.py
@@ -301,7 +301,7 @@
             spec = {**ENTRY, 'more': value}
             answer = self.list_page(self.wrap('i-2', spec))
             page = relay.Page(
-                revisions.NONE, revisions.Revision(9), True, 0.0, answer.items
+                revisions.ZERO, revisions.Revision(9), True, 0.0, answer.items
             )
             read = relay.decode_page(relay.encode_page(page))
             self.assertEqual([{}], [item.value for item in read.items])
@@ -365,7 +365,7 @@
             spec = {**ENTRY, **value}
         answer = self.list_page(self.wrap(NAME, spec), self.wrap(GOOD, ENTRY))
         page = relay.Page(
-            revisions.NONE, revisions.Revision(9), True, 0.0, answer.items
+            revisions.ZERO, revisions.Revision(9), True, 0.0, answer.items
         )
         read = relay.decode_page(relay.encode_page(page))
         found = decode(*read.items)
--- a/skylarkfold/tests/platform/test_processes.py
+++ b/skylarkfold/tests/platform/test_processes.py
@@ -23,7 +23,7 @@
         super().setUp()
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
-        self.world = _world.World(
+        self.world = _world.Environment(
             pathlib.Path(scratch.name), 1, {'a': 2, 'b': 1}, upstreams=1
         )
         self.addCleanup(self.world.end)
@@ -205,7 +205,7 @@
             for each in logs
             for line in explain.read_lines(each.read_log().splitlines())
         ]
-        story = explain.tell(name, lines)
+        story = explain.build_history(name, lines)
         upstream = self.world.find_upstream(flow.upstream_echo)
         self.assertEqual([upstream.name], story.upstreams)
         self.assertIn('routes', [each.line.message for each in story.events])
--- a/skylarkfold/tests/platform/test_return.py
+++ b/skylarkfold/tests/platform/test_return.py
@@ -42,16 +42,16 @@
 
     def __init__(self):
         settings = build_settings()
-        self.own = _own.OwnSettings()
-        _own.take_machine(self.own, settings)
+        self.own = _own.ForwarderSettings()
+        _own.apply_machine_settings(self.own, settings)
         self.adapter = _adapter.Adapter(settings)
         self.knowledge = _knowledge.Knowledge(self.adapter, settings)
         self.own.relay.topics = self.knowledge.topics
         self.own.relay.lasting_topics = self.knowledge.lasting_topics
-        precedence = _precedence.Precedence(self.adapter, self.own)
+        retention_policy = _precedence.Precedence(self.adapter, self.own)
         self.flows = {}
         self.effects = []
-        super().__init__(ZONES, self.own.relay, precedence)
+        super().__init__(ZONES, self.own.relay, retention_policy)
 
     def start(self, name, zone, capacity=0):
         self.flows[name] = affinity.AffinityCore(zone, self.own.affinity)
@@ -60,7 +60,7 @@
     def perform(self, name, effects):
         super().perform(name, effects)
         for wanted in effects:
-            if isinstance(wanted, relay.Changed):
+            if isinstance(wanted, relay.TopicChanged):
                 found = self.cores[name].list_items(wanted.topic)
                 self.take(
                     self.knowledge.apply(
@@ -148,7 +148,7 @@
         for core in self.fleet.flows.values():
             for _ in range(count):
                 first = samples.build_first(next(self.ports))
-                effects = core.take_packet(self.fleet.now, first)
+                effects = core.handle_packet(self.fleet.now, first)
                 used.update(samples.list_forwards(effects))
         return used
 
@@ -157,13 +157,13 @@
         for instance, core in self.fleet.flows.items():
             for _ in range(20):
                 port = next(self.ports)
-                effects = core.take_packet(
+                effects = core.handle_packet(
                     self.fleet.now, samples.build_first(port)
                 )
                 if samples.list_forwards(effects) == [name]:
                     token = int(name[2:], 16)
                     packet = samples.build_packet(port, token)
-                    core.take_packet(self.fleet.now, packet)
+                    core.handle_packet(self.fleet.now, packet)
                     return instance, port, token
         raise AssertionError('no flow')
 
@@ -202,7 +202,7 @@
         self.come_back()
         self.assertIn('i-0a3', self.open_flows())
         packet = samples.build_packet(port, token, sequence=102)
-        effects = self.fleet.flows[instance].take_packet(
+        effects = self.fleet.flows[instance].handle_packet(
             self.fleet.now, packet
         )
         self.assertEqual(['i-0a3'], samples.list_forwards(effects))
--- a/skylarkfold/tests/platform/test_settings.py
+++ b/skylarkfold/tests/platform/test_settings.py
@@ -97,8 +97,8 @@
         self.assertIsNone(settings.warm_up_slack)
         self.assertEqual(3.0, settings.change_seconds)
         self.assertEqual(12.0, settings.disturbed_seconds)
-        own = forwarder.OwnSettings()
-        forwarder.take_machine(own, settings)
+        own = forwarder.ForwarderSettings()
+        forwarder.apply_machine_settings(own, settings)
         self.assertFalse(own.affinity.follows_evacuations)
         self.assertFalse(own.affinity.limits_warm_up)
 
--- a/skylarkfold/tests/platform/test_start.py
+++ b/skylarkfold/tests/platform/test_start.py
@@ -25,14 +25,14 @@
 # Says what is loaded in place of the line that says that it is ready.
 _PROGRAM = """
 import os
+from skylarkfold import deferred_log
 import sys
-from skylarkfold import late_log
 
 def log(logger, level, message, *arguments, **fields):
     if message == 'ready':
         os.write(1, ' '.join(sorted(sys.modules)).encode())
 
-late_log.LateLogger.log = log
+deferred_log.DeferredLogger.log = log
 from skylarkfold.platform import __main__
 sys.exit(__main__.main())
 """
@@ -130,7 +130,7 @@
         )
         self.loop.call_later(_LONGEST_SECONDS, self.loop.stop)
         self.loop.run()
-        self.loop.forget(process.stdout)
+        self.loop.unwatch(process.stdout)
         process.kill()
         return process.stdout.read().decode().split()
 
--- a/skylarkfold/tests/platform/test_views.py
+++ b/skylarkfold/tests/platform/test_views.py
@@ -127,7 +127,7 @@
             0,
             None,
             relay.RelaySettings(tombstones=256),
-            relay.StoreFirst(),
+            relay.NoRetention(),
         )
         self.decoder = _objects.UpstreamDecoder()
         self.core = affinity.AffinityCore(
@@ -312,7 +312,7 @@
         page = relay.decode_page(
             relay.encode_page(source.build_page(self.now, topic.position))
         )
-        topic.take_page(self.now, page)
+        topic.handle_page(self.now, page)
         self.apply(name, source.confirmed_at)
 
     @stateful.rule()
@@ -340,7 +340,7 @@
             for copy, name in enumerate(names):
                 core = self.instances[name].core
                 packet = samples.build_first(flow.number, copy)
-                self.perform(name, core.take_packet(self.now, packet))
+                self.perform(name, core.handle_packet(self.now, packet))
             self.send_on(flow, names[0])
 
     @stateful.rule(name=INSTANCE)
@@ -364,7 +364,7 @@
             REQUEST_BYTES,
         )
         core = self.instances[name].core
-        self.perform(name, core.take_packet(self.now, packet))
+        self.perform(name, core.handle_packet(self.now, packet))
 
     def perform(self, name, effects):
         pending = list(effects)
@@ -372,7 +372,7 @@
             wanted = pending.pop(0)
             if isinstance(wanted, affinity.Probe):
                 upstream = wanted.upstream
-                pending += self.instances[name].core.take_probe(
+                pending += self.instances[name].core.handle_probe_result(
                     self.now,
                     upstream.name,
                     self.probe(upstream),
--- a/skylarkfold/tests/relay/test_callers.py
+++ b/skylarkfold/tests/relay/test_callers.py
@@ -31,7 +31,7 @@
     def take(self, now, report, **fields):
         effects = self.words.take(now, build_beacon(report, **fields))
         return [
-            (each.source, each.is_zone, each.age_seconds, each.word)
+            (each.source, each.is_zone, each.age_seconds, each.demand)
             for each in effects
         ]
 
@@ -60,7 +60,7 @@
     def test_what_other_zones_say_is_passed_on_while_it_is_new(self):
         self.take(1.0, relay.CallerReport(b'', OTHER, 0.5))
         report = self.words.choose_near(2.0, 4)
-        self.assertEqual((b'', OTHER), (report.word, report.elsewhere))
+        self.assertEqual((b'', OTHER), (report.demand, report.other_zones))
         self.assertAlmostEqual(1.5, report.age_seconds)
         self.assertIsNone(self.words.choose_near(3.1, 4))
 
@@ -69,7 +69,7 @@
         self.assertEqual(
             [], self.take(1.0, relay.CallerReport(b'', b'old', 0.6))
         )
-        self.assertEqual(OTHER, self.words.choose_near(1.2, 1).elsewhere)
+        self.assertEqual(OTHER, self.words.choose_near(1.2, 1).other_zones)
 
     def test_a_shortage_that_begins_is_urgent_once(self):
         self.words.put(WORD, b'')
@@ -99,11 +99,13 @@
             self.assertLessEqual(spent, 100 * BUDGET + first)
 
     @hypothesis.given(WORDS, WORDS, strategies.integers(0, 10**7))
-    def test_a_report_arrives_as_it_was(self, word, elsewhere, age):
-        report = relay.CallerReport(word, elsewhere, age / 1000)
+    def test_a_report_arrives_as_it_was(self, word, other_zones, age):
+        report = relay.CallerReport(word, other_zones, age / 1000)
         data = relay.encode_beacon(build_beacon(report))
         again = relay.decode_beacon(data).callers
-        self.assertEqual((word, elsewhere), (again.word, again.elsewhere))
+        self.assertEqual(
+            (word, other_zones), (again.demand, again.other_zones)
+        )
         self.assertAlmostEqual(age / 1000, again.age_seconds, delta=0.002)
 
     def test_a_word_that_is_too_long_is_no_message(self):
--- a/skylarkfold/tests/relay/test_eras.py
+++ b/skylarkfold/tests/relay/test_eras.py
@@ -30,8 +30,8 @@
         self.assertNotEqual(first, revisions.Revision(38, 2))
 
     @hypothesis.given(
-        strategies.integers(0, revisions.MOST_NUMBER),
-        strategies.integers(0, revisions.MOST_ERA),
+        strategies.integers(0, revisions.MAXIMUM_NUMBER),
+        strategies.integers(0, revisions.MAXIMUM_ERA),
     )
     def test_both_parts_are_as_they_were(self, number, era):
         revision = revisions.Revision(number, era)
@@ -70,16 +70,16 @@
         return self.feed.take(self.now, call, answer)
 
     def list_all(self, number, era):
-        call = self.call(revisions.NONE)
+        call = self.call(revisions.ZERO)
         return self.answer(call, 'a', number, era)
 
     def test_a_listing_whose_pages_are_of_two_eras_begins_anew(self):
-        first = self.call(revisions.NONE)
+        first = self.call(revisions.ZERO)
         self.assertIsNone(self.answer(first, 'ab', 30, 1, True))
-        second = self.call(revisions.NONE)
+        second = self.call(revisions.ZERO)
         self.assertEqual('b', second.after)
         self.assertIsNone(self.answer(second, 'c', 20, 2))
-        third = self.call(revisions.NONE)
+        third = self.call(revisions.ZERO)
         self.assertEqual('', third.after)
         news = self.answer(third, 'ad', 21, 2)
         self.assertEqual(['a', 'd'], [each.path for each in news.items])
@@ -203,14 +203,14 @@
     def test_a_peer_of_the_former_era_is_no_source(self):
         old = self.fleet.cores['entry-0']
         position = old.get_position(TOPIC)
-        page = old.take_fetch(self.fleet.now, 0, revisions.NONE)
+        page = old.handle_fetch(self.fleet.now, 0, revisions.ZERO)
         self.store.restore(self.saved)
         self.fleet.run(BOUND_SECONDS)
         core = self.fleet.cores['entry-1']
         known = core.get_position(TOPIC)
         self.assertLess(position, known)
         fetch = relay.Fetch('entry-0', 0, known, 0.5)
-        self.assertEqual([], core.take_page(self.fleet.now, fetch, page))
+        self.assertEqual([], core.handle_page(self.fleet.now, fetch, page))
         self.assertEqual(known, core.get_position(TOPIC))
 
     def test_the_word_of_the_new_era_spreads_at_once(self):
@@ -252,9 +252,9 @@
 
         def look(name, host, data):
             beacon = relay.decode_beacon(data)
-            if beacon.news is not None:
-                position = beacon.positions[beacon.news.topic]
-                if beacon.news.base.era != position.revision.era:
+            if beacon.delta is not None:
+                position = beacon.positions[beacon.delta.topic]
+                if beacon.delta.base.era != position.revision.era:
                     crossing.append(beacon)
             send(name, host, data)
 
@@ -321,15 +321,15 @@
             False,
             (
                 relay.Position(later, later, 0.0),
-                relay.Position(revisions.NONE, revisions.NONE, None),
+                relay.Position(revisions.ZERO, revisions.ZERO, None),
             ),
-            relay.News(
+            relay.TopicDelta(
                 0,
                 base,
                 (items.build_item('main', later.number, 2, {}, later.era),),
             ),
         )
-        return core.take_beacon(self.fleet.now, 'other', beacon)
+        return core.handle_beacon(self.fleet.now, 'other', beacon)
 
     @hypothesis.given(
         strategies.lists(
--- a/skylarkfold/tests/relay/test_messages.py
+++ b/skylarkfold/tests/relay/test_messages.py
@@ -16,9 +16,9 @@
 VALUES = strategies.none() | strategies.dictionaries(
     NAMES, strategies.integers(0, 9) | NAMES, max_size=3
 )
-NUMBERS = strategies.integers(0, revisions.MOST_NUMBER)
+NUMBERS = strategies.integers(0, revisions.MAXIMUM_NUMBER)
 REVISIONS = strategies.builds(
-    revisions.Revision, NUMBERS, strategies.integers(0, revisions.MOST_ERA)
+    revisions.Revision, NUMBERS, strategies.integers(0, revisions.MAXIMUM_ERA)
 )
 ITEMS = strategies.builds(relay.Item, NAMES, REVISIONS, REVISIONS, VALUES)
 AGES = strategies.none() | strategies.integers(0, 10**6).map(
@@ -66,7 +66,7 @@
     ).map(tuple),
     strategies.none()
     | strategies.builds(
-        _messages.News,
+        _messages.TopicDelta,
         strategies.integers(0, 5),
         REVISIONS,
         strategies.lists(ITEMS, max_size=3).map(tuple),
@@ -118,7 +118,7 @@
         # Passed on in circles it would stay young, however long the store is
         # away: what waits for its word would end.
         for age in (0.0, 0.0004, 0.0016, 2.9999):
-            position = relay.Position(revisions.NONE, revisions.NONE, age)
+            position = relay.Position(revisions.ZERO, revisions.ZERO, age)
             beacon = relay.Beacon('n', 'z', 0, False, False, (position,))
             again = relay.decode_beacon(relay.encode_beacon(beacon))
             told = again.positions[0].age_seconds
--- a/skylarkfold/tests/relay/test_peers.py
+++ b/skylarkfold/tests/relay/test_peers.py
@@ -120,10 +120,10 @@
     def test_one_that_stood_still_does_not_bring_back_the_dead(self):
         settings = relay.RelaySettings(topics=fleet_module.TOPICS)
         core = relay.RelayCore('one', 'a', '10.0.0.1', settings)
-        positions = (relay.Position(revisions.NONE, revisions.NONE, None),) * 2
+        positions = (relay.Position(revisions.ZERO, revisions.ZERO, None),) * 2
         beacon = relay.Beacon('two', 'a', 0, False, False, positions)
         core.tick(0.0)
-        core.take_beacon(0.1, '10.0.0.2', beacon)
+        core.handle_beacon(0.1, '10.0.0.2', beacon)
         core.tick(5.0)
         _, ages = core.peers.gossip.tell_mates(5.0)
         (age,) = ages.values()
--- a/skylarkfold/tests/relay/test_retained.py
+++ b/skylarkfold/tests/relay/test_retained.py
@@ -32,7 +32,7 @@
 class ByVersion:
     """Routes have a version of their own, whatever was written when."""
 
-    def compute_hold(self, topic, former, current, is_fresh):
+    def compute_retention_seconds(self, topic, former, current, is_fresh):
         if topic != ROUTES:
             return 0.0
         is_later = former.value['version'] > current.value['version']
@@ -249,16 +249,16 @@
         era = position.era + 1
         gone = items.build_item('ended', 4, 4, {'state': 'ready'}, 1)
         page = relay.Page(
-            revisions.NONE,
+            revisions.ZERO,
             revisions.Revision(4, era),
             True,
             0.0,
             (items.build_item('old', 3, 3, {'state': 'ready'}, era),),
             0.1,
-            (relay.Told(gone, 2.0),),
+            (relay.RetainedItem(gone, 2.0),),
         )
         fetch = relay.Fetch('x', 1, position, 0.5)
-        core.take_page(self.fleet.now, fetch, page)
+        core.handle_page(self.fleet.now, fetch, page)
         paths = [each.path for each in core.list_items(UPSTREAMS)]
         self.assertEqual(['new', 'old'], sorted(paths))
 
--- a/skylarkfold/tests/relay/test_spread.py
+++ b/skylarkfold/tests/relay/test_spread.py
@@ -178,15 +178,15 @@
         self.list_all(ahead, store)
         (sent,) = [
             each
-            for each in ahead.announcer.approach(1.0, ['h-1'])
+            for each in ahead.announcer.contact(1.0, ['h-1'])
             if isinstance(each, relay.SendBeacon)
         ]
-        effects = behind.take_beacon(1.0, 'h-0', sent.beacon)
+        effects = behind.handle_beacon(1.0, 'h-0', sent.beacon)
         fetches = [each for each in effects if isinstance(each, relay.Fetch)]
         self.assertIn(0, [each.topic for each in fetches])
         position = behind.get_position('routes')
-        page = ahead.take_fetch(1.0, 0, position)
-        behind.take_page(1.0, fetches[0], page)
+        page = ahead.handle_fetch(1.0, 0, position)
+        behind.handle_page(1.0, fetches[0], page)
         paths = [each.path for each in behind.list_items('routes')]
         self.assertEqual(['kept'], paths)
 
@@ -195,7 +195,7 @@
         """Have an instance list all topics."""
         for topic in fleet_module.TOPICS:
             call = relay.Call(topic, None, '', 0.0, 1.0)
-            core.take_answer(0.0, call, store.list(topic))
+            core.handle_answer(0.0, call, store.list(topic))
 
     def test_duties_go_to_the_largest_instance_of_a_zone(self):
         self.fleet.start('large', 'a', capacity=20)
@@ -208,7 +208,7 @@
     def test_a_beacon_of_a_stranger_with_other_topics_is_ignored(self):
         core = self.fleet.cores['entry-0']
         beacon = relay.Beacon('x', 'a', 0, False, False, ())
-        (note,) = core.take_beacon(self.fleet.now, 'x', beacon)
+        (note,) = core.handle_beacon(self.fleet.now, 'x', beacon)
         self.assertEqual('other-topics', note.reason)
 
 
@@ -218,7 +218,7 @@
         settings = relay.RelaySettings(topics=fleet_module.TOPICS)
         core = relay.RelayCore('one', 'a', '10.0.0.1', settings)
         core.set_seeds(('10.9.9.9',))
-        positions = (relay.Position(revisions.NONE, revisions.NONE, None),) * 2
+        positions = (relay.Position(revisions.ZERO, revisions.ZERO, None),) * 2
         count = 0
         for step in range(200):
             now = step / 10
@@ -226,7 +226,7 @@
                 beacon = relay.Beacon(
                     f'n-{number}', 'a', 0, False, False, positions
                 )
-                core.take_beacon(now, f'10.1.0.{number}', beacon)
+                core.handle_beacon(now, f'10.1.0.{number}', beacon)
             for wanted in core.tick(now):
                 if isinstance(wanted, relay.SendBeacon):
                     count += '10.9.9.9' in wanted.hosts
--- a/skylarkfold/tests/relay/test_start.py
+++ b/skylarkfold/tests/relay/test_start.py
@@ -77,8 +77,8 @@
         busiest = max(self.fleet.sent.values())
         page = len(
             relay.encode_page(
-                self.fleet.cores['entry-0'].take_fetch(
-                    self.fleet.now + 60.0, 1, revisions.NONE
+                self.fleet.cores['entry-0'].handle_fetch(
+                    self.fleet.now + 60.0, 1, revisions.ZERO
                 )
             )
         )
--- a/skylarkfold/tests/requests/fleet.py
+++ b/skylarkfold/tests/requests/fleet.py
@@ -12,10 +12,10 @@
 from skylarkfold import event
 from skylarkfold import instance
 from skylarkfold import member
+from skylarkfold import platform_api
 from skylarkfold import request as request_module
 from skylarkfold import requests
 from skylarkfold.requests import _holders
-from skylarkfold import stored
 from skylarkfold.tests.requests import samples
 from skylarkfold import verdict as verdict_module
 
@@ -163,7 +163,7 @@
         )
         value = _holders.write_value(_holders.HolderValue(holders))
         self.revision += 1
-        self.objects[_holders.PATH] = stored.StoredObject(
+        self.objects[_holders.PATH] = platform_api.StoredObject(
             _holders.PATH, 1, self.revision, value
         )
         for each in self.list_alive():
@@ -173,7 +173,7 @@
         """Let operators say that instances are gone for good."""
         self.revision += 1
         value = ('["' + '","'.join(names) + '"]').encode()
-        self.objects[_holders.GONE_PATH] = stored.StoredObject(
+        self.objects[_holders.GONE_PATH] = platform_api.StoredObject(
             _holders.GONE_PATH, 1, self.revision, value
         )
 
@@ -321,18 +321,18 @@
         self.writes.remove((process, write))
         known = self.objects.get(write.path)
         version = known.version if known else 0
-        status = stored.PlatformStatus.CONFLICT
+        status = platform_api.PlatformStatus.CONFLICT
         if version == write.expected_version:
             self.revision += 1
-            known = stored.StoredObject(
+            known = platform_api.StoredObject(
                 write.path, version + 1, self.revision, write.value
             )
             self.objects[write.path] = known
-            status = stored.PlatformStatus.OK
+            status = platform_api.PlatformStatus.OK
         if is_answered:
             ended = event.WriteEnded(write.path, status, known)
         else:
-            unknown = stored.PlatformStatus.UNKNOWN
+            unknown = platform_api.PlatformStatus.UNKNOWN
             ended = event.WriteEnded(write.path, unknown, None)
         self.feed(process, ended)
 
--- a/skylarkfold/tests/requests/test_holders.py
+++ b/skylarkfold/tests/requests/test_holders.py
@@ -3,8 +3,8 @@
 import testtools
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold.requests import _holders
-from skylarkfold import stored
 
 LIMIT = 60
 
@@ -65,12 +65,12 @@
     def test_value_survives_the_store(self):
         value = make_list(range(3)).value
         written = _holders.write_value(value)
-        changed = stored.StoredObject(_holders.PATH, 4, 9, written)
+        changed = platform_api.StoredObject(_holders.PATH, 4, 9, written)
         read = _holders.read_list(changed)
         self.assertEqual((value, 9, 4), (read.value, read.label, read.version))
 
     def test_malformed_value_is_an_error(self):
-        changed = stored.StoredObject(_holders.PATH, 4, 9, b'[1]')
+        changed = platform_api.StoredObject(_holders.PATH, 4, 9, b'[1]')
         self.assertRaises(errors.DecodeError, _holders.read_list, changed)
 
 
--- a/skylarkfold/tests/requests/test_returns.py
+++ b/skylarkfold/tests/requests/test_returns.py
@@ -10,14 +10,14 @@
 
 from skylarkfold import effect
 from skylarkfold import event
+from skylarkfold import platform_api
 from skylarkfold.requests import _holders
 from skylarkfold import revision as revisions
-from skylarkfold import stored
 from skylarkfold.tests.requests import samples
 
 NAME = 'entry-1'
-OK = stored.PlatformStatus.OK
-CONFLICT = stored.PlatformStatus.CONFLICT
+OK = platform_api.PlatformStatus.OK
+CONFLICT = platform_api.PlatformStatus.CONFLICT
 
 
 def build_list(*names, serial=0):
@@ -32,7 +32,7 @@
     """Give a list as the store has it."""
     revision = int(revisions.Revision(number, era))
     written = None if value is None else _holders.write_value(value)
-    return stored.StoredObject(_holders.PATH, version, revision, written)
+    return platform_api.StoredObject(_holders.PATH, version, revision, written)
 
 
 class ReturnTest(testtools.TestCase):
--- a/skylarkfold/tests/room/link.py
+++ b/skylarkfold/tests/room/link.py
@@ -37,8 +37,8 @@
     def __init__(self, bytes_per_second, is_gated=True, settings=None):
         settings = settings or rooms.RoomSettings()
         self.rate = bytes_per_second
-        self.room = rooms.InstanceRoom(settings, bytes_per_second)
-        self.gate = rooms.BulkGate(settings, self.room)
+        self.room = rooms.InstanceHeadroom(settings, bytes_per_second)
+        self.gate = rooms.BulkAdmission(settings, self.room)
         self.is_gated = is_gated
         self.free_at = 0.0
         self.events = []
@@ -76,11 +76,11 @@
         self.at(self.cross(now, 0), self.open, number, size, now)
 
     def open(self, now, number, size, begun):
-        self.room.note_traffic(now, HEAD_BYTES, HEAD_BYTES)
+        self.room.record_traffic(now, HEAD_BYTES, HEAD_BYTES)
         packet = Packet(number)
         packet.size, packet.begun = size, begun
         if self.is_gated:
-            verdict = self.gate.judge(now, packet, 1.345)
+            verdict = self.gate.decide(now, packet, 1.345)
             if verdict is not None:
                 if verdict.outcome == verdict.REFUSED:
                     self.refused.append((number, now - begun))
@@ -110,9 +110,9 @@
 
     def take(self, now, packet):
         size = packet.length + HEAD_BYTES
-        self.room.note_traffic(now, size, size)
+        self.room.record_traffic(now, size, size)
         is_start = packet.address == LIVE or not packet.sequence
-        self.gate.take_packet(now, packet, packet.address, is_start)
+        self.gate.handle_packet(now, packet, packet.address, is_start)
         self.most_on_way = max(self.most_on_way, self.gate.transfers.on_way)
         if packet.address == LIVE:
             return
--- a/skylarkfold/tests/room/test_bulk_gate.py
+++ b/skylarkfold/tests/room/test_bulk_gate.py
@@ -153,8 +153,8 @@
     def setUp(self):
         super().setUp()
         self.settings = rooms.RoomSettings()
-        self.room = rooms.InstanceRoom(self.settings, SMALL)
-        self.gate = rooms.BulkGate(self.settings, self.room)
+        self.room = rooms.InstanceHeadroom(self.settings, SMALL)
+        self.gate = rooms.BulkAdmission(self.settings, self.room)
 
     def bring(self, number, now=0.0, size=MEAN_BYTES, address=link.BULK):
         """Bring an upload from its first packet to its answer."""
@@ -162,20 +162,20 @@
         while sequence < size:
             length = min(1200, size - sequence)
             packet = link.Packet(number, length, sequence, address=address)
-            self.gate.take_packet(now, packet, packet.address, sequence == 0)
+            self.gate.handle_packet(now, packet, packet.address, sequence == 0)
             sequence += length
         answered = link.Packet(number, acknowledged=9, address=address)
-        self.gate.take_packet(now, answered, answered.address, False)
+        self.gate.handle_packet(now, answered, answered.address, False)
 
     def teach(self, size=MEAN_BYTES):
         for number in range(3):
             self.bring(number, 0.0, size)
         # What that took of the link is paid for.
-        self.assertIsNone(self.judge(9, 0.0 + 2.0))
+        self.assertIsNone(self.decide(9, 0.0 + 2.0))
 
-    def judge(self, number, now, copies=0, aim=AIM_SECONDS):
+    def decide(self, number, now, copies=0, aim=AIM_SECONDS):
         packet = link.Packet(number, acknowledged=copies)
-        return self.gate.judge(now, packet, aim)
+        return self.gate.decide(now, packet, aim)
 
     def begin(self, number, now):
         self.gate.begin(now, link.Packet(number))
@@ -183,7 +183,7 @@
     def fill(self, now):
         """Let in as much as there is room for; the next one waits."""
         number = 100
-        while self.judge(number, now) is None:
+        while self.decide(number, now) is None:
             self.begin(number, now)
             number += 1
         return number
@@ -192,7 +192,7 @@
         for number in range(3):
             self.bring(number, 0.0, 300)
         for number in range(1000):
-            self.assertIsNone(self.judge(10 + number, 0.0))
+            self.assertIsNone(self.decide(10 + number, 0.0))
             self.begin(10 + number, 0.0)
         self.assertEqual(0, self.gate.transfers.on_way)
 
@@ -200,8 +200,8 @@
         for number in range(1000):
             now = number * 1.0
             request = link.Packet(1, 300, number * 300, acknowledged=number)
-            self.gate.take_packet(now, request, request.address, True)
-        self.assertIsNone(self.judge(2, 1000.0))
+            self.gate.handle_packet(now, request, request.address, True)
+        self.assertIsNone(self.decide(2, 1000.0))
         self.assertIsNone(self.gate.transfers.find_bulk(link.BULK))
 
     def test_one_large_request_does_not_make_a_route_bulk(self):
@@ -214,7 +214,7 @@
         self.teach()
         number = self.fill(2.0)
         self.assertEqual(1, self.gate.waiting_count)
-        again = self.judge(number, 2.2, copies=1)
+        again = self.decide(number, 2.2, copies=1)
         self.assertEqual('repeated', again.outcome)
         self.assertEqual(1, self.gate.waiting_count)
 
@@ -223,7 +223,7 @@
         self.fill(2.0)
         self.gate.pop_late(9.0)
         limits = [
-            self.judge(500 + copies, 2.0, copies).limit_seconds
+            self.decide(500 + copies, 2.0, copies).limit_seconds
             for copies in (0, 1)
         ]
         self.assertAlmostEqual(WAIT_SECONDS, limits[0])
@@ -234,7 +234,7 @@
         number = self.fill(2.0)
         self.assertEqual(1, self.gate.waiting_count)
         packet = link.Packet(number, 1200, 5)
-        self.gate.take_packet(2.1, packet, packet.address, False)
+        self.gate.handle_packet(2.1, packet, packet.address, False)
         self.assertEqual(0, self.gate.waiting_count)
         self.assertFalse(self.gate.is_waiting(packet.flow))
 
@@ -244,7 +244,7 @@
         came = [number] + [
             each
             for each in range(number + 1, number + 4)
-            if self.judge(each, 2.0 + each / 1000).outcome == 'waits'
+            if self.decide(each, 2.0 + each / 1000).outcome == 'waits'
         ]
         self.assertGreater(len(came), 1)
         let_in = []
@@ -263,7 +263,7 @@
         for number in range(100, last):
             # Some data has come, then nothing.
             packet = link.Packet(number, 1200, 0, acknowledged=7)
-            self.gate.take_packet(2.0, packet, packet.address, True)
+            self.gate.handle_packet(2.0, packet, packet.address, True)
         self.assertGreater(self.gate.transfers.on_way, 0)
         self.gate.pop_ready(2.2)
         self.assertEqual(0, self.gate.transfers.on_way)
@@ -299,7 +299,7 @@
         self.settings.wait_seconds = 100.0
         self.teach()
         first = self.fill(2.0)
-        outcomes = [self.judge(first + each, 2.0) for each in (1, 2)]
+        outcomes = [self.decide(first + each, 2.0) for each in (1, 2)]
         self.assertEqual(
             ['waits', 'refused'], [each.outcome for each in outcomes]
         )
@@ -313,9 +313,9 @@
     def test_one_upload_larger_than_the_queue_is_let_in_alone(self):
         self.teach(MOST_BYTES * 4)
         self.begin(9, 2.0)
-        self.assertIsNotNone(self.judge(10, 2.0))
+        self.assertIsNotNone(self.decide(10, 2.0))
         self.gate.pop_late(9.0)
-        self.assertIsNone(self.judge(11, 9.0))
+        self.assertIsNone(self.decide(11, 9.0))
 
     @hypothesis.given(
         shares=strategies.tuples(
@@ -335,13 +335,13 @@
             wait_limit=limit,
             **dict(zip(names.split(), shares, strict=True)),
         )
-        self.room = rooms.InstanceRoom(settings, SMALL)
-        self.gate = rooms.BulkGate(settings, self.room)
-        self.room.note_traffic(0.0, int(used * SMALL), 0)
+        self.room = rooms.InstanceHeadroom(settings, SMALL)
+        self.gate = rooms.BulkAdmission(settings, self.room)
+        self.room.record_traffic(0.0, int(used * SMALL), 0)
         for number in range(3):
             self.bring(number)
         for number in range(10, 20):
-            verdict = self.judge(number, 0.0, number % 3, number % 2)
+            verdict = self.decide(number, 0.0, number % 3, number % 2)
             if verdict is None:
                 self.begin(number, 0.0)
             elif verdict.outcome == verdict.WAITS:
--- a/skylarkfold/tests/room/test_instance.py
+++ b/skylarkfold/tests/room/test_instance.py
@@ -16,7 +16,7 @@
 
 
 def build(rate=RATE):
-    return room.InstanceRoom(room.RoomSettings(), rate)
+    return room.InstanceHeadroom(room.RoomSettings(), rate)
 
 
 def press(own, share, since, until):
@@ -24,7 +24,7 @@
     steps = round((until - since) / STEP)
     for step in range(steps):
         size = int(share * own.bytes_per_second * STEP)
-        own.note_traffic(since + step * STEP, size, size // 2)
+        own.record_traffic(since + step * STEP, size, size // 2)
     return since + steps * STEP
 
 
@@ -40,7 +40,7 @@
     def test_the_busier_direction_counts(self):
         own = build()
         for step in range(200):
-            own.note_traffic(step * STEP, 0, int(0.9 * RATE * STEP))
+            own.record_traffic(step * STEP, 0, int(0.9 * RATE * STEP))
         self.assertTrue(own.is_full(2.0))
 
     def test_a_full_link_is_known_within_its_callers_patience(self):
@@ -54,7 +54,7 @@
     def test_one_transfer_does_not_fill_it(self):
         own = build()
         press(own, 0.2, 0.0, 2.0)
-        own.note_traffic(2.0, 19_200, 19_200)
+        own.record_traffic(2.0, 19_200, 19_200)
         self.assertFalse(own.is_full(2.0))
 
     def test_it_has_room_again_within_a_second(self):
@@ -65,7 +65,7 @@
 
     def test_a_link_of_unknown_rate_is_never_full(self):
         own = build(0.0)
-        own.note_traffic(1.0, 1 << 30, 1 << 30)
+        own.record_traffic(1.0, 1 << 30, 1 << 30)
         self.assertEqual(0.0, own.compute_link_share(1.0))
         self.assertFalse(own.is_short(1.0))
 
@@ -79,14 +79,14 @@
         for lost in (0, 1, 3):
             own = build()
             for number in range(40):
-                own.note_probe(1.0, number >= lost)
+                own.record_probe(1.0, number >= lost)
             tries.append(own.count_tries(1.0, 2))
         self.assertEqual(sorted(set(tries)), tries)
 
     def test_where_much_gets_lost_none_would_do(self):
         own = build()
         for number in range(10):
-            own.note_probe(1.0, number % 2 == 0)
+            own.record_probe(1.0, number % 2 == 0)
         self.assertTrue(own.is_short(1.0))
         self.assertEqual(0, own.count_tries(1.0, 2))
 
@@ -110,7 +110,7 @@
         now = 0.0
         for pause, is_answered in exchanges:
             now += pause
-            own.note_probe(now, is_answered)
+            own.record_probe(now, is_answered)
         share = own.compute_loss_share(now)
         self.assertGreater(share, 0.0)
         self.assertLess(share, 1.0)
--- a/skylarkfold/tests/room/test_transfers.py
+++ b/skylarkfold/tests/room/test_transfers.py
@@ -30,10 +30,10 @@
         sequence = 0
         while sequence < MEAN_BYTES:
             packet = link.Packet(number, 1200, sequence)
-            transfers.take_packet(0.0, packet, link.BULK, sequence == 0)
+            transfers.handle_packet(0.0, packet, link.BULK, sequence == 0)
             sequence += 1200
         packet = link.Packet(number, acknowledged=9)
-        transfers.take_packet(0.0, packet, link.BULK, False)
+        transfers.handle_packet(0.0, packet, link.BULK, False)
     transfers.debt.pay(99.0, RATE)
     return transfers
 
@@ -106,7 +106,7 @@
             if kind == 'begin':
                 transfers.begin(now, link.Packet(number).flow, size)
             else:
-                transfers.take_packet(
+                transfers.handle_packet(
                     now, build_packet(kind, number, place), link.BULK, True
                 )
             plain.take(now, kind, number)
@@ -125,8 +125,10 @@
             transfers.begin(100.0, link.Packet(1).flow, size)
             for sequence in range(0, brought, 1200):
                 packet = link.Packet(1, 1200, sequence)
-                transfers.take_packet(100.0, packet, link.BULK, sequence == 0)
-            transfers.take_packet(
+                transfers.handle_packet(
+                    100.0, packet, link.BULK, sequence == 0
+                )
+            transfers.handle_packet(
                 100.0, link.Packet(1, acknowledged=5), link.BULK, False
             )
             came = transfers.debt.amount - before
@@ -138,8 +140,8 @@
         transfers.begin(100.0, link.Packet(1).flow, size)
         for _ in range(50):
             packet = link.Packet(1, 1200, 0)
-            transfers.take_packet(100.0, packet, link.BULK, True)
-        transfers.take_packet(
+            transfers.handle_packet(100.0, packet, link.BULK, True)
+        transfers.handle_packet(
             100.0, link.Packet(1, acknowledged=5), link.BULK, False
         )
         self.assertAlmostEqual(1200, transfers.debt.amount, places=3)
@@ -151,7 +153,7 @@
         for number in range(20):
             now = 100.0 + 2 * number
             transfers.begin(now, link.Packet(number).flow, size)
-            transfers.take_packet(
+            transfers.handle_packet(
                 now, link.Packet(number, 1200, 0), link.BULK, True
             )
             transfers.expire(now + SILENT_SECONDS)
@@ -162,9 +164,9 @@
         size = transfers.find_bulk(link.BULK)
         before = size.mean
         packet = link.Packet(1, 1200, 12000)
-        transfers.take_packet(100.0, packet, link.BULK, False)
+        transfers.handle_packet(100.0, packet, link.BULK, False)
         self.assertEqual(1, len(transfers))
-        transfers.take_packet(
+        transfers.handle_packet(
             100.0, link.Packet(1, acknowledged=5), link.BULK, False
         )
         self.assertEqual(before, size.mean)
@@ -183,7 +185,7 @@
         transfers = _transfers.Transfers(rooms.RoomSettings(), RATE)
         for number in range(1000):
             packet = link.Packet(number, 300, 0)
-            transfers.take_packet(0.0, packet, link.BULK, True)
+            transfers.handle_packet(0.0, packet, link.BULK, True)
         self.assertEqual(0, len(transfers))
         self.assertEqual(0, transfers.on_way)
 
--- a/skylarkfold/tests/selection/test_slots.py
+++ b/skylarkfold/tests/selection/test_slots.py
@@ -30,7 +30,7 @@
             )
             for name in names
         }
-        self.waiting = dict.fromkeys(names, admission.Waiting())
+        self.waiting = dict.fromkeys(names, admission.WaitingCounts())
         self.running = []
         self.mail = []
         self.cut_off = set()
@@ -44,7 +44,7 @@
 
     def want(self, now, name, alerts=0, exchanges=0, bulk=0):
         old = self.waiting[name]
-        self.waiting[name] = admission.Waiting(
+        self.waiting[name] = admission.WaitingCounts(
             old.alerts + alerts, old.exchanges + exchanges, old.bulk + bulk
         )
         self.settle(now, name)
@@ -152,7 +152,7 @@
         group = Group(pipeline_extra=0)
         other = next(each for each in NAMES if each != group.find_home())
         group.want(0.0, other, exchanges=14)
-        group.waiting[other] = admission.Waiting()
+        group.waiting[other] = admission.WaitingCounts()
         group.deliver(0.0)
         self.assertEqual([], group.running)
         group.want(0.0, group.find_home(), exchanges=14)
@@ -203,7 +203,7 @@
         group = Group()
         home = group.find_home()
         other = next(each for each in NAMES if each != home)
-        group.selectors[other].lose_peer(0.0, home)
+        group.selectors[other].handle_peer_lost(0.0, home)
         group.want(0.0, other, exchanges=1)
         self.assertEqual(1, len(group.running))
 
@@ -300,7 +300,7 @@
         group = Group(pipeline_extra=0)
         home = group.find_home()
         other = next(each for each in NAMES if each != home)
-        group.selectors[other].lose_peer(0.0, home)
+        group.selectors[other].handle_peer_lost(0.0, home)
         group.want(0.0, other, exchanges=1)
         group.want(0.1, other, exchanges=1)
         self.assertEqual(2, len(group.running))
--- a/skylarkfold/tests/shares/fleet.py
+++ b/skylarkfold/tests/shares/fleet.py
@@ -31,7 +31,7 @@
         while self.coming and self.coming[0][0] <= now:
             _, sent_at, source, is_zone, word = self.coming.pop(0)
             age = now - sent_at if is_zone else 0.0
-            self.core.take_word(now, source, is_zone, age, word)
+            self.core.handle_report(now, source, is_zone, age, word)
 
 
 class Fleet:
@@ -95,7 +95,7 @@
         core = self.random.choice(zone).core
         caller = name_caller(number)
         core.note(at, SERVICE, priority, caller, WORK_SECONDS)
-        over = core.judge(at, SERVICE, priority, caller)
+        over = core.check_share(at, SERVICE, priority, caller)
         return over is None or not over.refuses(self.random.getrandbits(64))
 
     def _tell(self):
@@ -104,22 +104,22 @@
             zone = len(self.zones[each.zone])
             each.core.refresh(
                 self.now,
-                {SERVICE: shares.Room(self.slots)},
-                shares.Fleet(zone - 1, len(self.zones)),
+                {SERVICE: shares.Capacity(self.slots)},
+                shares.FleetSize(zone - 1, len(self.zones)),
             )
             if each.name in self.lost:
                 continue
-            if each.core.word:
+            if each.core.demand:
                 for mate in each.mates:
-                    self._send(each, mate, each.name, False, each.core.word)
+                    self._send(each, mate, each.name, False, each.core.demand)
         for zone in self.zones:
             teller = zone[0]
             is_mute = self.is_cut or teller.name in self.lost
-            if not teller.core.zone_word or is_mute:
+            if not teller.core.zone_demand or is_mute:
                 continue
             for each in self.deciders:
                 if each.zone != teller.zone:
-                    word = teller.core.zone_word
+                    word = teller.core.zone_demand
                     self._send(teller, each, f'z-{teller.zone}', True, word)
 
     def _send(self, teller, each, source, is_zone, word):
--- a/skylarkfold/tests/shares/relayed.py
+++ b/skylarkfold/tests/shares/relayed.py
@@ -35,13 +35,13 @@
     def perform(self, name, effects):
         super().perform(name, effects)
         for wanted in effects:
-            if isinstance(wanted, relay.TakeCallers):
-                self.callers[name].take_word(
+            if isinstance(wanted, relay.CallerDemandReported):
+                self.callers[name].handle_report(
                     self.now,
                     wanted.source,
                     wanted.is_zone,
                     wanted.age_seconds,
-                    wanted.word,
+                    wanted.demand,
                 )
             elif isinstance(wanted, relay.SendBeacon):
                 self.told += self.measure(wanted)
@@ -78,7 +78,7 @@
                 core = self.callers[self.random.choice(homes[number])]
                 caller = fleets.name_caller(number)
                 core.note(at, fleets.SERVICE, 0, caller, WORK_SECONDS)
-                over = core.judge(at, fleets.SERVICE, 0, caller)
+                over = core.check_share(at, fleets.SERVICE, 0, caller)
                 drawn = self.random.getrandbits(64)
                 if over is None or not over.refuses(drawn):
                     given[number] += WORK_SECONDS
@@ -91,10 +91,12 @@
         for name, core in self.cores.items():
             callers = self.callers[name]
             zones = len(set(self.zones.values()))
-            known = shares.Fleet(core.peers.count_mates(), zones)
-            rooms = {fleets.SERVICE: shares.Room(self.slots)}
+            known = shares.FleetSize(core.peers.count_mates(), zones)
+            rooms = {fleets.SERVICE: shares.Capacity(self.slots)}
             callers.refresh(self.now, rooms, known)
             words = core.announcer.callers
-            words.put(callers.word, callers.zone_word)
-            if callers.elsewhere:
-                words.put_elsewhere(callers.elsewhere_at, callers.elsewhere)
+            words.put(callers.demand, callers.zone_demand)
+            if callers.other_zones:
+                words.put_other_zones(
+                    callers.other_zones_at, callers.other_zones
+                )
--- a/skylarkfold/tests/shares/test_level.py
+++ b/skylarkfold/tests/shares/test_level.py
@@ -17,7 +17,7 @@
 SLOTS = strategies.floats(0, 50)
 CLAIMS = strategies.lists(
     strategies.builds(
-        shares.Claim,
+        shares.ShareRequest,
         SLOTS,
         strategies.floats(0.1, 8),
         SLOTS | strategies.just(math.inf),
@@ -52,7 +52,7 @@
 class LevelTest(testtools.TestCase):
     @hypothesis.given(strategies.floats(0, 100), CLAIMS)
     def test_it_is_the_level_that_halving_finds(self, room, claims):
-        level = shares.compute_level(room, claims)
+        level = shares.compute_fill_level(room, claims)
         expected = find_level(room, claims)
         if math.isinf(expected) or math.isinf(level):
             # Both take all, but for rounding.
@@ -67,20 +67,25 @@
 
     @hypothesis.given(strategies.floats(0.1, 100), CLAIMS)
     def test_no_room_is_left_while_one_wants_it(self, room, claims):
-        level = shares.compute_level(room, claims)
+        level = shares.compute_fill_level(room, claims)
         if not math.isinf(level):
             given = sum_given(claims, level)
             self.assertAlmostEqual(room, given, delta=room * 1e-6)
 
     def test_one_that_presses_takes_nothing_from_the_others(self):
-        others = [shares.Claim(1.0) for _ in range(7)]
-        level = shares.compute_level(10.0, [*others, shares.Claim(15.0)])
+        others = [shares.ShareRequest(1.0) for _ in range(7)]
+        level = shares.compute_fill_level(
+            10.0, [*others, shares.ShareRequest(15.0)]
+        )
         self.assertAlmostEqual(3.0, level)
 
     def test_a_weight_of_two_gives_twice_as_much(self):
-        claims = [shares.Claim(9.0), shares.Claim(9.0, weight=2.0)]
-        self.assertAlmostEqual(2.0, shares.compute_level(6.0, claims))
+        claims = [
+            shares.ShareRequest(9.0),
+            shares.ShareRequest(9.0, weight=2.0),
+        ]
+        self.assertAlmostEqual(2.0, shares.compute_fill_level(6.0, claims))
 
     def test_what_a_cap_leaves_goes_to_the_others(self):
-        claims = [shares.Claim(9.0), shares.Claim(9.0, cap=1.0)]
-        self.assertAlmostEqual(5.0, shares.compute_level(6.0, claims))
+        claims = [shares.ShareRequest(9.0), shares.ShareRequest(9.0, cap=1.0)]
+        self.assertAlmostEqual(5.0, shares.compute_fill_level(6.0, claims))
--- a/skylarkfold/tests/shares/test_words.py
+++ b/skylarkfold/tests/shares/test_words.py
@@ -79,24 +79,24 @@
             (1.0, 2.0),
         ):
             data = pack_total(total, slots)
-            self.assertFalse(core.take_word(1.0, 'n', False, 0.0, data))
+            self.assertFalse(core.handle_report(1.0, 'n', False, 0.0, data))
         whole = pack_total(2.0, 1.0)
-        self.assertTrue(core.take_word(1.0, 'n', False, 0.0, whole))
-        self.assertFalse(core.take_word(1.0, 'n', False, 0.0, whole[:-1]))
-        self.assertFalse(core.take_word(1.0, 'n', False, -1.0, whole))
-        self.assertFalse(core.take_word(1.0, 'n', False, nan, whole))
-        self.assertFalse(core.take_word(1.0, 'n', False, 0.0, whole * 400))
+        self.assertTrue(core.handle_report(1.0, 'n', False, 0.0, whole))
+        self.assertFalse(core.handle_report(1.0, 'n', False, 0.0, whole[:-1]))
+        self.assertFalse(core.handle_report(1.0, 'n', False, -1.0, whole))
+        self.assertFalse(core.handle_report(1.0, 'n', False, nan, whole))
+        self.assertFalse(core.handle_report(1.0, 'n', False, 0.0, whole * 400))
         many = struct.pack('!IBBHee', 1, 0, 255, 1, 9.0, 9.0) + bytes(2040)
-        self.assertFalse(core.take_word(1.0, 'n', False, 0.0, many))
+        self.assertFalse(core.handle_report(1.0, 'n', False, 0.0, many))
 
     def test_an_old_word_does_not_count(self):
         core = shares.CallerShares(shares.SharesSettings(True))
         word = pack_total(2.0, 1.0)
-        self.assertTrue(core.take_word(9.0, 'a', True, 2.6, word))
+        self.assertTrue(core.handle_report(9.0, 'a', True, 2.6, word))
         self.assertEqual(set(), core.list_services())
-        core.take_word(9.0, 'a', True, 1.0, word)
+        core.handle_report(9.0, 'a', True, 1.0, word)
         self.assertEqual({fleets.SERVICE}, core.list_services())
-        core.refresh(10.6, {}, shares.Fleet(0))
+        core.refresh(10.6, {}, shares.FleetSize(0))
         self.assertEqual(set(), core.list_services())
 
     def test_a_later_word_replaces_an_earlier_one(self):
@@ -218,7 +218,7 @@
         given = dict.fromkeys(calm, 0.0)
         for _ in range(15):
             for each in fleet.deciders:
-                each.core.take_word(fleet.now, 'liar', False, 0.0, lie)
+                each.core.handle_report(fleet.now, 'liar', False, 0.0, lie)
             for number, slots in fleet.play(0.2, calm).items():
                 given[number] += slots / 15
         for number, slots in given.items():
@@ -236,7 +236,7 @@
         given = dict.fromkeys(demands, 0.0)
         for _ in range(15):
             for each in fleet.deciders:
-                each.core.take_word(fleet.now, 'liar', True, 0.0, head)
+                each.core.handle_report(fleet.now, 'liar', True, 0.0, head)
             for number, slots in fleet.play(0.2, demands).items():
                 given[number] += slots / 15
         least = 0.5 / 3 * 0.95 * SLOTS / 3
--- a/skylarkfold/tests/soak/test_judge.py
+++ b/skylarkfold/tests/soak/test_judge.py
@@ -15,7 +15,7 @@
 class JudgeCalmTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.judge = _judge.Judge()
+        self.judge = _judge.InvariantChecker()
         self.judge.allow(ADDRESS, 'desk')
         self._names = iter(range(1, 1000))
 
--- a/skylarkfold/tests/store/test_core.py
+++ b/skylarkfold/tests/store/test_core.py
@@ -9,16 +9,16 @@
 from skylarkfold import endpoint
 from skylarkfold import event
 from skylarkfold import instance
+from skylarkfold import platform_api
 from skylarkfold import store
-from skylarkfold import stored
 from skylarkfold.tests import fakes
 
 INSTANCE = instance.InstanceSettings(
     'entry-1', 'hall-a', 'sierra-norte', endpoint.Endpoint('127.0.0.1', 1)
 )
 SETTINGS = store.StoreSettings()
-Status = stored.PlatformStatus
-WRITE = stored.WriteObject('/tables/x', b'new', 1)
+Status = platform_api.PlatformStatus
+WRITE = platform_api.WriteObject('/tables/x', b'new', 1)
 
 
 def make_core(seed=1, **changes):
@@ -58,25 +58,27 @@
         return ended[0] if ended else None
 
     def read(self, version, value):
-        found = stored.StoredObject(WRITE.path, version, version, value)
-        return stored.PlatformAnswer(Status.OK, (found,), version)
+        found = platform_api.StoredObject(WRITE.path, version, version, value)
+        return platform_api.PlatformAnswer(Status.OK, (found,), version)
 
     def test_a_write_that_is_answered(self):
-        ended = self.answer(stored.PlatformAnswer(Status.OK, (), 9))
+        ended = self.answer(platform_api.PlatformAnswer(Status.OK, (), 9))
         self.assertEqual(Status.OK, ended.status)
         self.assertEqual(
-            stored.StoredObject(WRITE.path, 2, 9, b'new'), ended.current
+            platform_api.StoredObject(WRITE.path, 2, 9, b'new'), ended.current
         )
         self.assertTrue(self.core.is_finished)
 
     def test_a_conflict_costs_no_read(self):
-        ended = self.answer(stored.PlatformAnswer(Status.CONFLICT))
+        ended = self.answer(platform_api.PlatformAnswer(Status.CONFLICT))
         self.assertEqual(Status.CONFLICT, ended.status)
         self.assertFalse(ended.may_have_stood)
 
     def test_a_lost_answer_is_read_back_before_a_new_try(self):
         self.assertIsNone(self.answer(fakes.LOST))
-        self.assertEqual(stored.ReadObject(WRITE.path), self.call.request)
+        self.assertEqual(
+            platform_api.ReadObject(WRITE.path), self.call.request
+        )
         ended = self.answer(self.read(2, b'new'))
         self.assertEqual(Status.OK, ended.status)
 
@@ -101,16 +103,20 @@
         self.answer(fakes.LOST)
         self.answer(self.read(1, b'old'))
         # The first try landed meanwhile, so the second one is refused.
-        self.assertIsNone(self.answer(stored.PlatformAnswer(Status.CONFLICT)))
+        self.assertIsNone(
+            self.answer(platform_api.PlatformAnswer(Status.CONFLICT))
+        )
         self.assertIsNone(self.answer(self.read(1, b'old')))
-        self.assertEqual(stored.ReadObject(WRITE.path), self.call.request)
+        self.assertEqual(
+            platform_api.ReadObject(WRITE.path), self.call.request
+        )
         ended = self.answer(self.read(2, b'new'))
         self.assertEqual(Status.OK, ended.status)
 
     def test_a_change_seen_elsewhere_settles_a_lost_answer(self):
         answered = event.PlatformAnswered(self.call.call, fakes.LOST)
         self.core.handle(self.now, answered)
-        found = stored.StoredObject(WRITE.path, 2, 5, b'new')
+        found = platform_api.StoredObject(WRITE.path, 2, 5, b'new')
         effects = self.core.handle(self.now, event.ObjectChanged(found))
         self.assertEqual([Status.OK], [e.status for e in list_ended(effects)])
 
@@ -133,7 +139,7 @@
         core = make_core()
         calls = []
         for number in range(8):
-            write = stored.WriteObject(f'/tables/{number}', b'', 0)
+            write = platform_api.WriteObject(f'/tables/{number}', b'', 0)
             calls += list_calls(core.request_write(0.0, write))
         self.assertEqual(8, len(calls))
         for call in calls:
@@ -146,7 +152,7 @@
         platform = fakes.FakePlatform()
         core = make_core()
         writes = [
-            stored.WriteObject(f'/tables/{number}', b'x', 0)
+            platform_api.WriteObject(f'/tables/{number}', b'x', 0)
             for number in range(8)
         ]
         calls = 0
@@ -176,11 +182,11 @@
         core = make_core(writes_per_second=0.5, burst_calls=3)
         effects = []
         for number in range(50):
-            write = stored.WriteObject(f'/tables/{number}', b'', 0)
+            write = platform_api.WriteObject(f'/tables/{number}', b'', 0)
             effects += core.request_write(0.0, write)
         sent = len(list_calls(effects))
         self.assertEqual(3, sent)
-        answer = stored.PlatformAnswer(Status.OK, (), 1)
+        answer = platform_api.PlatformAnswer(Status.OK, (), 1)
         for tick in range(41):
             now = tick / 4
             for call in list_calls(effects):
@@ -192,7 +198,7 @@
     def test_more_writes_than_may_wait_are_refused(self):
         core = make_core(maximum_waiting=1)
         core.request_write(0.0, WRITE)
-        other = stored.WriteObject('/tables/y', b'', 0)
+        other = platform_api.WriteObject('/tables/y', b'', 0)
         ended = list_ended(core.request_write(0.0, other))
         self.assertEqual([Status.REFUSED], [each.status for each in ended])
 
@@ -247,7 +253,7 @@
             for key, write in self.asked.items()
         ):
             return
-        write = stored.WriteObject(path, str(key).encode(), version)
+        write = platform_api.WriteObject(path, str(key).encode(), version)
         self.asked[key] = write
         effects = self.cores[index].request_write(self.now, write)
         self.take(index, effects)
--- a/skylarkfold/tests/teams/commands.py
+++ b/skylarkfold/tests/teams/commands.py
@@ -1,9 +1,9 @@
 """Operators' commands that tests perform call by call."""
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold import service
 from skylarkfold import settings
-from skylarkfold import stored
 from skylarkfold import teams
 
 HOST = '10.0.0.1:1'
@@ -57,7 +57,7 @@
 
     def is_at(self, path):
         """Tell whether a write under a path is next."""
-        if not path or not isinstance(self.wanted, stored.WriteObject):
+        if not path or not isinstance(self.wanted, platform_api.WriteObject):
             return False
         return self.wanted.path.startswith(path)
 
--- a/skylarkfold/tests/teams/test_apply.py
+++ b/skylarkfold/tests/teams/test_apply.py
@@ -5,16 +5,16 @@
 import testtools
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold import service
 from skylarkfold import settings
-from skylarkfold import stored
 from skylarkfold import teams
 from skylarkfold.tests import fakes
 
 PATH = '/teams/desk/settings'
 DESK = teams.Operator('ana', 'desk')
 VAULT = teams.Operator('luis', 'vault')
-Status = stored.PlatformStatus
+Status = platform_api.PlatformStatus
 
 
 def build_services(**addresses):
@@ -120,7 +120,9 @@
 
     def test_a_subtree_written_without_claims_counts(self):
         value = json.dumps({'services': build_services(x='10.0.0.1:1')})
-        self.platform.perform(stored.WriteObject(PATH, value.encode(), 0))
+        self.platform.perform(
+            platform_api.WriteObject(PATH, value.encode(), 0)
+        )
         self.assertRaises(
             errors.ClaimError, self.apply, VAULT, 'b', y='10.0.0.1:1'
         )
@@ -129,7 +131,7 @@
         steps = start_apply(DESK, build_services(x='10.0.0.1:1'), 'a')
         received = None
         while not isinstance(
-            wanted := steps.send(received), stored.WriteObject
+            wanted := steps.send(received), platform_api.WriteObject
         ) or not wanted.path.startswith('/teams/'):
             received = self.platform.perform(wanted)
         # Here the command of team desk ends without a trace.
@@ -138,7 +140,7 @@
 
     def test_an_unusable_subtree_keeps_its_claims(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
-        self.platform.perform(stored.WriteObject(PATH, b'{', 1))
+        self.platform.perform(platform_api.WriteObject(PATH, b'{', 1))
         self.assertRaises(
             errors.ClaimError, self.apply, VAULT, 'b', y='10.0.0.1:1'
         )
@@ -149,7 +151,7 @@
         left = [times]
 
         def answer(call, number):
-            is_write = isinstance(call, stored.WriteObject)
+            is_write = isinstance(call, platform_api.WriteObject)
             if not is_write or call.path != path or not left[0]:
                 return None
             left[0] -= 1
@@ -172,7 +174,7 @@
 
     def write_on_top(self, performs):
         def answer(call, number):
-            is_write = isinstance(call, stored.WriteObject)
+            is_write = isinstance(call, platform_api.WriteObject)
             if not is_write or call.path != PATH or self.read().version:
                 return None
             if performs:
@@ -214,7 +216,7 @@
 
         def answer(call, number):
             calls.append(call)
-            is_write = isinstance(call, stored.WriteObject)
+            is_write = isinstance(call, platform_api.WriteObject)
             return fakes.SHED if is_write else None
 
         error = self.assertRaises(
@@ -281,7 +283,7 @@
         self.apply(DESK, 'a', x='10.0.0.1:1')
 
         def answer(call, number):
-            if isinstance(call, stored.WriteObject) and number == 3:
+            if isinstance(call, platform_api.WriteObject) and number == 3:
                 self.apply(DESK, 'b', x='10.0.0.1:1', y='10.0.0.2:1')
             return None
 
--- a/skylarkfold/tests/teams/test_race.py
+++ b/skylarkfold/tests/teams/test_race.py
@@ -12,7 +12,7 @@
 import testtools
 
 from skylarkfold import errors
-from skylarkfold import stored
+from skylarkfold import platform_api
 from skylarkfold import teams
 from skylarkfold.tests import fakes
 from skylarkfold.tests.teams import commands
@@ -81,7 +81,7 @@
 
     def run_to_write(self, command, behind):
         while command in self.running:
-            if isinstance(command.wanted, stored.WriteObject):
+            if isinstance(command.wanted, platform_api.WriteObject):
                 return
             self.perform(command, 'whole', behind)
 
@@ -94,7 +94,7 @@
             answer = self.platform.perform(wanted, behind)
         elif fate == 'lost after':
             self.platform.perform(wanted)
-        elif fate == 'late' and isinstance(wanted, stored.WriteObject):
+        elif fate == 'late' and isinstance(wanted, platform_api.WriteObject):
             self.delayed.append(wanted)
         elif fate == 'shed':
             answer = fakes.SHED
--- a/skylarkfold/tests/teams/test_session.py
+++ b/skylarkfold/tests/teams/test_session.py
@@ -3,23 +3,23 @@
 import testtools
 
 from skylarkfold import errors
+from skylarkfold import platform_api
 from skylarkfold import revision as revisions
-from skylarkfold import stored
 from skylarkfold import teams
 
 PATH = '/teams/desk/settings'
 PREFIX = '/teams/'
-Status = stored.PlatformStatus
+Status = platform_api.PlatformStatus
 
 
 def build(version, number, era):
     revision = int(revisions.Revision(number, era))
-    return stored.StoredObject(PATH, version, revision, b'value')
+    return platform_api.StoredObject(PATH, version, revision, b'value')
 
 
 def answer(*objects, number, era, status=Status.OK):
     revision = int(revisions.Revision(number, era))
-    return stored.PlatformAnswer(status, objects, revision)
+    return platform_api.PlatformAnswer(status, objects, revision)
 
 
 def finish(steps, *answers):
--- a/skylarkfold/tests/teams/test_status.py
+++ b/skylarkfold/tests/teams/test_status.py
@@ -4,7 +4,7 @@
 
 from skylarkfold import endpoint
 from skylarkfold import member
-from skylarkfold import stored
+from skylarkfold import platform_api
 from skylarkfold import teams
 from skylarkfold.tests.teams import test_apply
 
@@ -20,8 +20,12 @@
         empty = teams.read_subtree('desk', None)
         value = teams.encode_subtree(empty, desk, 'w1', 'ana')
         objects = {
-            'desk': stored.StoredObject('/teams/desk/settings', 1, 5, value),
-            'vault': stored.StoredObject('/teams/vault/settings', 3, 9, b'{'),
+            'desk': platform_api.StoredObject(
+                '/teams/desk/settings', 1, 5, value
+            ),
+            'vault': platform_api.StoredObject(
+                '/teams/vault/settings', 3, 9, b'{'
+            ),
         }
         subtrees = [
             teams.read_subtree(team, found) for team, found in objects.items()
--- a/skylarkfold/tests/teams/test_takeover.py
+++ b/skylarkfold/tests/teams/test_takeover.py
@@ -6,14 +6,14 @@
 import testtools
 
 from skylarkfold import errors
-from skylarkfold import stored
+from skylarkfold import platform_api
 from skylarkfold import teams
 from skylarkfold.tests import fakes
 from skylarkfold.tests.teams import commands
 from skylarkfold.tests.teams import test_apply
 
 DESK_PATH = '/teams/desk/settings'
-NOT_FOUND = stored.PlatformAnswer(stored.PlatformStatus.NOT_FOUND)
+NOT_FOUND = platform_api.PlatformAnswer(platform_api.PlatformStatus.NOT_FOUND)
 
 
 class TakeoverTest(testtools.TestCase):
@@ -33,7 +33,7 @@
 
     def answer_old(self, call):
         """Answer as if team desk had written nothing yet."""
-        if isinstance(call, stored.ListObjects):
+        if isinstance(call, platform_api.ListObjects):
             return self.platform.perform(call, self.platform.revision)
         is_desk = getattr(call, 'path', '') == DESK_PATH
         return NOT_FOUND if is_desk else None
@@ -108,7 +108,7 @@
         reads = []
 
         def answer(call):
-            if isinstance(call, stored.ReadObject):
+            if isinstance(call, platform_api.ReadObject):
                 reads.append(call)
             if len(reads) == 6:
                 desk.go(self.platform)
--- a/skylarkfold/tests/test_assembly.py
+++ b/skylarkfold/tests/test_assembly.py
@@ -5,7 +5,7 @@
 from skylarkfold import assembly
 from skylarkfold import effect
 from skylarkfold import event
-from skylarkfold import stored
+from skylarkfold import platform_api
 from skylarkfold import teams
 
 SETTINGS = b"""{"services": {"%s": {"address": "10.0.0.1:%d", "upstreams": {
@@ -19,7 +19,7 @@
 
     def put(self, team, value, version=1):
         path = f'/teams/{team}/settings'
-        changed = stored.StoredObject(path, version, version, value)
+        changed = platform_api.StoredObject(path, version, version, value)
         return self.core.handle(0.0, event.ObjectChanged(changed))
 
     def reach(self, revision):
@@ -53,13 +53,13 @@
         self.put('a', SETTINGS % (b'desk', 1))
         self.put('b', SETTINGS % (b'desk', 1))
         for version, value in ((1, claim), (2, b'nonsense')):
-            changed = stored.StoredObject(path, version, version, value)
+            changed = platform_api.StoredObject(path, version, version, value)
             self.core.handle(0.0, event.ObjectChanged(changed))
             (published,) = self.reach(version)
             owner = published.configuration.services['desk'].team
             self.assertEqual('b', owner)
 
     def test_other_objects_change_nothing(self):
-        changed = stored.StoredObject('/tables/desk', 1, 1, b'x')
+        changed = platform_api.StoredObject('/tables/desk', 1, 1, b'x')
         self.core.handle(0.0, event.ObjectChanged(changed))
         self.assertEqual([], self.reach(1))
--- a/skylarkfold/tests/test_late_log.py
+++ b/skylarkfold/tests/test_deferred_log.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from skylarkfold import late_log
+from skylarkfold import deferred_log
 
 
 class _Recorder(logging.Handler):
@@ -19,9 +19,9 @@
 class LateLogTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.logger = late_log.LateLogger()
+        self.logger = deferred_log.DeferredLogger()
         self.recorder = _Recorder()
-        target = logging.getLogger(late_log.NAME)
+        target = logging.getLogger(deferred_log.NAME)
         before = (target.handlers[:], target.level, target.propagate)
         target.handlers[:] = [self.recorder]
         target.setLevel(logging.INFO)
@@ -38,7 +38,7 @@
         return [each.getMessage() for each in self.recorder.records]
 
     def test_a_line_is_handed_over_at_once(self):
-        self.logger.log(late_log.INFO, 'ready', fields={'version': 3})
+        self.logger.log(deferred_log.INFO, 'ready', fields={'version': 3})
         (record,) = self.recorder.records
         self.assertEqual('INFO', record.levelname)
         self.assertEqual({'version': 3}, record.fields)
@@ -46,7 +46,7 @@
     def test_held_lines_come_in_order_with_their_own_times(self):
         self.logger.hold(10)
         for name in ('started', 'known', 'ready'):
-            self.logger.log(late_log.INFO, name)
+            self.logger.log(deferred_log.INFO, name)
         self.assertEqual([], self.recorder.records)
         self.logger.release()
         self.logger.warning('settled: %s', 'late')
@@ -61,10 +61,10 @@
     def test_what_finds_no_room_is_counted(self):
         self.logger.hold(2)
         for number in range(5):
-            self.logger.log(late_log.INFO, f'line {number}')
+            self.logger.log(deferred_log.INFO, f'line {number}')
         self.logger.release()
         self.assertEqual(['line 0', 'line 1'], self.list_messages())
-        self.assertEqual(3, self.logger.left_out)
+        self.assertEqual(3, self.logger.dropped)
 
     def test_an_exception_keeps_its_traceback_while_it_waits(self):
         self.logger.hold(2)
--- a/skylarkfold/tests/test_errors.py
+++ b/skylarkfold/tests/test_errors.py
@@ -23,5 +23,5 @@
         kinds = list(list_kinds(errors.SkylarkfoldError))
         codes = [each.code for each in kinds]
         self.assertEqual(len(codes), len(set(codes)))
-        for code in [*codes, *requests.Code, *admission.RefusalCode]:
+        for code in [*codes, *requests.ErrorCode, *admission.RefusalCode]:
             self.assertIn(f'| `{code}` |', page)
--- a/skylarkfold/tests/test_lean.py
+++ b/skylarkfold/tests/test_light_imports.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies
 import testtools
 
-from skylarkfold import lean
+from skylarkfold import light_imports
 
 _SCALARS = (
     strategies.none()
@@ -34,12 +34,12 @@
 _MARKS = ('[', ']', '{', '}', '"', ',', ':', '1', '-', 'e', ' ', '\n', '\\')
 
 _TORN = """
+from skylarkfold import light_imports
 import sys
-from skylarkfold import lean
 
-print(lean.parse_json(b'[1]'), 'json' in sys.modules)
+print(light_imports.parse_json(b'[1]'), 'json' in sys.modules)
 try:
-    lean.parse_json(b'{"name": ')
+    light_imports.parse_json(b'{"name": ')
 except ValueError as error:
     print(type(error).__name__)
 """
@@ -55,7 +55,9 @@
 
 class JsonTest(testtools.TestCase):
     def assert_read_alike(self, data):
-        self.assertEqual(read(json.loads, data), read(lean.parse_json, data))
+        self.assertEqual(
+            read(json.loads, data), read(light_imports.parse_json, data)
+        )
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(_VALUES, strategies.sampled_from(('', ' ', '\n\t')))
@@ -107,12 +109,13 @@
 
     def test_a_package_that_was_read_in_part_is_whole_for_others(self):
         said = self.run_alone(
-            'from skylarkfold import lean; import sys;'
+            'from skylarkfold import light_imports; import sys;'
             'print("typing" in sys.modules);'
             'import httptools, typing;'
             'print(httptools.HttpRequestParser is'
-            ' lean.http.HttpRequestParser);'
-            'print(httptools.HttpParserError is lean.http.HttpParserError);'
+            ' light_imports.http_parser.HttpRequestParser);'
+            'print(httptools.HttpParserError is'
+            ' light_imports.http_parser.HttpParserError);'
             'print(httptools.HTTPProtocol.__name__, typing.Optional[int])'
         )
         self.assertEqual(
@@ -122,10 +125,10 @@
 
     def test_what_stood_in_for_a_library_is_not_left_behind(self):
         said = self.run_alone(
-            'from skylarkfold import lean; import sys;'
+            'from skylarkfold import light_imports; import sys;'
             'print("datetime" in sys.modules);'
             'import datetime, msgpack;'
-            'print(msgpack is lean.msgpack, datetime.__name__);'
+            'print(msgpack is light_imports.msgpack, datetime.__name__);'
             'print(msgpack.Timestamp(1).to_datetime().isoformat());'
             'print(type(msgpack.Timestamp(1).to_datetime()) is'
             ' datetime.datetime)'
--- a/skylarkfold/tests/test_node.py
+++ b/skylarkfold/tests/test_node.py
@@ -7,7 +7,7 @@
 from skylarkfold import member
 from skylarkfold import message
 from skylarkfold import node
-from skylarkfold import stored
+from skylarkfold import platform_api
 
 
 class Greeting(message.PeerMessage, tag=1):
@@ -32,7 +32,9 @@
         publish = effect.PublishMembership(member.EMPTY)
         first = FakeCore({event.Tick: [publish]})
         second = FakeCore()
-        composed = node.Node([node.Part(first), node.Part(second)])
+        composed = node.Node(
+            [node.CoreBinding(first), node.CoreBinding(second)]
+        )
         self.assertEqual([publish], composed.handle(0.0, event.Tick()))
         expected = event.MembershipChanged(member.EMPTY)
         self.assertEqual(expected, first.seen[-1])
@@ -42,7 +44,10 @@
         taker = FakeCore()
         other = FakeCore()
         composed = node.Node(
-            [node.Part(taker, messages=(Greeting,)), node.Part(other)]
+            [
+                node.CoreBinding(taker, messages=(Greeting,)),
+                node.CoreBinding(other),
+            ]
         )
         received = event.PeerMessageReceived('b', Greeting('hi'))
         composed.handle(0.0, received)
@@ -53,7 +58,10 @@
         taker = FakeCore()
         other = FakeCore()
         composed = node.Node(
-            [node.Part(taker, events=(event.StreamClosed,)), node.Part(other)]
+            [
+                node.CoreBinding(taker, events=(event.StreamClosed,)),
+                node.CoreBinding(other),
+            ]
         )
         composed.handle(0.0, event.StreamClosed(1))
         composed.handle(0.0, event.Tick())
@@ -65,11 +73,11 @@
         high = FakeCore()
         composed = node.Node(
             [
-                node.Part(low, first_call=0),
-                node.Part(high, first_call=1 << 40),
+                node.CoreBinding(low, first_call_number=0),
+                node.CoreBinding(high, first_call_number=1 << 40),
             ]
         )
-        answer = stored.PlatformAnswer(stored.PlatformStatus.OK)
+        answer = platform_api.PlatformAnswer(platform_api.PlatformStatus.OK)
         composed.handle(0.0, event.PlatformAnswered((1 << 40) + 5, answer))
         composed.handle(0.0, event.PlatformAnswered(5, answer))
         self.assertEqual(1, len(low.seen))
@@ -78,7 +86,7 @@
     def test_stop_ends_once_all_cores_are_finished(self):
         busy = FakeCore()
         busy.is_finished = False
-        composed = node.Node([node.Part(busy)])
+        composed = node.Node([node.CoreBinding(busy)])
         self.assertEqual([], composed.handle(0.0, event.StopRequested()))
         busy.is_finished = True
         self.assertEqual(
--- a/skylarkfold/budget.py
+++ b/skylarkfold/token_bucket.py
@@ -1,9 +1,9 @@
-"""A bound on the rate of calls."""
+"""A token bucket that limits the rate of calls."""
 
 from __future__ import annotations
 
 
-class CallBudget:
+class TokenBucket:
     """A token bucket.
 
     :param per_second: tokens gained in a second.
--- a/skylarkfold/upstream_load.py
+++ b/skylarkfold/upstream_load.py
@@ -6,17 +6,17 @@
 
 # Answers beyond a quarter or eight times of the usual time count as these:
 # one in thirty may take many times as long on a good upstream.
-MOST_FASTNESS = math.log(4.0)
-MOST_SLOWNESS = math.log(8.0)
+MAXIMUM_FASTNESS = math.log(4.0)
+MAXIMUM_SLOWNESS = math.log(8.0)
 # What an instance or a zone may say of one on average, either way.
-MOST_MEAN = math.log(4.0)
+MAXIMUM_MEAN_SLOWNESS = math.log(4.0)
 # What an instance's word of an upstream's speed weighs at most, in answers,
 # so that a wrong one moves the sum of all little; and a zone's, of 512
 # instances.
-MOST_ANSWERS = 8.0
-MOST_ZONE_ANSWERS = 4096.0
+MAXIMUM_ANSWERS = 8.0
+MAXIMUM_ZONE_ANSWERS = 4096.0
 # Less is not told.
-LEAST_ANSWERS = 1 / 8
+MINIMUM_ANSWERS = 1 / 8
 
 
 class UpstreamLoad:
@@ -70,4 +70,4 @@
         return (self.flows, self.busy, self.answers, self.slowness)
 
 
-NOTHING = UpstreamLoad(0, 0.0)
+NO_LOAD = UpstreamLoad(0, 0.0)
