--- a/skylarkfold/selection/_broker.py
+++ b/skylarkfold/selection/_allocator.py
@@ -6,13 +6,13 @@
 
 from skylarkfold import admission
 from skylarkfold import request
-from skylarkfold.selection import _line
+from skylarkfold.selection import _candidates
+from skylarkfold.selection import _instance_record
 from skylarkfold.selection import _messages
 from skylarkfold.selection import _pool
-from skylarkfold.selection import _record
-from skylarkfold.selection import _room
 from skylarkfold.selection import _settings
-from skylarkfold.selection import _view
+from skylarkfold.selection import _upstream_record
+from skylarkfold.selection import _wait_queue
 from skylarkfold import service as service_module
 
 _FORGET_SECONDS = 5.0
@@ -54,8 +54,8 @@
         self._settings = settings
         self._pool = _pool.Pool(settings)
         self._names: dict[int, str] = {}
-        self._views: dict[str, _view.HolderView] = {}
-        self._line = _line.DemandLine()
+        self._views: dict[str, _instance_record.HolderView] = {}
+        self._line = _wait_queue.DemandLine()
         self._scheduler = admission.PriorityScheduler(_FLOOR_SHARE)
         self._granting_from: float | None = None
 
@@ -99,7 +99,7 @@
         self.begin(now)
         view = self._views.get(sender)
         if view is None:
-            view = self._views[sender] = _view.HolderView(now)
+            view = self._views[sender] = _instance_record.HolderView(now)
         before = view.count_slots()
         view.apply(now, demand)
         after = view.count_slots()
@@ -199,7 +199,7 @@
     def _judge(
         self,
         now: float,
-        view: _view.HolderView,
+        view: _instance_record.HolderView,
         seen: _messages.SeenOutcome,
     ) -> bool:
         name = self._names.get(seen.upstream)
@@ -215,7 +215,7 @@
     def _blame(
         self,
         now: float,
-        view: _view.HolderView,
+        view: _instance_record.HolderView,
         upstream: int,
         outcome: request.Outcome,
     ) -> bool:
@@ -227,7 +227,7 @@
         if outcome is request.Outcome.ANSWERED:
             view.failures.pop(upstream, None)
             return True
-        if not _record.is_failure(outcome):
+        if not _upstream_record.is_failure(outcome):
             return True
         failures = view.failures.get(upstream, 0) + 1
         view.failures[upstream] = failures
@@ -259,7 +259,7 @@
         now: float,
         holder: str,
         priority: request.Priority,
-        record: _record.UpstreamRecord,
+        record: _upstream_record.UpstreamRecord,
         budget_share: float,
     ) -> Granted:
         view = self._views[holder]
@@ -274,21 +274,21 @@
         )
         return Granted(holder, grant)
 
-    def _find_room(self, now: float) -> _room.Room:
+    def _find_room(self, now: float) -> _candidates.Room:
         """Find the upstreams that may be sent one more request."""
         usable = self._pool.list_usable(now)
         free = [each for each in usable if each.running < each.get_limit(now)]
         if free:
-            return _room.Room(usable, free=free)
-        return _room.Room(
+            return _candidates.Room(usable, free=free)
+        return _candidates.Room(
             usable,
             extra=self._list_extra(now, usable),
             spare=self._list_spare(now),
         )
 
     def _list_extra(
-        self, now: float, usable: list[_record.UpstreamRecord]
-    ) -> list[_record.UpstreamRecord]:
+        self, now: float, usable: list[_upstream_record.UpstreamRecord]
+    ) -> list[_upstream_record.UpstreamRecord]:
         """List upstreams that may keep one request in their own queue.
 
         It hides the way of a slot back to the home and out again, and is
@@ -307,7 +307,7 @@
             and each.running < each.upstream.slots + extra
         ]
 
-    def _list_spare(self, now: float) -> list[_record.UpstreamRecord]:
+    def _list_spare(self, now: float) -> list[_upstream_record.UpstreamRecord]:
         """List slow upstreams that are still faster than the line."""
         if not self._pool.has_slow(now):
             return []
@@ -338,6 +338,8 @@
         scarcity = 2.0 ** ((0.5 - budget_share) * 8)
         return min(_MAXIMUM_USES, max(uses, round(scarcity)))
 
-    def _find_record(self, number: int) -> _record.UpstreamRecord | None:
+    def _find_record(
+        self, number: int
+    ) -> _upstream_record.UpstreamRecord | None:
         name = self._names.get(number)
         return None if name is None else self._pool.get(name)
--- a/skylarkfold/selection/_room.py
+++ b/skylarkfold/selection/_candidates.py
@@ -4,10 +4,10 @@
 
 import dataclasses
 
-from skylarkfold.selection import _record
-from skylarkfold.selection import _view
+from skylarkfold.selection import _instance_record
+from skylarkfold.selection import _upstream_record
 
-_Records = list[_record.UpstreamRecord]
+_Records = list[_upstream_record.UpstreamRecord]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,8 +31,8 @@
         return not (self.free or self.extra or self.spare)
 
     def choose(
-        self, now: float, view: _view.HolderView, is_alert: bool
-    ) -> _record.UpstreamRecord | None:
+        self, now: float, view: _instance_record.HolderView, is_alert: bool
+    ) -> _upstream_record.UpstreamRecord | None:
         """Choose an upstream for an instance.
 
         :param now: the present time.
@@ -54,7 +54,7 @@
         )
 
     def _list_reachable(
-        self, now: float, records: _Records, view: _view.HolderView
+        self, now: float, records: _Records, view: _instance_record.HolderView
     ) -> _Records:
         reachable = [
             each for each in records if not view.is_blocked(now, each.number)
--- a/skylarkfold/selection/_local.py
+++ b/skylarkfold/selection/_local_chooser.py
@@ -7,8 +7,8 @@
 
 from skylarkfold.selection import _choice
 from skylarkfold.selection import _pool
-from skylarkfold.selection import _record
 from skylarkfold.selection import _settings
+from skylarkfold.selection import _upstream_record
 
 
 class LocalChooser:
@@ -70,14 +70,14 @@
         return running >= math.ceil(share)
 
     def _draw_pair(
-        self, candidates: list[_record.UpstreamRecord]
-    ) -> list[_record.UpstreamRecord]:
+        self, candidates: list[_upstream_record.UpstreamRecord]
+    ) -> list[_upstream_record.UpstreamRecord]:
         if len(candidates) <= 2:
             return candidates
         return self._generator.sample(candidates, 2)
 
     def _choose_seen(
-        self, now: float, candidates: list[_record.UpstreamRecord]
+        self, now: float, candidates: list[_upstream_record.UpstreamRecord]
     ) -> _choice.Choice:
         """Choose by what was seen here alone, within the limits."""
         with_room = [
@@ -90,7 +90,7 @@
 
 
 def _accept(
-    record: _record.UpstreamRecord, reason: _choice.ChoiceReason
+    record: _upstream_record.UpstreamRecord, reason: _choice.ChoiceReason
 ) -> _choice.Choice:
     return _choice.Choice(record.upstream, reason)
 
@@ -99,11 +99,11 @@
     return _choice.Choice(None, reason)
 
 
-def _measure_reported_load(record: _record.UpstreamRecord) -> float:
+def _measure_reported_load(record: _upstream_record.UpstreamRecord) -> float:
     return record.supposed_running / record.upstream.slots
 
 
-def _measure_seen_load(record: _record.UpstreamRecord) -> float:
+def _measure_seen_load(record: _upstream_record.UpstreamRecord) -> float:
     return (
         (record.running + 1)
         / record.upstream.slots
--- a/skylarkfold/selection/_pool.py
+++ b/skylarkfold/selection/_pool.py
@@ -8,8 +8,8 @@
 
 from skylarkfold import request
 from skylarkfold.selection import _messages
-from skylarkfold.selection import _record
 from skylarkfold.selection import _settings
+from skylarkfold.selection import _upstream_record
 from skylarkfold import service as service_module
 
 _MINIMUM_COMPARED = 3
@@ -25,8 +25,8 @@
 
     def __init__(self, settings: _settings.SelectionSettings) -> None:
         self._settings = settings
-        self._records: dict[str, _record.UpstreamRecord] = {}
-        self._active: list[_record.UpstreamRecord] = []
+        self._records: dict[str, _upstream_record.UpstreamRecord] = {}
+        self._active: list[_upstream_record.UpstreamRecord] = []
         self.service: service_module.Service | None = None
         self.slots = 0
 
@@ -46,7 +46,7 @@
             record = self._records.get(upstream.name)
             if record is None:
                 number = numbers[upstream.name]
-                record = _record.UpstreamRecord(
+                record = _upstream_record.UpstreamRecord(
                     upstream, self._settings, number, is_running
                 )
                 record.work = least
@@ -63,7 +63,9 @@
         """Map the numbers of all upstreams to their names."""
         return {each.number: each.upstream.name for each in self}
 
-    def get(self, upstream_name: str) -> _record.UpstreamRecord | None:
+    def get(
+        self, upstream_name: str
+    ) -> _upstream_record.UpstreamRecord | None:
         """Look up a record.
 
         :param upstream_name: the upstream.
@@ -71,14 +73,14 @@
         """
         return self._records.get(upstream_name)
 
-    def __iter__(self) -> Iterator[_record.UpstreamRecord]:
+    def __iter__(self) -> Iterator[_upstream_record.UpstreamRecord]:
         return iter(self._records.values())
 
-    def list_active(self) -> list[_record.UpstreamRecord]:
+    def list_active(self) -> list[_upstream_record.UpstreamRecord]:
         """List the upstreams that take new work; not to be changed."""
         return self._active
 
-    def list_usable(self, now: float) -> list[_record.UpstreamRecord]:
+    def list_usable(self, now: float) -> list[_upstream_record.UpstreamRecord]:
         """List those that take new work and are neither out nor doubtful.
 
         Doubtful ones are left out only within the cap on ejections.
@@ -160,7 +162,9 @@
         ]
         return statistics.median(latencies) if latencies else 0.0
 
-    def _let_return(self, usable: list[_record.UpstreamRecord]) -> None:
+    def _let_return(
+        self, usable: list[_upstream_record.UpstreamRecord]
+    ) -> None:
         """Keep an upstream that comes back from catching up on its share."""
         for record in usable:
             if record.is_returning:
@@ -168,10 +172,12 @@
                 others = [each.work for each in usable if each is not record]
                 record.work = max(record.work, min(others, default=0.0))
 
-    def _get_tolerated(self, record: _record.UpstreamRecord) -> int:
+    def _get_tolerated(self, record: _upstream_record.UpstreamRecord) -> int:
         return 1 if record.is_on_trial else self._settings.ejection_failures
 
-    def _is_slow(self, now: float, record: _record.UpstreamRecord) -> bool:
+    def _is_slow(
+        self, now: float, record: _upstream_record.UpstreamRecord
+    ) -> bool:
         if self._settings.policy is not _settings.Policy.SLOTS:
             return False
         measured = [each for each in self._active if each.is_measured]
@@ -181,7 +187,7 @@
         return record.latency_seconds > self._settings.slow_factor * median
 
     def _may_eject(
-        self, now: float, candidate: _record.UpstreamRecord
+        self, now: float, candidate: _upstream_record.UpstreamRecord
     ) -> bool:
         ejected = sum(
             1
--- a/skylarkfold/selection/_selector.py
+++ b/skylarkfold/selection/_selector.py
@@ -12,13 +12,13 @@
 from skylarkfold import instance as instance_module
 from skylarkfold import message as message_module
 from skylarkfold import request
-from skylarkfold.selection import _budget
+from skylarkfold.selection import _byte_budget
 from skylarkfold.selection import _choice
-from skylarkfold.selection import _home
-from skylarkfold.selection import _local
+from skylarkfold.selection import _coordinator
+from skylarkfold.selection import _local_chooser
 from skylarkfold.selection import _messages
+from skylarkfold.selection import _service_state
 from skylarkfold.selection import _settings
-from skylarkfold.selection import _share
 from skylarkfold import service as service_module
 
 _KIND = 'selection'
@@ -41,13 +41,17 @@
     ) -> None:
         self._name = instance.name
         self._settings = settings
-        self._local = _local.LocalChooser(settings, random.Random(seed))
-        self._finder = _home.HomeFinder()
-        self._shares: dict[str, _share.ServiceShare] = {}
+        self._local = _local_chooser.LocalChooser(
+            settings, random.Random(seed)
+        )
+        self._finder = _coordinator.HomeFinder()
+        self._shares: dict[str, _service_state.ServiceShare] = {}
         self._services: dict[int, str] = {}
-        self._budget = _budget.ByteBudget(settings.control_bytes_per_second)
+        self._budget = _byte_budget.ByteBudget(
+            settings.control_bytes_per_second
+        )
         self._effects: list[object] = []
-        self._touched: dict[str, _share.ServiceShare] = {}
+        self._touched: dict[str, _service_state.ServiceShare] = {}
 
     def configure(
         self, service: service_module.Service, owners: tuple[str, ...]
@@ -59,7 +63,7 @@
         """
         share = self._shares.get(service.name)
         if share is None:
-            share = _share.ServiceShare(
+            share = _service_state.ServiceShare(
                 service.name, self._name, self._settings, self._finder
             )
             self._shares[service.name] = share
@@ -249,7 +253,7 @@
             if share.holder.has_idle() and share.holder.has_waiting()
         ]
 
-    def _touch(self, service_name: str) -> _share.ServiceShare | None:
+    def _touch(self, service_name: str) -> _service_state.ServiceShare | None:
         """Look a service up and have the next flush see to it."""
         share = self._shares.get(service_name)
         if share is not None:
@@ -259,20 +263,22 @@
     def _choose_alone(
         self,
         now: float,
-        share: _share.ServiceShare,
+        share: _service_state.ServiceShare,
         exclude: frozenset[str],
     ) -> _choice.Choice:
         owners = len(share.owners)
         return self._local.choose(now, share.pool, owners, exclude)
 
-    def _wait(self, now: float, share: _share.ServiceShare) -> _choice.Choice:
+    def _wait(
+        self, now: float, share: _service_state.ServiceShare
+    ) -> _choice.Choice:
         if share.pool.is_out_of_reach(now):
             reason = _choice.ChoiceReason.UNREACHABLE_HERE
             return _choice.Choice(None, reason, share.find_peer())
         return _choice.Choice(None, _choice.ChoiceReason.NO_ROOM)
 
     def _exchange(
-        self, now: float, share: _share.ServiceShare, is_tick: bool
+        self, now: float, share: _service_state.ServiceShare, is_tick: bool
     ) -> None:
         """Tell the home of a service what is held and wanted here."""
         if self._settings.policy is not _settings.Policy.SLOTS:
@@ -287,7 +293,9 @@
         else:
             self._send(now, share.home, demand)
 
-    def _is_alone(self, now: float, share: _share.ServiceShare) -> bool:
+    def _is_alone(
+        self, now: float, share: _service_state.ServiceShare
+    ) -> bool:
         """Tell whether the byte budget of the home or here is spent."""
         if share.holder.is_alone(now):
             return True
@@ -299,7 +307,7 @@
         message: message_module.PeerMessage,
         now: float,
         sender: str,
-        share: _share.ServiceShare,
+        share: _service_state.ServiceShare,
     ) -> None:
         """Take one message about a service's slots."""
 
@@ -309,7 +317,7 @@
         message: _messages.SlotDemand,
         now: float,
         sender: str,
-        share: _share.ServiceShare,
+        share: _service_state.ServiceShare,
     ) -> None:
         if not share.is_home:
             return
@@ -323,7 +331,7 @@
         message: _messages.SlotGrant,
         now: float,
         sender: str,
-        share: _share.ServiceShare,
+        share: _service_state.ServiceShare,
     ) -> None:
         if sender == share.home:
             share.take_grant(now, message)
@@ -334,7 +342,7 @@
         message: _messages.SlotNotice,
         now: float,
         sender: str,
-        share: _share.ServiceShare,
+        share: _service_state.ServiceShare,
     ) -> None:
         if sender != share.home:
             return
@@ -342,7 +350,7 @@
         if message.alone_milliseconds:
             share.holder.go_alone(now, message.alone_milliseconds / 1000)
 
-    def _grant(self, now: float, share: _share.ServiceShare) -> None:
+    def _grant(self, now: float, share: _service_state.ServiceShare) -> None:
         if share.holder.is_alone(now):
             return
         left = self._budget.measure_share(now)
@@ -355,7 +363,9 @@
             else:
                 self._send(now, granted.holder, granted.grant)
 
-    def _send_alone(self, now: float, share: _share.ServiceShare) -> None:
+    def _send_alone(
+        self, now: float, share: _service_state.ServiceShare
+    ) -> None:
         """Have all instances choose alone until the budget is better."""
         seconds = self._budget.foretell_seconds(now, _RESUMED_SHARE)
         share.holder.go_alone(now, seconds)
@@ -366,7 +376,9 @@
                 self._send(now, holder, notice)
         self._log(share.service_name, self._name, '', 'budget-spent')
 
-    def _reassure(self, now: float, share: _share.ServiceShare) -> None:
+    def _reassure(
+        self, now: float, share: _service_state.ServiceShare
+    ) -> None:
         number = _messages.number_service(share.service_name)
         for holder in share.broker.tick(now):
             if holder != self._name:
--- a/skylarkfold/selection/_share.py
+++ b/skylarkfold/selection/_service_state.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from skylarkfold import event
-from skylarkfold.selection import _broker
-from skylarkfold.selection import _holder
-from skylarkfold.selection import _home
+from skylarkfold.selection import _allocator
+from skylarkfold.selection import _coordinator
+from skylarkfold.selection import _local_slots
 from skylarkfold.selection import _messages
 from skylarkfold.selection import _pool
 from skylarkfold.selection import _settings
@@ -26,18 +26,18 @@
         service_name: str,
         instance_name: str,
         settings: _settings.SelectionSettings,
-        finder: _home.HomeFinder,
+        finder: _coordinator.HomeFinder,
     ) -> None:
         self._finder = finder
-        self._found: _home.Home | None = None
+        self._found: _coordinator.Home | None = None
         self._instance_name = instance_name
         self._number = _messages.number_service(service_name)
         self._settings = settings
         self._names: dict[int, str] = {}
         self.service_name = service_name
         self.pool = _pool.Pool(settings)
-        self.holder = _holder.SlotHolder(service_name, settings)
-        self.broker: _broker.SlotBroker | None = None
+        self.holder = _local_slots.SlotHolder(service_name, settings)
+        self.broker: _allocator.SlotBroker | None = None
         self.home = ''
         self.owners: tuple[str, ...] = ()
 
@@ -127,7 +127,7 @@
         self.holder.begin()
         self.broker = None
         if home == self._instance_name:
-            self.broker = _broker.SlotBroker(
+            self.broker = _allocator.SlotBroker(
                 self.service_name, self._settings, has_peers
             )
 
--- a/skylarkfold/selection/_line.py
+++ b/skylarkfold/selection/_wait_queue.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from skylarkfold import request
-from skylarkfold.selection import _view
+from skylarkfold.selection import _instance_record
 
 _MAXIMUM_PLACES = 64
 
@@ -26,7 +26,7 @@
     def __len__(self) -> int:
         return sum(map(len, self._places.values()))
 
-    def update(self, holder: str, view: _view.HolderView) -> None:
+    def update(self, holder: str, view: _instance_record.HolderView) -> None:
         """Bring the places of an instance in line with what it wants.
 
         :param holder: its name.
--- a/skylarkfold/tests/selection/test_home.py
+++ b/skylarkfold/tests/selection/test_coordinator.py
@@ -4,13 +4,13 @@
 from hypothesis import strategies
 import testtools
 
-from skylarkfold.selection import _home
+from skylarkfold.selection import _coordinator
 
 OWNERS = strategies.lists(strategies.sampled_from('abcdefgh'), unique=True)
 
 
 def find(number, owners):
-    finder = _home.HomeFinder()
+    finder = _coordinator.HomeFinder()
     finder.follow(tuple(owners))
     found = finder.find(number, None)
     return None if found is None else found.name
@@ -23,7 +23,7 @@
         )
     )
     def test_whatever_changed_before_the_home_is_the_same(self, steps):
-        finder = _home.HomeFinder()
+        finder = _coordinator.HomeFinder()
         known = dict.fromkeys(range(5))
         for owners, is_asked in steps:
             finder.follow(tuple(owners))
