--- a/skylarkfold/admission/_estimate.py
+++ b/skylarkfold/admission/_estimate.py
@@ -24,7 +24,7 @@
     def record(self, now: float, elapsed_seconds: float) -> None:
         """Take one measured service time.
 
-        :param now: the present time.
+        :param now: the current time.
         :param elapsed_seconds: from dispatch to the whole answer.
         """
         self._recorded_at = now
@@ -41,7 +41,7 @@
     def foretell(self, now: float, deviations: float) -> float:
         """Foretell how long the next request may take.
 
-        :param now: the present time.
+        :param now: the current time.
         :param deviations: mean deviations beyond the mean.
         :returns: seconds; 0 as long as nothing was measured lately.
         """
@@ -82,7 +82,7 @@
     def begin(self, now: float) -> None:
         """Note that the class begins to wait for a turn.
 
-        :param now: the present time.
+        :param now: the current time.
         """
         if self._began_at is not None:
             return
@@ -94,7 +94,7 @@
     def record_turn(self, now: float, waits_on: bool) -> None:
         """Note that a request of the class went.
 
-        :param now: the present time.
+        :param now: the current time.
         :param waits_on: whether more of the class waits.
         """
         self._turns += 1
@@ -114,7 +114,7 @@
 
         A turn that is overdue counts at once.
 
-        :param now: the present time.
+        :param now: the current time.
         :returns: seconds; 0 as long as nothing was measured.
         """
         if self._began_at is None or not self.mean_seconds:
--- a/skylarkfold/admission/_forecast.py
+++ b/skylarkfold/admission/_forecast.py
@@ -29,7 +29,7 @@
     ) -> _results.RefusalCode | None:
         """Find what speaks against taking a new entry.
 
-        :param now: the present time.
+        :param now: the current time.
         :param queue: its service's queue.
         :param entry: the entry.
         :returns: the code of a refusal, None if it may wait.
@@ -55,7 +55,7 @@
     ) -> _results.RefusalCode | None:
         """Find whether an entry that waits has to be given up.
 
-        :param now: the present time.
+        :param now: the current time.
         :param queue: its service's queue.
         :param entry: the entry.
         :param ahead: how many of its class go before it.
--- a/skylarkfold/admission/_queue.py
+++ b/skylarkfold/admission/_queue.py
@@ -35,7 +35,7 @@
     ) -> _results.Admitted | _results.Refusal:
         """Take a request, or refuse it at once.
 
-        :param now: the present time.
+        :param now: the current time.
         :param request: the request; its number must not wait already.
         :param deadline: the time by which its caller wants the answer.
         :returns: whether it waits now.
@@ -60,7 +60,7 @@
         Entries that can't be answered in time any more are passed over;
         :meth:`expire` returns them.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: the service that has room.
         :returns: the entry, which waits no longer, or None.
         """
@@ -76,7 +76,7 @@
     def expire(self, now: float) -> list[_results.Expired]:
         """Give up what has waited too long or can't be answered in time.
 
-        :param now: the present time.
+        :param now: the current time.
         :returns: requests to answer at once: refused, not run.
         """
         waiting = [each for each in self._queues.values() if len(each)]
@@ -106,7 +106,7 @@
     ) -> None:
         """Note how long an answered attempt took.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: the service.
         :param elapsed_seconds: from its dispatch to the whole answer.
         """
@@ -136,7 +136,7 @@
     ) -> float:
         """Foretell when a request of a class would be taken.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: the service.
         :param priority: the class.
         :returns: seconds, within the settings' bounds.
--- a/skylarkfold/admission/_service_queue.py
+++ b/skylarkfold/admission/_service_queue.py
@@ -92,7 +92,7 @@
     ) -> float:
         """Foretell how long a new entry of a class would wait.
 
-        :param now: the present time.
+        :param now: the current time.
         :param priority: the class.
         :returns: seconds.
         """
--- a/skylarkfold/selection/__init__.py
+++ b/skylarkfold/selection/__init__.py
@@ -1,7 +1,7 @@
-"""The choice of an upstream for a request.
+"""Upstream selection for requests.
 
-Pure decisions: :class:`Selector` is told of the configuration, of
-dispatches and of outcomes, and answers where the next request may go.
+:class:`Selector` does no I/O: it is given the configuration, dispatches
+and outcomes, and returns the upstream for the next request.
 """
 
 from skylarkfold.selection._choice import Choice
--- a/skylarkfold/selection/_allocator.py
+++ b/skylarkfold/selection/_allocator.py
@@ -1,4 +1,4 @@
-"""The home of a service: grants its slots to the instances."""
+"""Allocation of a service's slots to instances by its coordinator."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from skylarkfold.selection import _wait_queue
 from skylarkfold import service as service_module
 
-_FORGET_SECONDS = 5.0
+_INSTANCE_TIMEOUT_SECONDS = 5.0
 _FLOOR_SHARE = 0.1
-_LONE_FAILURES = 2
+_MAXIMUM_COUNTED_FAILURES = 2
 _MAXIMUM_USES = 64
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Granted:
-    """A grant and the instance that gets it."""
+class AddressedGrant:
+    """A grant and the instance to send it to."""
 
-    holder: str
+    instance_name: str
     grant: _messages.SlotGrant
 
 
-class SlotBroker:
-    """Grants one service's slots, as its home.
+class SlotAllocator:
+    """Grants one service's slots to the instances, on its coordinator.
 
-    It counts what each instance says that it holds, so that a new home
-    knows the slots in use after a moment. Slots are hints: while two
-    homes are at work, the upstreams refuse what is too much, and the
-    limits follow.
+    Each instance reports the slots that it holds, so that a new
+    coordinator learns which slots are in use before it grants any. Slots
+    are advisory: while two coordinators are active, upstreams refuse
+    excess requests, which lowers their limits.
 
     :param service_name: the service.
-    :param settings: limits and times.
-    :param has_peers: whether others may hold slots already, of which it
-        has to learn first.
+    :param settings: the selection settings.
+    :param has_peers: whether other instances may already hold slots, so
+        that their reports have to be awaited first.
     """
 
     def __init__(
@@ -50,127 +50,132 @@
         has_peers: bool,
     ) -> None:
         self._settle_seconds = settings.settle_seconds if has_peers else 0.0
-        self._number = _messages.number_service(service_name)
+        self._service_number = _messages.compute_service_number(service_name)
         self._settings = settings
-        self._pool = _pool.Pool(settings)
-        self._names: dict[int, str] = {}
-        self._views: dict[str, _instance_record.HolderView] = {}
-        self._line = _wait_queue.DemandLine()
+        self._pool = _pool.UpstreamPool(settings)
+        self._upstream_names: dict[int, str] = {}
+        self._instances: dict[str, _instance_record.InstanceRecord] = {}
+        self._queue = _wait_queue.SlotWaitQueue()
         self._scheduler = admission.PriorityScheduler(_FLOOR_SHARE)
-        self._granting_from: float | None = None
+        self._settled_at: float | None = None
 
     @property
-    def pool(self) -> _pool.Pool:
-        """The upstreams with what all instances have seen of them."""
+    def pool(self) -> _pool.UpstreamPool:
+        """The upstreams with the outcomes reported by all instances."""
         return self._pool
 
     @property
-    def is_used(self) -> bool:
-        """Tell whether any instance holds or wants a slot."""
-        return bool(self._views)
+    def has_instances(self) -> bool:
+        """Tell whether any instance holds a slot or waits for one."""
+        return bool(self._instances)
 
-    def begin(self, now: float) -> None:
-        """Begin to listen to what others hold, at the first call.
+    def start_settling(self, now: float) -> None:
+        """Start the wait for reports of held slots; later calls do nothing.
 
-        :param now: the present time.
+        :param now: the current time.
         """
-        if self._granting_from is None:
-            self._granting_from = now + self._settle_seconds
+        if self._settled_at is None:
+            self._settled_at = now + self._settle_seconds
 
     def configure(self, service: service_module.Service) -> None:
-        """Take a newer configuration.
+        """Apply a changed configuration.
 
         :param service: the service.
         """
         self._pool.configure(service)
-        self._names = self._pool.map_numbers()
-        self._count_running()
+        self._upstream_names = self._pool.map_numbers()
+        self._recount_running()
 
     def handle_demand(
         self, now: float, sender: str, demand: _messages.SlotDemand
     ) -> list[str]:
-        """Take what an instance holds and wants.
+        """Record the slots that an instance holds and waits for.
 
-        :param now: the present time.
-        :param sender: the instance.
-        :param demand: its statement.
-        :returns: the upstreams that were ejected by the outcomes in it.
+        :param now: the current time.
+        :param sender: the name of the instance.
+        :param demand: its message.
+        :returns: the upstreams that were ejected for the outcomes in it.
         """
-        self.begin(now)
-        view = self._views.get(sender)
-        if view is None:
-            view = self._views[sender] = _instance_record.HolderView(now)
-        before = view.count_slots()
-        view.apply(now, demand)
-        after = view.count_slots()
-        self._charge_reuse(before, after, demand)
-        self._shift_running(before, after)
+        self.start_settling(now)
+        instance = self._instances.get(sender)
+        if instance is None:
+            instance = self._instances[sender] = (
+                _instance_record.InstanceRecord(now)
+            )
+        before = instance.count_slots()
+        instance.apply(now, demand)
+        after = instance.count_slots()
+        self._add_reuse_work(before, after, demand)
+        self._update_running(before, after)
         ejected = [
-            self._names[each.upstream]
+            self._upstream_names[each.upstream]
             for each in demand.outcomes
-            if self._judge(now, view, each)
+            if self._record_outcome(now, instance, each)
         ]
-        self._line.update(sender, view)
+        self._queue.update(sender, instance)
         return ejected
 
-    def remove_holder(self, holder: str) -> None:
-        """Forget an instance that is gone, and take its slots back.
+    def remove_instance(self, instance_name: str) -> None:
+        """Remove an instance and reclaim its slots.
 
-        :param holder: its name.
+        :param instance_name: the name of the instance.
         """
-        if self._views.pop(holder, None) is not None:
-            self._line.remove(holder)
-            self._count_running()
-
-    def grant(self, now: float, budget_share: float) -> list[Granted]:
-        """Grant all slots that are free and wanted.
-
-        :param now: the present time.
-        :param budget_share: how much of the byte budget is left.
+        if self._instances.pop(instance_name, None) is not None:
+            self._queue.remove(instance_name)
+            self._recount_running()
+
+    def grant(
+        self, now: float, budget_fraction: float
+    ) -> list[AddressedGrant]:
+        """Grant as many free slots as instances wait for.
+
+        :param now: the current time.
+        :param budget_fraction: the fraction of the byte budget that is
+            left.
         :returns: the grants to send.
         """
-        self.begin(now)
-        if now < self._granting_from:
+        self.start_settling(now)
+        if now < self._settled_at:
             return []
-        granted = []
-        while len(self._line):
-            one = self._grant_one(now, budget_share)
-            if one is None:
+        grants = []
+        while len(self._queue):
+            grant = self._grant_next(now, budget_fraction)
+            if grant is None:
                 break
-            granted.append(one)
-        return granted
+            grants.append(grant)
+        return grants
 
-    def list_holders(self) -> list[str]:
-        """List the instances that hold or want a slot."""
-        return list(self._views)
+    def list_instances(self) -> list[str]:
+        """List the instances that hold a slot or wait for one."""
+        return list(self._instances)
 
     def tick(self, now: float) -> list[str]:
-        """Forget silent instances and find those to reassure.
+        """Remove silent instances and find those that need a keepalive.
 
-        :param now: the present time.
-        :returns: instances that wait and have heard nothing lately.
+        :param now: the current time.
+        :returns: waiting instances that were sent nothing recently.
         """
-        for holder, view in list(self._views.items()):
-            if now - view.heard_at > _FORGET_SECONDS:
-                self.remove_holder(holder)
-        patience = self._settings.silence_seconds / 3
-        reassured = []
-        for holder, view in self._views.items():
-            waits = any(view.waiting.values())
-            if waits and now - view.sent_at >= patience:
-                view.sent_at = now
-                reassured.append(holder)
-        return reassured
-
-    def _count_running(self) -> None:
+        for instance_name, instance in list(self._instances.items()):
+            if now - instance.heard_at > _INSTANCE_TIMEOUT_SECONDS:
+                self.remove_instance(instance_name)
+        interval = self._settings.silence_seconds / 3
+        due = []
+        for instance_name, instance in self._instances.items():
+            is_waiting = any(instance.waiting.values())
+            if is_waiting and now - instance.sent_at >= interval:
+                instance.sent_at = now
+                due.append(instance_name)
+        return due
+
+    def _recount_running(self) -> None:
         counts: dict[int, int] = {}
-        for view in self._views.values():
-            for number, count in view.count_slots().items():
+        for instance in self._instances.values():
+            for number, count in instance.count_slots().items():
                 counts[number] = counts.get(number, 0) + count
-        for number, name in self._names.items():
+        for number, name in self._upstream_names.items():
             self._pool.get(name).running = counts.get(number, 0)
 
-    def _shift_running(
+    def _update_running(
         self, before: dict[int, int], after: dict[int, int]
     ) -> None:
         for number in before.keys() | after.keys():
@@ -179,13 +184,13 @@
                 change = after.get(number, 0) - before.get(number, 0)
                 record.running += change
 
-    def _charge_reuse(
+    def _add_reuse_work(
         self,
         before: dict[int, int],
         after: dict[int, int],
         demand: _messages.SlotDemand,
     ) -> None:
-        """Count requests that ran in a slot which was not given back."""
+        """Add the work of requests that reused a slot without a new grant."""
         ended: dict[int, int] = {}
         for each in demand.outcomes:
             ended[each.upstream] = ended.get(each.upstream, 0) + 1
@@ -194,152 +199,164 @@
             record = self._find_record(number)
             for _ in range(count - max(0, released)):
                 if record is not None:
-                    record.charge()
+                    record.add_work()
 
-    def _judge(
+    def _record_outcome(
         self,
         now: float,
-        view: _instance_record.HolderView,
-        seen: _messages.SeenOutcome,
+        instance: _instance_record.InstanceRecord,
+        attempt: _messages.AttemptOutcome,
     ) -> bool:
-        name = self._names.get(seen.upstream)
+        name = self._upstream_names.get(attempt.upstream)
         if name is None:
             return False
-        outcome = seen.code.outcome
-        if not self._blame(now, view, seen.upstream, outcome):
+        outcome = attempt.code.outcome
+        if not self._is_attributable(now, instance, attempt.upstream, outcome):
             return False
         return self._pool.record_outcome(
-            now, name, outcome, seen.elapsed_milliseconds / 1000
+            now, name, outcome, attempt.elapsed_milliseconds / 1000
         )
 
-    def _blame(
+    def _is_attributable(
         self,
         now: float,
-        view: _instance_record.HolderView,
+        instance: _instance_record.InstanceRecord,
         upstream: int,
         outcome: request.Outcome,
     ) -> bool:
-        """Tell whether an outcome speaks about the upstream.
+        """Tell whether an outcome counts for or against the upstream.
 
-        An instance that alone fails to reach an upstream is kept from it;
-        the others go on using it.
+        Repeated failures of one instance count only for that instance: it
+        is blocked from the upstream, which stays in use by the others.
         """
         if outcome is request.Outcome.ANSWERED:
-            view.failures.pop(upstream, None)
+            instance.failures.pop(upstream, None)
             return True
         if not _upstream_record.is_failure(outcome):
             return True
-        failures = view.failures.get(upstream, 0) + 1
-        view.failures[upstream] = failures
+        failures = instance.failures.get(upstream, 0) + 1
+        instance.failures[upstream] = failures
         if failures >= self._settings.ejection_failures:
             seconds = self._settings.ejection_seconds
-            view.blocked_until[upstream] = now + seconds
-        return len(self._views) < 2 or failures <= _LONE_FAILURES
+            instance.blocked_until[upstream] = now + seconds
+        return (
+            len(self._instances) < 2 or failures <= _MAXIMUM_COUNTED_FAILURES
+        )
 
-    def _grant_one(self, now: float, budget_share: float) -> Granted | None:
-        room = self._find_room(now)
-        if room.is_empty:
+    def _grant_next(
+        self, now: float, budget_fraction: float
+    ) -> AddressedGrant | None:
+        candidates = self._find_candidates(now)
+        if candidates.is_empty:
             return None
-        waiting = self._line.list_waiting()
+        waiting = self._queue.list_waiting()
         first = self._scheduler.choose(waiting)
         rest = [each for each in waiting if each is not first]
         for priority in [first, *rest]:
             is_alert = priority is request.Priority.ALERT
-            for holder in self._line.iterate(priority):
-                view = self._views[holder]
-                record = room.choose(now, view, is_alert)
+            for instance_name in self._queue.iterate_instances(priority):
+                instance = self._instances[instance_name]
+                record = candidates.choose(now, instance, is_alert)
                 if record is None:
                     continue
                 self._scheduler.record_turn(priority, waiting)
-                return self._give(now, holder, priority, record, budget_share)
+                return self._issue_grant(
+                    now, instance_name, priority, record, budget_fraction
+                )
         return None
 
-    def _give(
+    def _issue_grant(
         self,
         now: float,
-        holder: str,
+        instance_name: str,
         priority: request.Priority,
         record: _upstream_record.UpstreamRecord,
-        budget_share: float,
-    ) -> Granted:
-        view = self._views[holder]
-        view.record_grant(now, record.number, priority)
-        view.in_line[priority] -= 1
-        self._line.leave(priority, holder)
-        self._line.update(holder, view)
+        budget_fraction: float,
+    ) -> AddressedGrant:
+        instance = self._instances[instance_name]
+        instance.record_grant(now, record.number, priority)
+        instance.queued[priority] -= 1
+        self._queue.remove_first(priority, instance_name)
+        self._queue.update(instance_name, instance)
         record.record_dispatch()
-        uses = self._count_uses(budget_share)
+        uses = self._compute_uses(budget_fraction)
         grant = _messages.SlotGrant(
-            self._number, view.sequence, record.number, int(priority), uses
+            self._service_number,
+            instance.sequence,
+            record.number,
+            int(priority),
+            uses,
         )
-        return Granted(holder, grant)
+        return AddressedGrant(instance_name, grant)
 
-    def _find_room(self, now: float) -> _candidates.Room:
-        """Find the upstreams that may be sent one more request."""
+    def _find_candidates(self, now: float) -> _candidates.CandidateSet:
+        """Find the upstreams that can take one more request."""
         usable = self._pool.list_usable(now)
         free = [each for each in usable if each.running < each.get_limit(now)]
         if free:
-            return _candidates.Room(usable, free=free)
-        return _candidates.Room(
+            return _candidates.CandidateSet(usable, free=free)
+        return _candidates.CandidateSet(
             usable,
-            extra=self._list_extra(now, usable),
-            spare=self._list_spare(now),
+            pipelined=self._list_pipelinable(now, usable),
+            slow=self._list_slow(now),
         )
 
-    def _list_extra(
+    def _list_pipelinable(
         self, now: float, usable: list[_upstream_record.UpstreamRecord]
     ) -> list[_upstream_record.UpstreamRecord]:
-        """List upstreams that may keep one request in their own queue.
+        """List upstreams that may queue a request beyond their slots.
 
-        It hides the way of a slot back to the home and out again, and is
-        worth it only when there is more work than the slots can take.
-        What was sent on can't be overtaken any more, so none is sent
-        while an alert waits, and alerts go to free slots alone.
+        This hides the round trip of a slot through the coordinator, which
+        pays off only while more requests wait than the slots can take. An
+        alert can't overtake a request that was already sent, so the list
+        is empty while an alert waits, and alerts use free slots only.
         """
-        if not self._is_saturated() or self._has_alert():
+        if not self._is_saturated() or self._has_waiting_alert():
             return []
         extra = self._settings.pipeline_extra
         return [
             each
             for each in usable
-            if not each.has_refused_lately(now)
-            and not each.is_ramping
+            if not each.has_refused_recently(now)
+            and not each.is_in_slow_start
             and each.running < each.upstream.slots + extra
         ]
 
-    def _list_spare(self, now: float) -> list[_upstream_record.UpstreamRecord]:
-        """List slow upstreams that are still faster than the line."""
-        if not self._pool.has_slow(now):
+    def _list_slow(self, now: float) -> list[_upstream_record.UpstreamRecord]:
+        """List ejected slow upstreams that would answer before the queue."""
+        if not self._pool.has_latency_ejections(now):
             return []
-        median = self._pool.measure_median(now)
-        wait = self._count_wanted() * median / max(1, self._pool.slots)
+        median = self._pool.compute_median_latency(now)
+        wait = self._count_waiting() * median / max(1, self._pool.slots)
         return [
             each
             for each in self._pool.list_active()
-            if each.is_slow
+            if each.ejected_for_latency
             and each.is_ejected(now)
             and each.running < each.upstream.slots
             and each.latency_seconds - median <= wait
         ]
 
-    def _count_wanted(self) -> int:
-        return sum(sum(each.waiting.values()) for each in self._views.values())
+    def _count_waiting(self) -> int:
+        return sum(
+            sum(each.waiting.values()) for each in self._instances.values()
+        )
 
-    def _has_alert(self) -> bool:
-        return request.Priority.ALERT in self._line.list_waiting()
+    def _has_waiting_alert(self) -> bool:
+        return request.Priority.ALERT in self._queue.list_waiting()
 
     def _is_saturated(self) -> bool:
-        return len(self._line) > len(self._names)
+        return len(self._queue) > len(self._upstream_names)
 
-    def _count_uses(self, budget_share: float) -> int:
+    def _compute_uses(self, budget_fraction: float) -> int:
         uses = self._settings.slot_uses
-        if budget_share >= 0.5:
+        if budget_fraction >= 0.5:
             return uses
-        scarcity = 2.0 ** ((0.5 - budget_share) * 8)
+        scarcity = 2.0 ** ((0.5 - budget_fraction) * 8)
         return min(_MAXIMUM_USES, max(uses, round(scarcity)))
 
     def _find_record(
         self, number: int
     ) -> _upstream_record.UpstreamRecord | None:
-        name = self._names.get(number)
+        name = self._upstream_names.get(number)
         return None if name is None else self._pool.get(name)
--- a/skylarkfold/selection/_choice.py
+++ b/skylarkfold/selection/_choice.py
@@ -1,4 +1,4 @@
-"""What a choice answers."""
+"""The result of upstream selection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ChoiceReason(enum.StrEnum):
-    """Why a choice fell as it did."""
+    """Why an upstream was chosen, or why none was."""
 
     SLOT_HELD = 'slot-held'
     RANDOM = 'random'
@@ -23,11 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """An upstream for a request, or why there is none now.
+    """An upstream for a request, or the reason why there is none.
 
-    :param upstream: where to dispatch; None to wait.
-    :param reason: why.
-    :param pass_to: a peer that should be able to serve the request.
+    :param upstream: the upstream to dispatch to; None to wait.
+    :param reason: the reason for the choice.
+    :param pass_to: a peer to forward the request to, which may be able to
+        serve it; None for none.
     """
 
     upstream: service.Upstream | None
--- a/skylarkfold/selection/_coordinator.py
+++ b/skylarkfold/selection/_coordinator.py
@@ -1,4 +1,4 @@
-"""Which instance is the home of a service."""
+"""Choice of the instance that coordinates the slots of a service."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Home:
-    """The home of one service among the owners of one version.
+class Coordinator:
+    """The coordinator of one service.
 
-    :param name: the instance.
-    :param weight: its rendezvous weight for the service.
-    :param version: of the owners among which it was found.
+    :param name: the name of the instance.
+    :param weight: its rendezvous hash for the service.
+    :param version: the version of the set of owners that it was chosen
+        from.
     """
 
     name: str
@@ -21,31 +22,31 @@
     version: int
 
 
-class HomeFinder:
-    """Finds homes by rendezvous hash, alike on every instance.
+class CoordinatorFinder:
+    """Finds the coordinators of services by rendezvous hashing.
 
-    It remembers how the owners changed last, so that one instance's
-    coming or going costs a hash or none for each service instead of one
-    for each owner.
+    All instances with the same set of owners find the same coordinator.
+    The last change of the set is kept, so that after an instance joins or
+    leaves, most services need at most one hash rather than one per owner.
     """
 
-    __slots__ = ('_added', '_encoded', '_given', '_removed', '_version')
+    __slots__ = ('_added', '_encoded', '_owners', '_removed', '_version')
 
     def __init__(self) -> None:
         self._added: tuple[str, ...] = ()
         self._encoded: dict[str, bytes] = {}
-        self._given: tuple[str, ...] = ()
+        self._owners: tuple[str, ...] = ()
         self._removed: frozenset[str] = frozenset()
         self._version = 0
 
-    def follow(self, owners: tuple[str, ...]) -> None:
-        """Take the newest owners.
+    def update_owners(self, owners: tuple[str, ...]) -> None:
+        """Replace the set of owners.
 
-        :param owners: the members that may own state.
+        :param owners: the instances that may be coordinators.
         """
-        if owners is self._given:
+        if owners is self._owners:
             return
-        self._given = owners
+        self._owners = owners
         new = frozenset(owners)
         if new == self._encoded.keys():
             return
@@ -54,31 +55,35 @@
         self._encoded = {name: name.encode() for name in sorted(new)}
         self._version += 1
 
-    def find(self, service_number: int, known: Home | None) -> Home | None:
-        """Find a service's home among the newest owners.
+    def find(
+        self, service_number: int, previous: Coordinator | None
+    ) -> Coordinator | None:
+        """Find the coordinator of a service among the current owners.
 
         :param service_number: the service's number.
-        :param known: what this method returned for the service before.
-        :returns: the home, None without owners.
+        :param previous: the last result of this method for the service.
+        :returns: the coordinator, None if there are no owners.
         """
-        if known is not None and known.version == self._version:
-            return known
+        if previous is not None and previous.version == self._version:
+            return previous
         if not self._encoded:
             return None
         candidates = list(self._encoded)
-        if self._is_recent(known):
-            candidates = [known.name, *self._added]
+        if self._is_updatable(previous):
+            candidates = [previous.name, *self._added]
         weight, name = max(
-            (self._weigh(service_number, each), each) for each in candidates
+            (self._compute_weight(service_number, each), each)
+            for each in candidates
         )
-        return Home(name, weight, self._version)
+        return Coordinator(name, weight, self._version)
 
-    def _is_recent(self, known: Home | None) -> bool:
-        if known is None or known.version != self._version - 1:
+    def _is_updatable(self, previous: Coordinator | None) -> bool:
+        """Tell whether only added owners need comparing with the old one."""
+        if previous is None or previous.version != self._version - 1:
             return False
-        return known.name not in self._removed
+        return previous.name not in self._removed
 
-    def _weigh(self, service_number: int, owner: str) -> int:
+    def _compute_weight(self, service_number: int, owner: str) -> int:
         return xxhash.xxh3_64_intdigest(
             self._encoded[owner], seed=service_number
         )
--- a/skylarkfold/selection/_instance_record.py
+++ b/skylarkfold/selection/_instance_record.py
@@ -1,4 +1,4 @@
-"""What a service's home knows of one instance that uses its slots."""
+"""The coordinator's record of one instance."""
 
 from __future__ import annotations
 
@@ -8,29 +8,40 @@
 from skylarkfold import request
 from skylarkfold.selection import _messages
 
-_LOST_SECONDS = 1.0
+_GRANT_TIMEOUT_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UnseenGrant:
-    """A grant that the instance has not confirmed yet."""
+class UnacknowledgedGrant:
+    """A grant that the instance has not acknowledged yet."""
 
     sequence: int
     upstream: int
     sent_at: float
 
 
-class HolderView:
-    """One instance's slots and wants, as the home knows them."""
+class InstanceRecord:
+    """Slots and waiting requests of one instance, on the coordinator.
+
+    :ivar blocked_until: end of the time for which the instance gets no
+        slot of an upstream, by upstream number.
+    :ivar excluded: numbers of upstreams that its request must not use.
+    :ivar failures: consecutive failures, by upstream number.
+    :ivar heard_at: the time of its last message.
+    :ivar queued: entries in the wait queue, by class.
+    :ivar sent_at: the time of the last message to it.
+    :ivar sequence: the number of the last grant.
+    :ivar waiting: requests that wait for a grant, by class.
+    """
 
     __slots__ = (
         '_held',
-        '_unseen',
+        '_unacknowledged',
         'blocked_until',
         'excluded',
         'failures',
         'heard_at',
-        'in_line',
+        'queued',
         'sent_at',
         'sequence',
         'waiting',
@@ -38,31 +49,33 @@
 
     def __init__(self, now: float) -> None:
         self._held: dict[int, int] = {}
-        self._unseen: collections.deque[UnseenGrant] = collections.deque()
+        self._unacknowledged: collections.deque[UnacknowledgedGrant] = (
+            collections.deque()
+        )
         self.blocked_until: dict[int, float] = {}
         self.excluded: frozenset[int] = frozenset()
         self.failures: dict[int, int] = {}
         self.heard_at = now
-        self.in_line = dict.fromkeys(request.Priority, 0)
+        self.queued = dict.fromkeys(request.Priority, 0)
         self.sent_at = now
         self.sequence = 0
         self.waiting = dict.fromkeys(request.Priority, 0)
 
     def count_slots(self) -> dict[int, int]:
-        """Count the slots held or on their way, by upstream number."""
+        """Count the slots that are held or in transit, by upstream number."""
         counts = dict(self._held)
-        for grant in self._unseen:
+        for grant in self._unacknowledged:
             counts[grant.upstream] = counts.get(grant.upstream, 0) + 1
         return counts
 
     def apply(self, now: float, demand: _messages.SlotDemand) -> None:
-        """Take the instance's newest statement.
+        """Apply a message of the instance.
 
-        :param now: the present time.
-        :param demand: the statement.
+        :param now: the current time.
+        :param demand: the message.
         """
         self.heard_at = now
-        self._forget_unseen(now, demand.seen)
+        self._drop_settled_grants(now, demand.seen)
         self._held = {each.upstream: each.count for each in demand.held}
         self.excluded = frozenset(demand.excluded)
         self.waiting = {
@@ -70,39 +83,41 @@
             request.Priority.EXCHANGE: demand.exchanges,
             request.Priority.BULK: demand.bulk,
         }
-        for grant in self._unseen:
-            self._take_waiting(grant)
+        for grant in self._unacknowledged:
+            self._deduct_waiting(grant)
 
     def record_grant(
         self, now: float, upstream: int, priority: request.Priority
     ) -> None:
-        """Note a grant that is sent now.
+        """Record a grant that is being sent.
 
-        :param now: the present time.
+        :param now: the current time.
         :param upstream: the upstream's number.
-        :param priority: the class that it is for.
+        :param priority: the class that it was granted for.
         """
         self.sequence += 1
         self.sent_at = now
-        self._unseen.append(UnseenGrant(self.sequence, upstream, now))
+        self._unacknowledged.append(
+            UnacknowledgedGrant(self.sequence, upstream, now)
+        )
         self.waiting[priority] = max(0, self.waiting[priority] - 1)
 
     def is_blocked(self, now: float, upstream: int) -> bool:
-        """Tell whether the instance can't use an upstream for now."""
+        """Tell whether the instance must not use an upstream for now."""
         if upstream in self.excluded:
             return True
         return now < self.blocked_until.get(upstream, 0.0)
 
-    def _forget_unseen(self, now: float, seen: int) -> None:
-        """Forget grants that have arrived, and those that got lost."""
-        while self._unseen:
-            oldest = self._unseen[0]
-            is_lost = now - oldest.sent_at > _LOST_SECONDS
-            if oldest.sequence > seen and not is_lost:
+    def _drop_settled_grants(self, now: float, last_sequence: int) -> None:
+        """Drop grants that were acknowledged or timed out."""
+        while self._unacknowledged:
+            oldest = self._unacknowledged[0]
+            is_lost = now - oldest.sent_at > _GRANT_TIMEOUT_SECONDS
+            if oldest.sequence > last_sequence and not is_lost:
                 return
-            self._unseen.popleft()
+            self._unacknowledged.popleft()
 
-    def _take_waiting(self, grant: UnseenGrant) -> None:
+    def _deduct_waiting(self, grant: UnacknowledgedGrant) -> None:
         for priority in request.Priority:
             if self.waiting[priority]:
                 self.waiting[priority] -= 1
--- a/skylarkfold/selection/_local_chooser.py
+++ b/skylarkfold/selection/_local_chooser.py
@@ -1,4 +1,4 @@
-"""Choices that an instance makes alone."""
+"""Upstream selection without a coordinator."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 
 
 class LocalChooser:
-    """Chooses from what this instance has seen, within its share.
+    """Chooses upstreams by what this instance observed.
 
-    An instance runs at most its part of the service's slots at the same
-    time, rounded up; more wait in its admission queue.
+    The requests that an instance runs at the same time are limited to its
+    share of the service's slots, rounded up; others wait in its admission
+    queue.
 
-    :param settings: the policy and its limits.
+    :param settings: the selection settings.
     :param generator: draws the candidates.
     """
 
@@ -34,16 +35,16 @@
     def choose(
         self,
         now: float,
-        pool: _pool.Pool,
+        pool: _pool.UpstreamPool,
         owners: int,
         exclude: frozenset[str],
     ) -> _choice.Choice:
         """Choose an upstream.
 
-        :param now: the present time.
+        :param now: the current time.
         :param pool: the service's upstreams.
-        :param owners: how many instances share them.
-        :param exclude: names that must not be chosen.
+        :param owners: the number of instances that share the slots.
+        :param exclude: names of upstreams to skip.
         :returns: the choice.
         """
         candidates = [
@@ -52,19 +53,21 @@
             if each.upstream.name not in exclude
         ]
         if not candidates:
-            return _refuse(_choice.ChoiceReason.NO_UPSTREAM)
-        if self._is_full(pool, owners):
-            return _refuse(_choice.ChoiceReason.NO_ROOM)
+            return _build_refusal(_choice.ChoiceReason.NO_UPSTREAM)
+        if self._has_reached_share(pool, owners):
+            return _build_refusal(_choice.ChoiceReason.NO_ROOM)
         if self._settings.policy is _settings.Policy.RANDOM:
             chosen = self._generator.choice(candidates)
-            return _accept(chosen, _choice.ChoiceReason.RANDOM)
+            return _build_choice(chosen, _choice.ChoiceReason.RANDOM)
         if self._settings.policy is _settings.Policy.TWO_CHOICES:
             pair = self._draw_pair(candidates)
-            chosen = min(pair, key=_measure_reported_load)
-            return _accept(chosen, _choice.ChoiceReason.LESS_LOADED)
-        return self._choose_seen(now, candidates)
+            chosen = min(pair, key=_compute_reported_load)
+            return _build_choice(chosen, _choice.ChoiceReason.LESS_LOADED)
+        return self._choose_by_observed_load(now, candidates)
 
-    def _is_full(self, pool: _pool.Pool, owners: int) -> bool:
+    def _has_reached_share(
+        self, pool: _pool.UpstreamPool, owners: int
+    ) -> bool:
         running = sum(each.running for each in pool)
         share = self._settings.share_factor * pool.slots / max(1, owners)
         return running >= math.ceil(share)
@@ -76,34 +79,34 @@
             return candidates
         return self._generator.sample(candidates, 2)
 
-    def _choose_seen(
+    def _choose_by_observed_load(
         self, now: float, candidates: list[_upstream_record.UpstreamRecord]
     ) -> _choice.Choice:
-        """Choose by what was seen here alone, within the limits."""
-        with_room = [
+        """Choose the less loaded of two upstreams below their limits."""
+        available = [
             each for each in candidates if each.running < each.get_limit(now)
         ]
-        if not with_room:
-            return _refuse(_choice.ChoiceReason.NO_ROOM)
-        chosen = min(self._draw_pair(with_room), key=_measure_seen_load)
-        return _accept(chosen, _choice.ChoiceReason.CHOSEN_ALONE)
+        if not available:
+            return _build_refusal(_choice.ChoiceReason.NO_ROOM)
+        chosen = min(self._draw_pair(available), key=_compute_observed_load)
+        return _build_choice(chosen, _choice.ChoiceReason.CHOSEN_ALONE)
 
 
-def _accept(
+def _build_choice(
     record: _upstream_record.UpstreamRecord, reason: _choice.ChoiceReason
 ) -> _choice.Choice:
     return _choice.Choice(record.upstream, reason)
 
 
-def _refuse(reason: _choice.ChoiceReason) -> _choice.Choice:
+def _build_refusal(reason: _choice.ChoiceReason) -> _choice.Choice:
     return _choice.Choice(None, reason)
 
 
-def _measure_reported_load(record: _upstream_record.UpstreamRecord) -> float:
-    return record.supposed_running / record.upstream.slots
+def _compute_reported_load(record: _upstream_record.UpstreamRecord) -> float:
+    return record.estimated_running / record.upstream.slots
 
 
-def _measure_seen_load(record: _upstream_record.UpstreamRecord) -> float:
+def _compute_observed_load(record: _upstream_record.UpstreamRecord) -> float:
     return (
         (record.running + 1)
         / record.upstream.slots
--- a/skylarkfold/selection/_messages.py
+++ b/skylarkfold/selection/_messages.py
@@ -1,4 +1,4 @@
-"""Messages between the holders of slots and a service's home."""
+"""Messages between instances and the coordinator of a service's slots."""
 
 from __future__ import annotations
 
@@ -11,36 +11,37 @@
 from skylarkfold import message
 from skylarkfold import request
 
-_FEW_UPSTREAMS = 64
-_NARROW_NUMBERS = 128
-_WIDE_NUMBERS = 65536
+_MAXIMUM_UNIQUE_NUMBERS = 64
+_ONE_BYTE_NUMBERS = 128
+_TWO_BYTE_NUMBERS = 65536
 
 
-def number_service(name: str) -> int:
-    """Give a service's name a number of 32 bits, alike everywhere."""
+def compute_service_number(name: str) -> int:
+    """Return the 32-bit number of a service, the same on all instances."""
     return _hash_name(name)
 
 
-def number_upstreams(names: Iterable[str]) -> dict[str, int]:
-    """Give a service's upstreams short numbers, alike everywhere.
+def assign_upstream_numbers(names: Iterable[str]) -> dict[str, int]:
+    """Assign short numbers to a service's upstreams.
 
-    Up to 64 upstreams get different numbers of one byte; while instances
-    differ in the configuration, a few numbers may differ as well. Above
-    that, two may share one and are counted together. Both cost room for
-    a moment but are never unsafe: slots are hints.
+    Instances with the same configuration assign the same numbers. Up to
+    64 upstreams get distinct numbers of one byte, of which a few may
+    differ between instances while their configurations differ. Beyond
+    that, two upstreams may share a number and are counted together. Either
+    only makes slot counts inexact for a while, and slots are advisory.
 
-    :param names: the upstreams.
-    :returns: numbers by name.
+    :param names: the names of the upstreams.
+    :returns: the numbers by name.
     """
     ordered = sorted(names)
-    if len(ordered) > _FEW_UPSTREAMS:
-        return {name: _hash_name(name) % _WIDE_NUMBERS for name in ordered}
+    if len(ordered) > _MAXIMUM_UNIQUE_NUMBERS:
+        return {name: _hash_name(name) % _TWO_BYTE_NUMBERS for name in ordered}
     numbers: dict[str, int] = {}
     taken: set[int] = set()
     for name in ordered:
-        number = _hash_name(name) % _NARROW_NUMBERS
+        number = _hash_name(name) % _ONE_BYTE_NUMBERS
         while number in taken:
-            number = (number + 1) % _NARROW_NUMBERS
+            number = (number + 1) % _ONE_BYTE_NUMBERS
         taken.add(number)
         numbers[name] = number
     return numbers
@@ -51,7 +52,7 @@
 
 
 class OutcomeCode(enum.IntEnum):
-    """An outcome as a small number."""
+    """The number of an outcome in messages."""
 
     ANSWERED = 0
     REFUSED = 1
@@ -62,23 +63,23 @@
 
     @property
     def outcome(self) -> request.Outcome:
-        """The outcome that it stands for."""
+        """The outcome with this number."""
         return request.Outcome[self.name]
 
 
 class HeldSlots(msgspec.Struct, frozen=True, array_like=True):
-    """How many slots of one upstream an instance holds."""
+    """The number of slots of one upstream that an instance holds."""
 
     upstream: int
     count: int
 
 
-class SeenOutcome(msgspec.Struct, frozen=True, array_like=True):
-    """How one attempt ended.
+class AttemptOutcome(msgspec.Struct, frozen=True, array_like=True):
+    """The outcome of one attempt.
 
     :param upstream: the upstream's number.
     :param code: how it ended.
-    :param elapsed_milliseconds: since its dispatch.
+    :param elapsed_milliseconds: the time since its dispatch.
     """
 
     upstream: int
@@ -87,18 +88,20 @@
 
 
 class SlotDemand(message.PeerMessage, tag=30):
-    """What an instance holds and wants, told to a service's home.
+    """Held slots and waiting requests of an instance.
 
-    It is a whole statement: a lost or doubled one does no lasting harm.
+    Sent to the service's coordinator. Each message has the full state, so
+    that a lost or duplicated one has no lasting effect.
 
     :param service: the service's number.
-    :param seen: the last grant that has arrived.
-    :param alerts: alerts that wait.
-    :param exchanges: exchanges that wait.
-    :param bulk: bulk requests that wait.
-    :param held: all slots held, in use or not.
-    :param outcomes: attempts that have ended since the last statement.
-    :param excluded: upstreams that the waiting request must not use.
+    :param seen: the sequence number of the last grant received.
+    :param alerts: the number of waiting alerts.
+    :param exchanges: the number of waiting exchanges.
+    :param bulk: the number of waiting bulk requests.
+    :param held: all held slots, idle or in use.
+    :param outcomes: attempts that ended since the last message.
+    :param excluded: numbers of upstreams that the waiting request must
+        not use.
     """
 
     service: int
@@ -107,19 +110,19 @@
     exchanges: int
     bulk: int
     held: tuple[HeldSlots, ...] = ()
-    outcomes: tuple[SeenOutcome, ...] = ()
+    outcomes: tuple[AttemptOutcome, ...] = ()
     excluded: tuple[int, ...] = ()
 
 
 class SlotGrant(message.PeerMessage, tag=31):
-    """A slot for an instance, from the service's home.
+    """A slot granted to an instance by the service's coordinator.
 
     :param service: the service's number.
-    :param sequence: counts the grants to this instance.
+    :param sequence: the sequence number of grants to this instance.
     :param upstream: the upstream's number.
     :param priority: the class that it was granted for.
-    :param uses: requests that may use it one after the other, as long as
-        some wait; then it goes back.
+    :param uses: requests that may use it one after the other; it is
+        returned earlier if none waits.
     """
 
     service: int
@@ -130,11 +133,11 @@
 
 
 class SlotNotice(message.PeerMessage, tag=32):
-    """The home is there, but has no slot to grant.
+    """A keepalive from the coordinator to an instance without a grant.
 
     :param service: the service's number.
-    :param alone_milliseconds: how long instances are to choose alone,
-        because the home's byte budget is spent; 0 to go on waiting.
+    :param alone_milliseconds: how long the instance is to choose without
+        the coordinator, whose byte budget is spent; 0 to keep waiting.
     """
 
     service: int
--- a/skylarkfold/selection/_pool.py
+++ b/skylarkfold/selection/_pool.py
@@ -1,4 +1,4 @@
-"""The upstreams of one service with what has been seen of them."""
+"""The upstreams of one service and the ejection of outliers."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 from skylarkfold.selection import _upstream_record
 from skylarkfold import service as service_module
 
-_MINIMUM_COMPARED = 3
+_MINIMUM_MEASURED_UPSTREAMS = 3
 
 
-class Pool:
-    """Records of a service's upstreams, and the ejection of outliers.
+class UpstreamPool:
+    """Records of a service's upstreams; ejects failing and slow ones.
 
-    :param settings: limits and times.
+    :param settings: the selection settings.
+    :ivar service: the configuration, None until it is set.
+    :ivar slots: the slots of all upstreams that accept new work.
     """
 
     __slots__ = ('_active', '_records', '_settings', 'service', 'slots')
@@ -31,14 +33,16 @@
         self.slots = 0
 
     def configure(self, service: service_module.Service) -> None:
-        """Take a newer configuration, keeping what was seen.
+        """Apply a changed configuration; records of upstreams are kept.
 
         :param service: the service.
         """
-        is_running = self.service is not None
+        is_reconfigured = self.service is not None
         self.service = service
-        least = min((each.work for each in self._records.values()), default=0)
-        numbers = _messages.number_upstreams(
+        minimum_work = min(
+            (each.work for each in self._records.values()), default=0
+        )
+        numbers = _messages.assign_upstream_numbers(
             each.name for each in service.upstreams
         )
         records = {}
@@ -47,9 +51,9 @@
             if record is None:
                 number = numbers[upstream.name]
                 record = _upstream_record.UpstreamRecord(
-                    upstream, self._settings, number, is_running
+                    upstream, self._settings, number, is_reconfigured
                 )
-                record.work = least
+                record.work = minimum_work
             record.upstream = upstream
             record.number = numbers[upstream.name]
             records[upstream.name] = record
@@ -66,10 +70,10 @@
     def get(
         self, upstream_name: str
     ) -> _upstream_record.UpstreamRecord | None:
-        """Look up a record.
+        """Return the record of an upstream.
 
         :param upstream_name: the upstream.
-        :returns: its record, None once it was removed.
+        :returns: its record, None if it is not configured.
         """
         return self._records.get(upstream_name)
 
@@ -77,26 +81,26 @@
         return iter(self._records.values())
 
     def list_active(self) -> list[_upstream_record.UpstreamRecord]:
-        """List the upstreams that take new work; not to be changed."""
+        """List the upstreams that accept new work; do not modify the list."""
         return self._active
 
     def list_usable(self, now: float) -> list[_upstream_record.UpstreamRecord]:
-        """List those that take new work and are neither out nor doubtful.
+        """List upstreams that accept work and are not ejected or suspect.
 
-        Doubtful ones are left out only within the cap on ejections.
+        Suspect ones are left out only within the cap on ejections.
 
-        :param now: the present time.
-        :returns: at least one, unless none takes new work.
+        :param now: the current time.
+        :returns: at least one upstream, unless none accepts new work.
         """
         usable = [each for each in self._active if not each.is_ejected(now)]
-        self._let_return(usable)
-        doubtful = [each for each in usable if each.is_doubtful(now)]
-        if not doubtful:
+        self._level_returning(usable)
+        suspect = [each for each in usable if each.is_suspect(now)]
+        if not suspect:
             return usable
-        out = len(self._active) - len(usable)
-        allowed = max(0, self._count_ejectable() - out)
-        left_out = doubtful[:allowed]
-        return [each for each in usable if each not in left_out]
+        ejected_count = len(self._active) - len(usable)
+        excludable_count = max(0, self._count_ejectable() - ejected_count)
+        excluded = suspect[:excludable_count]
+        return [each for each in usable if each not in excluded]
 
     def record_outcome(
         self,
@@ -105,19 +109,19 @@
         outcome: request.Outcome,
         elapsed_seconds: float,
     ) -> bool:
-        """Note how a request ended and eject its upstream if it has to be.
+        """Record the outcome of a request, and eject its upstream if due.
 
-        :param now: the present time.
-        :param upstream_name: where it was sent.
+        :param now: the current time.
+        :param upstream_name: the upstream that it was sent to.
         :param outcome: how it ended.
-        :param elapsed_seconds: since its dispatch.
-        :returns: whether the upstream was ejected by this.
+        :param elapsed_seconds: the time since its dispatch.
+        :returns: whether the upstream was ejected for it.
         """
         record = self._records.get(upstream_name)
         if record is None:
             return False
         record.record_outcome(now, outcome, elapsed_seconds)
-        is_failing = record.failures >= self._get_tolerated(record)
+        is_failing = record.failures >= self._get_failure_limit(record)
         is_slow = outcome is request.Outcome.ANSWERED and self._is_slow(
             now, record
         )
@@ -128,32 +132,33 @@
         record.eject(now, is_slow and not is_failing)
         return True
 
-    def is_out_of_reach(self, now: float) -> bool:
-        """Tell whether requests to every upstream have failed lately.
+    def is_unreachable(self, now: float) -> bool:
+        """Tell whether recent requests to all upstreams failed.
 
-        :param now: the present time.
+        :param now: the current time.
         """
-        tolerated = self._settings.ejection_failures
+        failure_limit = self._settings.ejection_failures
         return all(
-            each.failures >= tolerated
-            or (each.is_ejected(now) and not each.is_slow)
+            each.failures >= failure_limit
+            or (each.is_ejected(now) and not each.ejected_for_latency)
             for each in self._active
         )
 
-    def has_slow(self, now: float) -> bool:
-        """Tell whether an upstream is out for slowness.
+    def has_latency_ejections(self, now: float) -> bool:
+        """Tell whether any upstream is ejected for its latency.
 
-        :param now: the present time.
+        :param now: the current time.
         """
         return any(
-            each.is_slow and each.is_ejected(now) for each in self._active
+            each.ejected_for_latency and each.is_ejected(now)
+            for each in self._active
         )
 
-    def measure_median(self, now: float) -> float:
-        """Measure the median service time of the usable upstreams.
+    def compute_median_latency(self, now: float) -> float:
+        """Compute the median latency of the upstreams not ejected.
 
-        :param now: the present time.
-        :returns: seconds, 0 as long as nothing was measured.
+        :param now: the current time.
+        :returns: the median in seconds, 0 if nothing was measured.
         """
         latencies = [
             each.latency_seconds
@@ -162,18 +167,25 @@
         ]
         return statistics.median(latencies) if latencies else 0.0
 
-    def _let_return(
+    def _level_returning(
         self, usable: list[_upstream_record.UpstreamRecord]
     ) -> None:
-        """Keep an upstream that comes back from catching up on its share."""
+        """Raise the work of upstreams that return from an ejection.
+
+        Otherwise they would get a burst of requests to catch up.
+        """
         for record in usable:
             if record.is_returning:
                 record.is_returning = False
                 others = [each.work for each in usable if each is not record]
                 record.work = max(record.work, min(others, default=0.0))
 
-    def _get_tolerated(self, record: _upstream_record.UpstreamRecord) -> int:
-        return 1 if record.is_on_trial else self._settings.ejection_failures
+    def _get_failure_limit(
+        self, record: _upstream_record.UpstreamRecord
+    ) -> int:
+        return (
+            1 if record.is_on_probation else self._settings.ejection_failures
+        )
 
     def _is_slow(
         self, now: float, record: _upstream_record.UpstreamRecord
@@ -181,9 +193,12 @@
         if self._settings.policy is not _settings.Policy.SLOTS:
             return False
         measured = [each for each in self._active if each.is_measured]
-        if not record.is_measured or len(measured) < _MINIMUM_COMPARED:
+        if (
+            not record.is_measured
+            or len(measured) < _MINIMUM_MEASURED_UPSTREAMS
+        ):
             return False
-        median = self.measure_median(now)
+        median = self.compute_median_latency(now)
         return record.latency_seconds > self._settings.slow_factor * median
 
     def _may_eject(
--- a/skylarkfold/selection/_selector.py
+++ b/skylarkfold/selection/_selector.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream, for all services of an instance."""
+"""Upstream selection for all services on this instance."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from skylarkfold import service as service_module
 
 _KIND = 'selection'
-_RESUMED_SHARE = 0.5
+_RESUME_FRACTION = 0.5
 
 
 class Selector:
-    """Chooses upstreams for requests and shares slots with the peers.
+    """Chooses upstreams for requests and exchanges slots with the peers.
 
     :param instance: this instance.
-    :param settings: the policy and its limits.
-    :param seed: sets all random draws.
+    :param settings: the selection settings.
+    :param seed: the seed of all random draws.
     """
 
     def __init__(
@@ -41,107 +41,117 @@
     ) -> None:
         self._name = instance.name
         self._settings = settings
-        self._local = _local_chooser.LocalChooser(
+        self._local_chooser = _local_chooser.LocalChooser(
             settings, random.Random(seed)
         )
-        self._finder = _coordinator.HomeFinder()
-        self._shares: dict[str, _service_state.ServiceShare] = {}
-        self._services: dict[int, str] = {}
+        self._coordinator_finder = _coordinator.CoordinatorFinder()
+        self._states: dict[str, _service_state.ServiceState] = {}
+        self._service_names: dict[int, str] = {}
         self._budget = _byte_budget.ByteBudget(
             settings.control_bytes_per_second
         )
         self._effects: list[object] = []
-        self._touched: dict[str, _service_state.ServiceShare] = {}
+        self._dirty: dict[str, _service_state.ServiceState] = {}
 
     def configure(
         self, service: service_module.Service, owners: tuple[str, ...]
     ) -> None:
-        """Take a service's newer configuration or the newer members.
+        """Apply a service's changed configuration or changed owners.
 
         :param service: the service.
-        :param owners: the members that may own state.
+        :param owners: the instances that share the service's slots.
         """
-        share = self._shares.get(service.name)
-        if share is None:
-            share = _service_state.ServiceShare(
-                service.name, self._name, self._settings, self._finder
+        state = self._states.get(service.name)
+        if state is None:
+            state = _service_state.ServiceState(
+                service.name,
+                self._name,
+                self._settings,
+                self._coordinator_finder,
+            )
+            self._states[service.name] = state
+            number = _messages.compute_service_number(service.name)
+            self._service_names[number] = service.name
+        self._dirty[service.name] = state
+        if state.configure(service, owners):
+            self._record_decision(
+                service.name, state.coordinator_name, '', 'home-changed'
             )
-            self._shares[service.name] = share
-            number = _messages.number_service(service.name)
-            self._services[number] = service.name
-        self._touched[service.name] = share
-        if share.configure(service, owners):
-            self._log(service.name, share.home, '', 'home-changed')
 
     def remove(self, service_name: str) -> None:
-        """Forget a service that is configured no longer.
+        """Remove a service that is no longer configured.
 
         :param service_name: the service.
         """
-        self._shares.pop(service_name, None)
-        self._touched.pop(service_name, None)
-        self._services.pop(_messages.number_service(service_name), None)
+        self._states.pop(service_name, None)
+        self._dirty.pop(service_name, None)
+        self._service_names.pop(
+            _messages.compute_service_number(service_name), None
+        )
 
     def choose(
         self, now: float, service_name: str, exclude: frozenset[str]
     ) -> _choice.Choice:
-        """Choose where the next request of a service may go.
+        """Choose an upstream for the next request of a service.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: the service.
-        :param exclude: upstreams that must not be chosen.
-        :returns: the choice; a slot counts as used at the dispatch.
+        :param exclude: names of upstreams to skip.
+        :returns: the choice; its slot stays idle until the dispatch.
         """
-        share = self._touch(service_name)
-        if share is None:
+        state = self._mark_dirty(service_name)
+        if state is None:
             return _choice.Choice(None, _choice.ChoiceReason.NO_SERVICE)
-        if not share.pool.list_active():
+        if not state.pool.list_active():
             return _choice.Choice(None, _choice.ChoiceReason.NO_UPSTREAM)
         if self._settings.policy is not _settings.Policy.SLOTS:
-            return self._choose_alone(now, share, exclude)
-        name = share.find_slot(exclude)
-        if name is None and self._is_alone(now, share):
-            return self._choose_alone(now, share, exclude)
-        if name is None and share.is_home:
-            share.holder.record_unmet(exclude)
-            self._exchange(now, share, False)
-            name = share.find_slot(exclude)
+            return self._choose_locally(now, state, exclude)
+        name = state.find_idle_slot(exclude)
+        if name is None and self._is_bypassing(now, state):
+            return self._choose_locally(now, state, exclude)
+        if name is None and state.is_coordinator:
+            state.local_slots.record_unmet_request(exclude)
+            self._report_demand(now, state, False)
+            name = state.find_idle_slot(exclude)
         if name is not None:
-            upstream = share.pool.get(name).upstream
+            upstream = state.pool.get(name).upstream
             return _choice.Choice(upstream, _choice.ChoiceReason.SLOT_HELD)
-        if not share.is_home and share.holder.is_home_silent(now):
-            return self._choose_alone(now, share, exclude)
-        share.holder.record_unmet(exclude)
-        return self._wait(now, share)
+        if (
+            not state.is_coordinator
+            and state.local_slots.is_coordinator_silent(now)
+        ):
+            return self._choose_locally(now, state, exclude)
+        state.local_slots.record_unmet_request(exclude)
+        return self._explain_wait(now, state)
 
     def record_waiting(
         self, now: float, service_name: str, waiting: admission.WaitingCounts
     ) -> None:
-        """Note how many requests wait here for a service.
+        """Set the number of requests that wait here for a service.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: the service.
         :param waiting: a count for each class.
         """
-        share = self._touch(service_name)
-        if share is not None:
-            share.holder.record_waiting(waiting)
+        state = self._mark_dirty(service_name)
+        if state is not None:
+            state.local_slots.record_waiting(waiting)
 
     def record_dispatch(
         self, now: float, service_name: str, upstream_name: str
     ) -> None:
-        """Note that a request was sent.
+        """Record that a request was dispatched.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: its service.
         :param upstream_name: the upstream that was chosen.
         """
-        share = self._touch(service_name)
-        record = None if share is None else share.pool.get(upstream_name)
+        state = self._mark_dirty(service_name)
+        record = None if state is None else state.pool.get(upstream_name)
         if record is None:
             return
         record.record_dispatch()
-        share.holder.record_dispatch(upstream_name)
+        state.local_slots.record_dispatch(upstream_name)
 
     def record_outcome(
         self,
@@ -151,238 +161,262 @@
         outcome: request.Outcome,
         elapsed_seconds: float,
     ) -> None:
-        """Note how a request that was sent has ended.
+        """Record the outcome of a dispatched request.
 
-        :param now: the present time.
+        :param now: the current time.
         :param service_name: its service.
-        :param upstream_name: where it was sent.
+        :param upstream_name: the upstream that it was sent to.
         :param outcome: how it ended.
-        :param elapsed_seconds: since its dispatch.
+        :param elapsed_seconds: the time since its dispatch.
         """
-        share = self._touch(service_name)
-        if share is None:
+        state = self._mark_dirty(service_name)
+        if state is None:
             return
-        share.holder.record_outcome(upstream_name, outcome, elapsed_seconds)
-        record = share.pool.get(upstream_name)
+        state.local_slots.record_outcome(
+            upstream_name, outcome, elapsed_seconds
+        )
+        record = state.pool.get(upstream_name)
         if record is None:
             return
         record.running = max(0, record.running - 1)
-        is_ejected = share.pool.record_outcome(
+        is_ejected = state.pool.record_outcome(
             now, upstream_name, outcome, elapsed_seconds
         )
         if is_ejected:
-            self._log(service_name, self._name, upstream_name, 'ejected-here')
+            self._record_decision(
+                service_name, self._name, upstream_name, 'ejected-here'
+            )
 
     def record_load(self, now: float, report: event.LoadReported) -> None:
-        """Note what an upstream's endpoints said.
+        """Record the health and load that an upstream reported.
 
-        :param now: the present time.
-        :param report: the report, which may lag or mislead.
+        :param now: the current time.
+        :param report: the report, which may be stale or wrong.
         """
-        share = self._shares.get(report.service)
-        if share is not None:
-            share.record_report(report)
+        state = self._states.get(report.service)
+        if state is not None:
+            state.record_report(report)
 
     def handle_message(
         self, now: float, sender: str, message: message_module.PeerMessage
     ) -> list[object]:
-        """Take a peer's message; then ask :meth:`choose` for what waits.
+        """Handle a peer's message.
+
+        Afterwards, call :meth:`choose` for waiting requests.
 
-        :param now: the present time.
+        :param now: the current time.
         :param sender: the peer.
         :param message: one of ``MESSAGES``; others are ignored.
         :returns: effects.
         """
-        name = self._services.get(getattr(message, 'service', -1))
+        name = self._service_names.get(getattr(message, 'service', -1))
         if name is not None:
             self._budget.spend(now, len(codec.encode(message)))
-            self._take(message, now, sender, self._touch(name))
-        return self._collect()
+            self._handle(message, now, sender, self._mark_dirty(name))
+        return self._drain_effects()
 
     def handle_peer_lost(self, now: float, peer: str) -> list[object]:
-        """Note that a peer can't be reached for now.
+        """Record that a peer can't be reached.
 
-        :param now: the present time.
+        :param now: the current time.
         :param peer: its name.
         :returns: effects.
         """
-        for name, share in self._shares.items():
-            if share.home == peer:
-                share.holder.lose_home()
-                self._log(name, peer, '', 'home-lost')
-        return self._collect()
+        for name, state in self._states.items():
+            if state.coordinator_name == peer:
+                state.local_slots.record_coordinator_lost()
+                self._record_decision(name, peer, '', 'home-lost')
+        return self._drain_effects()
 
     def tick(self, now: float) -> list[object]:
-        """Let time pass; then ask :meth:`choose` for what waits.
+        """Run periodic work, such as reports and keepalives.
+
+        Afterwards, call :meth:`choose` for waiting requests.
 
-        :param now: the present time.
+        :param now: the current time.
         :returns: effects.
         """
-        for share in self._shares.values():
-            if share.holder.is_used:
-                self._exchange(now, share, True)
-            if not share.is_home:
+        for state in self._states.values():
+            if state.local_slots.has_state:
+                self._report_demand(now, state, True)
+            if not state.is_coordinator:
                 continue
-            share.broker.begin(now)
-            if share.broker.is_used:
-                self._grant(now, share)
-                self._reassure(now, share)
-        return self._collect()
+            state.allocator.start_settling(now)
+            if state.allocator.has_instances:
+                self._grant(now, state)
+                self._send_keepalives(now, state)
+        return self._drain_effects()
 
     def flush(self, now: float) -> list[object]:
-        """Give back unused slots and tell the homes what changed.
+        """Release idle slots and report changes to the coordinators.
 
-        To be called after each event, when nothing more can be sent.
+        To be called after each event, when no more requests can be sent.
 
-        :param now: the present time.
+        :param now: the current time.
         :returns: effects.
         """
-        touched, self._touched = self._touched, {}
-        for share in touched.values():
-            share.holder.release_idle()
-            self._exchange(now, share, False)
-            if share.holder.has_idle():
-                self._touched[share.service_name] = share
-        return self._collect()
+        dirty, self._dirty = self._dirty, {}
+        for state in dirty.values():
+            state.local_slots.release_idle()
+            self._report_demand(now, state, False)
+            if state.local_slots.has_idle():
+                self._dirty[state.service_name] = state
+        return self._drain_effects()
 
     def list_ready(self) -> list[str]:
-        """List services with an unused slot and a request that waits."""
+        """List services with both an idle slot and a waiting request."""
         return [
             name
-            for name, share in self._touched.items()
-            if share.holder.has_idle() and share.holder.has_waiting()
+            for name, state in self._dirty.items()
+            if state.local_slots.has_idle() and state.local_slots.has_waiting()
         ]
 
-    def _touch(self, service_name: str) -> _service_state.ServiceShare | None:
-        """Look a service up and have the next flush see to it."""
-        share = self._shares.get(service_name)
-        if share is not None:
-            self._touched[service_name] = share
-        return share
+    def _mark_dirty(
+        self, service_name: str
+    ) -> _service_state.ServiceState | None:
+        """Look up a service's state and mark it for the next flush."""
+        state = self._states.get(service_name)
+        if state is not None:
+            self._dirty[service_name] = state
+        return state
 
-    def _choose_alone(
+    def _choose_locally(
         self,
         now: float,
-        share: _service_state.ServiceShare,
+        state: _service_state.ServiceState,
         exclude: frozenset[str],
     ) -> _choice.Choice:
-        owners = len(share.owners)
-        return self._local.choose(now, share.pool, owners, exclude)
+        owners = len(state.owners)
+        return self._local_chooser.choose(now, state.pool, owners, exclude)
 
-    def _wait(
-        self, now: float, share: _service_state.ServiceShare
+    def _explain_wait(
+        self, now: float, state: _service_state.ServiceState
     ) -> _choice.Choice:
-        if share.pool.is_out_of_reach(now):
+        if state.pool.is_unreachable(now):
             reason = _choice.ChoiceReason.UNREACHABLE_HERE
-            return _choice.Choice(None, reason, share.find_peer())
+            return _choice.Choice(None, reason, state.find_peer())
         return _choice.Choice(None, _choice.ChoiceReason.NO_ROOM)
 
-    def _exchange(
-        self, now: float, share: _service_state.ServiceShare, is_tick: bool
+    def _report_demand(
+        self, now: float, state: _service_state.ServiceState, is_tick: bool
     ) -> None:
-        """Tell the home of a service what is held and wanted here."""
+        """Report held slots and waiting requests to the coordinator."""
         if self._settings.policy is not _settings.Policy.SLOTS:
             return
-        if not share.is_home and not is_tick and self._is_alone(now, share):
+        if (
+            not state.is_coordinator
+            and not is_tick
+            and self._is_bypassing(now, state)
+        ):
             return
-        demand = share.holder.build_demand(now, is_tick)
+        demand = state.local_slots.build_demand(now, is_tick)
         if demand is None:
             return
-        if share.is_home:
-            self._take(demand, now, self._name, share)
+        if state.is_coordinator:
+            self._handle(demand, now, self._name, state)
         else:
-            self._send(now, share.home, demand)
+            self._send(now, state.coordinator_name, demand)
 
-    def _is_alone(
-        self, now: float, share: _service_state.ServiceShare
+    def _is_bypassing(
+        self, now: float, state: _service_state.ServiceState
     ) -> bool:
-        """Tell whether the byte budget of the home or here is spent."""
-        if share.holder.is_alone(now):
+        """Tell whether a spent byte budget rules out the coordinator.
+
+        It may be the budget of the coordinator or of this instance.
+        """
+        if state.local_slots.is_bypassing(now):
             return True
-        return not share.is_home and self._budget.measure_share(now) <= 0
+        return (
+            not state.is_coordinator
+            and self._budget.get_remaining_fraction(now) <= 0
+        )
 
     @functools.singledispatchmethod
-    def _take(
+    def _handle(
         self,
         message: message_module.PeerMessage,
         now: float,
         sender: str,
-        share: _service_state.ServiceShare,
+        state: _service_state.ServiceState,
     ) -> None:
-        """Take one message about a service's slots."""
+        """Handle a message about a service's slots."""
 
-    @_take.register
-    def _take_demand(
+    @_handle.register
+    def _handle_demand(
         self,
         message: _messages.SlotDemand,
         now: float,
         sender: str,
-        share: _service_state.ServiceShare,
+        state: _service_state.ServiceState,
     ) -> None:
-        if not share.is_home:
+        if not state.is_coordinator:
             return
-        for name in share.broker.handle_demand(now, sender, message):
-            self._log(share.service_name, sender, name, 'ejected')
-        self._grant(now, share)
+        for name in state.allocator.handle_demand(now, sender, message):
+            self._record_decision(state.service_name, sender, name, 'ejected')
+        self._grant(now, state)
 
-    @_take.register
-    def _take_grant(
+    @_handle.register
+    def _handle_grant(
         self,
         message: _messages.SlotGrant,
         now: float,
         sender: str,
-        share: _service_state.ServiceShare,
+        state: _service_state.ServiceState,
     ) -> None:
-        if sender == share.home:
-            share.take_grant(now, message)
+        if sender == state.coordinator_name:
+            state.add_grant(now, message)
 
-    @_take.register
-    def _take_notice(
+    @_handle.register
+    def _handle_notice(
         self,
         message: _messages.SlotNotice,
         now: float,
         sender: str,
-        share: _service_state.ServiceShare,
+        state: _service_state.ServiceState,
     ) -> None:
-        if sender != share.home:
+        if sender != state.coordinator_name:
             return
-        share.holder.hear(now)
+        state.local_slots.record_contact(now)
         if message.alone_milliseconds:
-            share.holder.go_alone(now, message.alone_milliseconds / 1000)
+            state.local_slots.bypass_coordinator(
+                now, message.alone_milliseconds / 1000
+            )
 
-    def _grant(self, now: float, share: _service_state.ServiceShare) -> None:
-        if share.holder.is_alone(now):
+    def _grant(self, now: float, state: _service_state.ServiceState) -> None:
+        if state.local_slots.is_bypassing(now):
             return
-        left = self._budget.measure_share(now)
-        if left <= 0:
-            self._send_alone(now, share)
+        fraction = self._budget.get_remaining_fraction(now)
+        if fraction <= 0:
+            self._suspend_granting(now, state)
             return
-        for granted in share.broker.grant(now, left):
-            if granted.holder == self._name:
-                share.take_grant(now, granted.grant)
+        for addressed in state.allocator.grant(now, fraction):
+            if addressed.instance_name == self._name:
+                state.add_grant(now, addressed.grant)
             else:
-                self._send(now, granted.holder, granted.grant)
+                self._send(now, addressed.instance_name, addressed.grant)
 
-    def _send_alone(
-        self, now: float, share: _service_state.ServiceShare
+    def _suspend_granting(
+        self, now: float, state: _service_state.ServiceState
     ) -> None:
-        """Have all instances choose alone until the budget is better."""
-        seconds = self._budget.foretell_seconds(now, _RESUMED_SHARE)
-        share.holder.go_alone(now, seconds)
-        number = _messages.number_service(share.service_name)
+        """Have all instances choose locally until the budget recovers."""
+        seconds = self._budget.estimate_refill_seconds(now, _RESUME_FRACTION)
+        state.local_slots.bypass_coordinator(now, seconds)
+        number = _messages.compute_service_number(state.service_name)
         notice = _messages.SlotNotice(number, round(seconds * 1000))
-        for holder in share.broker.list_holders():
-            if holder != self._name:
-                self._send(now, holder, notice)
-        self._log(share.service_name, self._name, '', 'budget-spent')
+        for instance_name in state.allocator.list_instances():
+            if instance_name != self._name:
+                self._send(now, instance_name, notice)
+        self._record_decision(
+            state.service_name, self._name, '', 'budget-spent'
+        )
 
-    def _reassure(
-        self, now: float, share: _service_state.ServiceShare
+    def _send_keepalives(
+        self, now: float, state: _service_state.ServiceState
     ) -> None:
-        number = _messages.number_service(share.service_name)
-        for holder in share.broker.tick(now):
-            if holder != self._name:
-                self._send(now, holder, _messages.SlotNotice(number))
+        number = _messages.compute_service_number(state.service_name)
+        for instance_name in state.allocator.tick(now):
+            if instance_name != self._name:
+                self._send(now, instance_name, _messages.SlotNotice(number))
 
     def _send(
         self, now: float, peer: str, message: message_module.PeerMessage
@@ -390,7 +424,7 @@
         self._budget.spend(now, len(codec.encode(message)))
         self._effects.append(effect.SendToPeer(peer, message))
 
-    def _log(
+    def _record_decision(
         self, service_name: str, subject: str, upstream_name: str, reason: str
     ) -> None:
         self._effects.append(
@@ -399,6 +433,6 @@
             )
         )
 
-    def _collect(self) -> list[object]:
+    def _drain_effects(self) -> list[object]:
         effects, self._effects = self._effects, []
         return effects
--- a/skylarkfold/selection/_settings.py
+++ b/skylarkfold/selection/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the choice of an upstream."""
+"""Settings of upstream selection."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 class Policy(enum.StrEnum):
     """How an instance chooses an upstream for a request.
 
-    ``RANDOM``: any that takes new work. ``TWO_CHOICES``: the less loaded
-    of two, by the load that upstreams report and what this instance
-    itself runs there. ``SLOTS``: as the service's home grants slots.
+    ``RANDOM``: any upstream that accepts new work. ``TWO_CHOICES``: the
+    less loaded of two random ones, by the load that they report and the
+    requests of this instance. ``SLOTS``: one that the service's
+    coordinator granted a slot of.
     """
 
     RANDOM = 'random'
@@ -21,35 +22,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SelectionSettings:
-    """Settings of the choice of an upstream.
+    """Settings of upstream selection.
 
-    :param policy: the way to choose.
+    :param policy: the selection policy.
     :param maximum_ejected_share: the largest share of a service's
-        upstreams that may be ejected at the same time; at least one is
-        always kept.
+        upstreams that may be ejected at the same time; at least one
+        stays in use.
     :param ejection_failures: consecutive failures that eject an upstream.
-    :param ejection_seconds: the first ejection's length; it doubles with
-        each one that follows.
+    :param ejection_seconds: the duration of the first ejection; it
+        doubles with each consecutive one.
     :param maximum_ejection_seconds: the longest ejection.
-    :param slow_factor: an upstream whose service time is this many times
-        the median is used last.
+    :param slow_factor: an upstream whose latency exceeds the median by
+        this factor is ejected and used last.
     :param slow_start_answers: answers after which a new upstream gets all
-        its slots.
-    :param refusal_hold_seconds: how long the limit stays lowered after an
-        upstream has refused a request; it doubles with each refusal that
-        follows before an answer.
-    :param share_factor: what an instance that chooses alone may run,
-        relative to its equal part of the service's slots.
-    :param silence_seconds: how long a home may stay silent to a request
-        for slots before this instance chooses alone.
-    :param settle_seconds: how long a new home waits for what others hold.
+        of its slots.
+    :param refusal_hold_seconds: how long the limit of an upstream stays
+        lowered after it refused a request; it doubles with each further
+        refusal before an answer.
+    :param share_factor: the requests that an instance may run without the
+        coordinator, relative to an equal share of the service's slots.
+    :param silence_seconds: how long the coordinator may take to reply to
+        a request for slots before this instance chooses locally.
+    :param settle_seconds: how long a new coordinator waits for reports of
+        held slots before it grants any.
     :param pipeline_extra: requests beyond its slots that an upstream may
         be sent while more requests wait than there are upstreams.
     :param slot_uses: requests of an instance that may use a slot one
-        after the other before it goes back to the home.
-    :param control_bytes_per_second: the budget for slot messages that this
-        instance sends and receives; when it is short, slots are used more
-        often before they go back.
+        after the other before it returns to the coordinator.
+    :param control_bytes_per_second: the budget for slot messages that
+        this instance sends and receives; when it runs low, slots are used
+        more often before they return.
     """
 
     policy: Policy = Policy.SLOTS
--- a/skylarkfold/selection/_upstream_record.py
+++ b/skylarkfold/selection/_upstream_record.py
@@ -1,4 +1,4 @@
-"""What has been seen first-hand of one upstream."""
+"""Observed outcomes of one upstream."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from skylarkfold import service
 
 _LATENCY_WEIGHT = 0.1
-_LEAST_SECONDS = 1e-6
-_SAMPLES = 8
-_TRIAL_SAMPLES = 3
+_MINIMUM_LATENCY_SECONDS = 1e-6
+_MINIMUM_SAMPLES = 8
+_PROBATION_SAMPLES = 3
 _MAXIMUM_HOLD_FACTOR = 64
-_WARY_SECONDS = 10.0
-_TRUSTED_ANSWER_SECONDS = 5.0
+_REFUSAL_MEMORY_SECONDS = 10.0
+_ANSWER_MEMORY_SECONDS = 5.0
 _FAILURES = (
     request.Outcome.BROKEN,
     request.Outcome.TIMED_OUT,
@@ -21,24 +21,34 @@
 
 
 def is_failure(outcome: request.Outcome) -> bool:
-    """Tell whether an outcome may be the upstream's fault.
+    """Tell whether an outcome counts as a failure of the upstream.
 
-    :param outcome: how an attempt ended; a refusal is no failure.
+    :param outcome: how an attempt ended; a refusal is not a failure.
     """
     return outcome in _FAILURES
 
 
 class UpstreamRecord:
-    """Outcomes of one upstream and the limits that follow from them.
+    """Outcomes of one upstream, with its ejection and request limit.
 
-    Reports of health are heeded only as long as no request was answered
-    lately: what was seen counts more than what was said.
+    Reported health is ignored while requests are answered: observed
+    answers take precedence over reports.
 
-    :param upstream: its present configuration.
-    :param settings: limits and times.
+    :param upstream: its current configuration.
+    :param settings: the selection settings.
     :param number: its number in messages.
-    :param is_new: whether it joined a service that was running already,
-        so that it may be cold.
+    :param is_new: whether it was added to a running service and needs a
+        slow start.
+    :ivar ejected_for_latency: whether the last ejection was for latency
+        rather than failures.
+    :ivar ejected_until: the end of the last ejection.
+    :ivar failures: consecutive failures.
+    :ivar is_returning: whether it was ejected and has not been usable
+        since.
+    :ivar latency_seconds: the smoothed time of an answer.
+    :ivar running: requests that run there.
+    :ivar work: dispatched requests, each divided by the upstream's slots
+        and weight.
     """
 
     __slots__ = (
@@ -47,16 +57,16 @@
         '_hold_factor',
         '_lowered_limit',
         '_lowered_until',
-        '_missing_answers',
         '_refused_at',
+        '_reported_difference',
         '_reported_healthy',
-        '_reported_change',
         '_samples',
         '_settings',
+        '_slow_start_remaining',
+        'ejected_for_latency',
         'ejected_until',
         'failures',
         'is_returning',
-        'is_slow',
         'latency_seconds',
         'number',
         'running',
@@ -77,7 +87,9 @@
         self._hold_factor = 1
         self._lowered_limit = 0
         self._lowered_until = 0.0
-        self._missing_answers = settings.slow_start_answers if is_new else 0
+        self._slow_start_remaining = (
+            settings.slow_start_answers if is_new else 0
+        )
         self._refused_at: float | None = None
         self._reported_healthy = True
         self._samples = 0
@@ -86,83 +98,85 @@
         self.ejected_until = 0.0
         self.failures = 0
         self.is_returning = False
-        self.is_slow = False
+        self.ejected_for_latency = False
         self.latency_seconds = 0.0
-        self._reported_change = 0
+        self._reported_difference = 0
         self.running = 0
         self.work = 0.0
 
     def is_ejected(self, now: float) -> bool:
-        """Tell whether it is to get no requests for now."""
+        """Tell whether it is ejected."""
         return now < self.ejected_until
 
-    def is_doubtful(self, now: float) -> bool:
-        """Tell whether it is said to be ill and nothing speaks for it."""
+    def is_suspect(self, now: float) -> bool:
+        """Tell whether it reported ill health and has not answered lately."""
         if self._reported_healthy:
             return False
         answered_at = self._answered_at
         if answered_at is None:
             return True
-        return now - answered_at > _TRUSTED_ANSWER_SECONDS
+        return now - answered_at > _ANSWER_MEMORY_SECONDS
 
     @property
-    def is_on_trial(self) -> bool:
-        """Tell whether it comes back from an ejection and has to prove."""
-        return self._ejections > 0 and self._missing_answers > 0
+    def is_on_probation(self) -> bool:
+        """Tell whether it is in the slow start that follows an ejection."""
+        return self._ejections > 0 and self._slow_start_remaining > 0
 
     @property
     def is_measured(self) -> bool:
-        """Tell whether its service time is known well enough to judge."""
-        needed = _TRIAL_SAMPLES if self.is_on_trial else _SAMPLES
+        """Tell whether enough answers were measured to judge its latency."""
+        needed = (
+            _PROBATION_SAMPLES if self.is_on_probation else _MINIMUM_SAMPLES
+        )
         return self._samples >= needed
 
     @property
-    def is_ramping(self) -> bool:
-        """Tell whether it does not get all its slots yet."""
-        return self._missing_answers > 0
+    def is_in_slow_start(self) -> bool:
+        """Tell whether it does not get all of its slots yet."""
+        return self._slow_start_remaining > 0
 
     def get_limit(self, now: float) -> int:
-        """Compute how many requests it may run at the same time.
+        """Return how many requests it may run at the same time.
 
-        :param now: the present time.
-        :returns: its slots, or fewer after a refusal or while it is new.
+        :param now: the current time.
+        :returns: its slots, or fewer after a refusal or in its slow start.
         """
         limit = self.upstream.slots
-        if self._missing_answers:
+        if self._slow_start_remaining:
             ramp = self._settings.slow_start_answers
-            done = ramp - self._missing_answers
+            done = ramp - self._slow_start_remaining
             limit = max(1, limit * done // ramp)
         if now < self._lowered_until:
             limit = min(limit, self._lowered_limit)
         return limit
 
-    def has_refused_lately(self, now: float) -> bool:
-        """Tell whether it should not be sent more than its slots.
+    def has_refused_recently(self, now: float) -> bool:
+        """Tell whether it refused a request recently.
 
-        :param now: the present time.
+        :param now: the current time.
         """
         if self._refused_at is None:
             return False
-        return now - self._refused_at < _WARY_SECONDS
+        return now - self._refused_at < _REFUSAL_MEMORY_SECONDS
 
     def record_dispatch(self) -> None:
-        """Note that one more request runs there."""
+        """Record that a request was dispatched to it."""
         self.running += 1
-        self.charge()
+        self.add_work()
 
-    def charge(self) -> None:
-        """Count one request towards its share."""
+    def add_work(self) -> None:
+        """Add one request to its work."""
         weight = self.upstream.slots * self.upstream.weight
         self.work += 1.0 / weight if weight > 0 else 1.0
 
     def record_outcome(
         self, now: float, outcome: request.Outcome, elapsed_seconds: float
     ) -> None:
-        """Note how a request there ended; ``running`` is not changed.
+        """Record the outcome of a request; ``running`` is not changed.
 
-        :param now: the present time.
+        :param now: the current time.
         :param outcome: how it ended.
-        :param elapsed_seconds: since its dispatch.
+        :param elapsed_seconds: the time since its dispatch.
         """
         if outcome is request.Outcome.ANSWERED:
             self._record_answer(now, elapsed_seconds)
@@ -172,51 +186,51 @@
             self._record_failure(outcome, elapsed_seconds)
 
     def record_report(self, healthy: bool, running: int) -> None:
-        """Note what its endpoints said.
+        """Record the health and load that it reported.
 
-        :param healthy: what the health endpoint said.
-        :param running: requests it says that it runs.
+        :param healthy: the reported health.
+        :param running: the reported number of running requests.
         """
         self._reported_healthy = healthy
-        self._reported_change = running - self.running
+        self._reported_difference = running - self.running
 
     @property
-    def supposed_running(self) -> int:
-        """The last report, brought up to date by what was sent since."""
-        return max(self.running, self.running + self._reported_change)
+    def estimated_running(self) -> int:
+        """The last reported load, adjusted for requests since the report."""
+        return max(self.running, self.running + self._reported_difference)
 
-    def eject(self, now: float, is_slow: bool) -> None:
-        """Stop using it for a while; longer each time in a row.
+    def eject(self, now: float, for_latency: bool) -> None:
+        """Eject it; each ejection in a row lasts longer.
 
-        :param now: the present time.
-        :param is_slow: whether slowness is the cause, not failure.
+        :param now: the current time.
+        :param for_latency: whether the cause is latency, not failures.
         """
         seconds = self._settings.ejection_seconds * 2**self._ejections
         maximum = self._settings.maximum_ejection_seconds
         self.ejected_until = now + min(seconds, maximum)
-        self.is_slow = is_slow
+        self.ejected_for_latency = for_latency
         self.is_returning = True
         self._samples = 0
         self._ejections = min(self._ejections + 1, 16)
-        self._missing_answers = self._settings.slow_start_answers
+        self._slow_start_remaining = self._settings.slow_start_answers
         self.failures = 0
 
     def _record_answer(self, now: float, elapsed_seconds: float) -> None:
         self._answered_at = now
         self._hold_factor = 1
         self.failures = 0
-        self._missing_answers = max(0, self._missing_answers - 1)
-        if not self._missing_answers:
+        self._slow_start_remaining = max(0, self._slow_start_remaining - 1)
+        if not self._slow_start_remaining:
             self._ejections = 0
         self._samples += 1
-        self._smooth(max(elapsed_seconds, _LEAST_SECONDS))
+        self._update_latency(max(elapsed_seconds, _MINIMUM_LATENCY_SECONDS))
 
-    def _smooth(self, elapsed_seconds: float) -> None:
+    def _update_latency(self, elapsed_seconds: float) -> None:
         if self._samples == 1 or not self.latency_seconds:
             self.latency_seconds = elapsed_seconds
             return
-        # Smoothing logarithms keeps one long request from looking like a
-        # slow upstream.
+        # A geometric mean keeps a single long request from making the
+        # upstream look slow.
         weight = max(_LATENCY_WEIGHT, 1 / self._samples)
         self.latency_seconds *= (elapsed_seconds / self.latency_seconds) ** (
             weight
@@ -225,10 +239,10 @@
     def _record_failure(
         self, outcome: request.Outcome, elapsed_seconds: float
     ) -> None:
-        # A time-out that the caller's short deadline brought about says
-        # nothing about the upstream.
-        is_short = elapsed_seconds < 2 * self.latency_seconds
-        if outcome is request.Outcome.TIMED_OUT and is_short:
+        # A timeout due to a short deadline of the caller does not count
+        # as a failure of the upstream.
+        is_short_deadline = elapsed_seconds < 2 * self.latency_seconds
+        if outcome is request.Outcome.TIMED_OUT and is_short_deadline:
             return
         self.failures += 1
 
--- a/skylarkfold/selection/_wait_queue.py
+++ b/skylarkfold/selection/_wait_queue.py
@@ -1,4 +1,4 @@
-"""The order in which instances are granted slots."""
+"""Queue of the instances that wait for a slot of a service."""
 
 from __future__ import annotations
 
@@ -8,70 +8,77 @@
 from skylarkfold import request
 from skylarkfold.selection import _instance_record
 
-_MAXIMUM_PLACES = 64
+_MAXIMUM_ENTRIES = 64
 
 
-class DemandLine:
-    """Instances in the order in which their requests began to wait.
+class SlotWaitQueue:
+    """A FIFO queue of instances for each priority class.
 
-    One place stands for one request; what an instance asks for beyond a
-    bound is taken in as its earlier places are served.
+    An entry is the name of an instance and stands for one waiting request.
+    An instance has a limited number of entries; the rest of its requests
+    are added as entries are served.
     """
 
-    __slots__ = ('_places',)
+    __slots__ = ('_entries',)
 
     def __init__(self) -> None:
-        self._places = {each: collections.deque() for each in request.Priority}
+        self._entries = {
+            each: collections.deque() for each in request.Priority
+        }
 
     def __len__(self) -> int:
-        return sum(map(len, self._places.values()))
+        return sum(map(len, self._entries.values()))
 
-    def update(self, holder: str, view: _instance_record.HolderView) -> None:
-        """Bring the places of an instance in line with what it wants.
+    def update(
+        self, instance_name: str, instance: _instance_record.InstanceRecord
+    ) -> None:
+        """Match the entries of an instance to its waiting requests.
 
-        :param holder: its name.
-        :param view: what is known of it.
+        :param instance_name: the name of the instance.
+        :param instance: its record, whose ``queued`` counts are updated.
         """
-        for priority, places in self._places.items():
-            wanted = min(view.waiting[priority], _MAXIMUM_PLACES)
-            while view.in_line[priority] < wanted:
-                places.append(holder)
-                view.in_line[priority] += 1
-            while view.in_line[priority] > wanted:
-                _remove_last(places, holder)
-                view.in_line[priority] -= 1
-
-    def remove(self, holder: str) -> None:
-        """Remove all places of an instance that is gone.
-
-        :param holder: its name.
+        for priority, entries in self._entries.items():
+            wanted = min(instance.waiting[priority], _MAXIMUM_ENTRIES)
+            while instance.queued[priority] < wanted:
+                entries.append(instance_name)
+                instance.queued[priority] += 1
+            while instance.queued[priority] > wanted:
+                _remove_last(entries, instance_name)
+                instance.queued[priority] -= 1
+
+    def remove(self, instance_name: str) -> None:
+        """Remove all entries of an instance.
+
+        :param instance_name: the name of the instance.
         """
-        for priority, places in self._places.items():
-            kept = (each for each in places if each != holder)
-            self._places[priority] = collections.deque(kept)
+        for priority, entries in self._entries.items():
+            kept = (each for each in entries if each != instance_name)
+            self._entries[priority] = collections.deque(kept)
 
     def list_waiting(self) -> list[request.Priority]:
-        """List the classes that have a place."""
-        return [each for each, places in self._places.items() if places]
+        """List the classes that have an entry."""
+        return [each for each, entries in self._entries.items() if entries]
 
-    def iterate(self, priority: request.Priority) -> Iterator[str]:
-        """Iterate the instances of a class in order, each once.
+    def iterate_instances(self, priority: request.Priority) -> Iterator[str]:
+        """Iterate over the instances of a class in order, each once.
 
         :param priority: the class.
-        :returns: names.
+        :returns: the names of the instances.
         """
-        return iter(dict.fromkeys(self._places[priority]))
+        return iter(dict.fromkeys(self._entries[priority]))
 
-    def leave(self, priority: request.Priority, holder: str) -> None:
-        """Take the first place of an instance.
+    def remove_first(
+        self, priority: request.Priority, instance_name: str
+    ) -> None:
+        """Remove the first entry of an instance.
 
         :param priority: the class.
-        :param holder: its name.
+        :param instance_name: the name of the instance.
         """
-        self._places[priority].remove(holder)
+        self._entries[priority].remove(instance_name)
 
 
-def _remove_last(places: collections.deque, holder: str) -> None:
-    places.reverse()
-    places.remove(holder)
-    places.reverse()
+def _remove_last(entries: collections.deque, instance_name: str) -> None:
+    entries.reverse()
+    entries.remove(instance_name)
+    entries.reverse()
--- a/skylarkfold/tests/selection/test_coordinator.py
+++ b/skylarkfold/tests/selection/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Tests of the home of a service."""
+"""Tests of finding the coordinator of a service."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,38 +9,44 @@
 OWNERS = strategies.lists(strategies.sampled_from('abcdefgh'), unique=True)
 
 
-def find(number, owners):
-    finder = _coordinator.HomeFinder()
-    finder.follow(tuple(owners))
-    found = finder.find(number, None)
-    return None if found is None else found.name
+def find_coordinator(number, owners):
+    finder = _coordinator.CoordinatorFinder()
+    finder.update_owners(tuple(owners))
+    coordinator = finder.find(number, None)
+    return None if coordinator is None else coordinator.name
 
 
-class HomeFinderTest(testtools.TestCase):
+class CoordinatorFinderTest(testtools.TestCase):
     @hypothesis.given(
         strategies.lists(
             strategies.tuples(OWNERS, strategies.booleans()), max_size=8
         )
     )
-    def test_whatever_changed_before_the_home_is_the_same(self, steps):
-        finder = _coordinator.HomeFinder()
-        known = dict.fromkeys(range(5))
-        for owners, is_asked in steps:
-            finder.follow(tuple(owners))
-            for number in known if is_asked else ():
-                known[number] = finder.find(number, known[number])
-                name = None if known[number] is None else known[number].name
-                self.assertEqual(find(number, reversed(owners)), name)
-
-    def test_only_the_services_of_a_gone_owner_move(self):
+    def test_coordinator_depends_on_current_owners_only(self, steps):
+        finder = _coordinator.CoordinatorFinder()
+        results = dict.fromkeys(range(5))
+        for owners, is_queried in steps:
+            finder.update_owners(tuple(owners))
+            for number in results if is_queried else ():
+                results[number] = finder.find(number, results[number])
+                name = (
+                    None if results[number] is None else results[number].name
+                )
+                self.assertEqual(
+                    find_coordinator(number, reversed(owners)), name
+                )
+
+    def test_only_services_of_a_removed_owner_move(self):
         owners = [f'entry-{number}' for number in range(20)]
         for number in range(200):
-            before = find(number, owners)
-            after = find(number, owners[:7] + owners[8:])
+            before = find_coordinator(number, owners)
+            after = find_coordinator(number, owners[:7] + owners[8:])
             if before != 'entry-7':
                 self.assertEqual(before, after)
 
-    def test_homes_are_spread(self):
+    def test_coordinators_are_spread_evenly(self):
         owners = [f'entry-{number}' for number in range(8)]
-        homes = [find(number, owners) for number in range(800)]
-        self.assertLess(max(map(homes.count, owners)), 140)
+        coordinators = [
+            find_coordinator(number, owners) for number in range(800)
+        ]
+        self.assertLess(max(map(coordinators.count, owners)), 140)
--- a/skylarkfold/tests/selection/test_messages.py
+++ b/skylarkfold/tests/selection/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the numbers in slot messages."""
+"""Tests of the upstream numbers in slot messages."""
 
 import hypothesis
 from hypothesis import strategies
@@ -9,21 +9,23 @@
 NAMES = strategies.sets(strategies.text(max_size=12), max_size=64)
 
 
-class NumberTest(testtools.TestCase):
+class UpstreamNumberTest(testtools.TestCase):
     @hypothesis.given(NAMES)
-    def test_few_upstreams_get_different_numbers_of_one_byte(self, names):
-        numbers = _messages.number_upstreams(names)
+    def test_few_upstreams_get_distinct_one_byte_numbers(self, names):
+        numbers = _messages.assign_upstream_numbers(names)
         self.assertEqual(len(names), len(set(numbers.values())))
-        self.assertEqual(numbers, _messages.number_upstreams(sorted(names)))
+        self.assertEqual(
+            numbers, _messages.assign_upstream_numbers(sorted(names))
+        )
         self.assertTrue(all(0 <= each < 128 for each in numbers.values()))
 
-    def test_one_more_upstream_leaves_most_numbers_as_they_are(self):
+    def test_adding_an_upstream_keeps_most_numbers(self):
         names = [f'press-desk-{number}' for number in range(40)]
-        before = _messages.number_upstreams(names)
-        after = _messages.number_upstreams([*names, 'press-desk-40'])
+        before = _messages.assign_upstream_numbers(names)
+        after = _messages.assign_upstream_numbers([*names, 'press-desk-40'])
         changed = [name for name in names if before[name] != after[name]]
         self.assertLessEqual(len(changed), 3)
 
-    def test_many_upstreams_are_numbered_too(self):
+    def test_many_upstreams_all_get_numbers(self):
         names = [f'press-desk-{number}' for number in range(100)]
-        self.assertEqual(100, len(_messages.number_upstreams(names)))
+        self.assertEqual(100, len(_messages.assign_upstream_numbers(names)))
--- a/skylarkfold/tests/selection/test_pool.py
+++ b/skylarkfold/tests/selection/test_pool.py
@@ -1,4 +1,4 @@
-"""Tests of records of upstreams and of the ejection of outliers."""
+"""Tests of upstream records and the ejection of outliers."""
 
 import hypothesis
 from hypothesis import strategies
@@ -20,7 +20,7 @@
 
 
 def build_pool(count, **settings):
-    pool = _pool.Pool(selection.SelectionSettings(**settings))
+    pool = _pool.UpstreamPool(selection.SelectionSettings(**settings))
     pool.configure(test_selector.build_service(count=count))
     return pool
 
@@ -47,7 +47,7 @@
             for record in pool:
                 self.assertIn(record.get_limit(now), (0, 1, 2))
 
-    def test_an_ejected_upstream_comes_back_on_trial(self):
+    def test_an_ejected_upstream_returns_on_probation(self):
         pool = build_pool(3)
         for _ in range(3):
             pool.record_outcome(0.0, 'desk-0', request.Outcome.BROKEN, 0.1)
@@ -58,7 +58,7 @@
         self.assertTrue(pool.get('desk-0').is_ejected(6.1))
         self.assertFalse(pool.get('desk-0').is_ejected(6.3))
 
-    def test_time_outs_of_short_deadlines_do_not_eject(self):
+    def test_timeouts_of_short_deadlines_do_not_eject(self):
         pool = build_pool(3)
         for step in range(10):
             pool.record_outcome(step, 'desk-0', request.Outcome.ANSWERED, 1.0)
@@ -70,7 +70,7 @@
             pool.record_outcome(11.0, 'desk-0', outcome, 3.0)
         self.assertTrue(pool.get('desk-0').is_ejected(11.0))
 
-    def test_one_long_request_is_no_slowness(self):
+    def test_one_long_request_does_not_eject(self):
         pool = build_pool(3)
         answered = request.Outcome.ANSWERED
         for step in range(30):
@@ -82,7 +82,7 @@
             pool.record_outcome(31.0, 'desk-0', answered, 0.5)
         self.assertTrue(pool.get('desk-0').is_ejected(31.0))
 
-    def test_repeated_refusals_hold_the_limit_longer(self):
+    def test_repeated_refusals_lower_the_limit_for_longer(self):
         pool = build_pool(1)
         record = pool.get('desk-0')
         for now in (0.0, 0.05):
--- a/skylarkfold/tests/selection/test_selector.py
+++ b/skylarkfold/tests/selection/test_selector.py
@@ -1,4 +1,4 @@
-"""Tests of the selector."""
+"""Tests of the selection policies."""
 
 import testtools
 
@@ -33,7 +33,7 @@
 
 
 class PolicyTest(testtools.TestCase):
-    def test_random_spreads_over_all_that_take_new_work(self):
+    def test_random_policy_uses_all_active_upstreams(self):
         selector = build_selector(selection.Policy.RANDOM)
         selector.configure(build_service(draining=(3,)), ('one',))
         chosen = {
@@ -43,7 +43,7 @@
         expected = {f'desk-{number}' for number in (0, 1, 2, 4, 5, 6)}
         self.assertEqual(expected, chosen)
 
-    def test_an_instance_that_chooses_alone_keeps_to_its_share(self):
+    def test_local_choice_keeps_to_the_share_of_the_instance(self):
         selector = build_selector(selection.Policy.RANDOM, share_factor=1.0)
         selector.configure(build_service(), ('one', 'two'))
         dispatched = 0
@@ -56,7 +56,7 @@
         self.assertEqual(7, dispatched)
         self.assertEqual(selection.ChoiceReason.NO_ROOM, choice.reason)
 
-    def test_excluded_and_failing_upstreams_are_not_chosen(self):
+    def test_excluded_and_ejected_upstreams_are_not_chosen(self):
         selector = build_selector(selection.Policy.TWO_CHOICES)
         selector.configure(build_service(count=3), ('one',))
         for _ in range(3):
--- a/skylarkfold/tests/selection/test_slots.py
+++ b/skylarkfold/tests/selection/test_slots.py
@@ -1,4 +1,4 @@
-"""Tests of slots granted by a service's home to several instances."""
+"""Tests of slots that a coordinator grants to several instances."""
 
 import dataclasses
 
@@ -19,7 +19,7 @@
 
 
 class Group:
-    """Selectors that exchange messages, and what each of them waits for."""
+    """Selectors that exchange messages, with their waiting requests."""
 
     def __init__(self, names=NAMES, configured=None, **settings):
         self.service = configured or test_selector.build_service()
@@ -47,37 +47,37 @@
         self.waiting[name] = admission.WaitingCounts(
             old.alerts + alerts, old.exchanges + exchanges, old.bulk + bulk
         )
-        self.settle(now, name)
+        self.flush(now, name)
 
-    def settle(self, now, name):
-        self.pump(now, name)
-        self.collect(name, self.selectors[name].flush(now))
+    def flush(self, now, name):
+        self.dispatch_waiting(now, name)
+        self.collect_messages(name, self.selectors[name].flush(now))
         if self.selectors[name].list_ready():
-            self.pump(now, name)
-            self.collect(name, self.selectors[name].flush(now))
+            self.dispatch_waiting(now, name)
+            self.collect_messages(name, self.selectors[name].flush(now))
 
-    def pump(self, now, name):
+    def dispatch_waiting(self, now, name):
         selector = self.selectors[name]
         selector.record_waiting(now, 'desk', self.waiting[name])
         while self.waiting[name].total:
             choice = selector.choose(now, 'desk', frozenset())
             if choice.upstream is None:
                 break
-            self.take(name)
+            self.remove_waiting(name)
             selector.record_dispatch(now, 'desk', choice.upstream.name)
             self.running.append((name, choice.upstream.name))
         selector.record_waiting(now, 'desk', self.waiting[name])
 
-    def take(self, name):
-        left = self.waiting[name]
+    def remove_waiting(self, name):
+        waiting = self.waiting[name]
         for field in ('alerts', 'exchanges', 'bulk'):
-            count = getattr(left, field)
+            count = getattr(waiting, field)
             if count:
                 changes = {field: count - 1}
-                self.waiting[name] = dataclasses.replace(left, **changes)
+                self.waiting[name] = dataclasses.replace(waiting, **changes)
                 return
 
-    def collect(self, sender, effects):
+    def collect_messages(self, sender, effects):
         for each in effects:
             if isinstance(each, effect.SendToPeer):
                 self.mail.append((sender, each.peer, each.message))
@@ -91,26 +91,26 @@
                 codec.encode(message)
             )
             effects = self.selectors[peer].handle_message(now, sender, decoded)
-            self.collect(peer, effects)
-            self.settle(now, peer)
+            self.collect_messages(peer, effects)
+            self.flush(now, peer)
 
     def finish(self, now, index=0, outcome=ANSWERED, elapsed=0.1):
         name, upstream = self.running.pop(index)
         self.selectors[name].record_outcome(
             now, 'desk', upstream, outcome, elapsed
         )
-        self.settle(now, name)
+        self.flush(now, name)
         return name, upstream
 
     def tick(self, now):
         for name in self.owners:
-            self.collect(name, self.selectors[name].tick(now))
-            self.settle(now, name)
+            self.collect_messages(name, self.selectors[name].tick(now))
+            self.flush(now, name)
         self.deliver(now)
 
-    def find_home(self):
-        (share,) = self.selectors[self.owners[0]]._shares.values()
-        return share.home
+    def get_coordinator(self):
+        (state,) = self.selectors[self.owners[0]]._states.values()
+        return state.coordinator_name
 
     def count_by_upstream(self):
         counts = {}
@@ -120,7 +120,7 @@
 
 
 class SlotsTest(testtools.TestCase):
-    def test_all_slots_are_used_and_none_twice(self):
+    def test_every_slot_is_used_once(self):
         group = Group(pipeline_extra=0)
         for name in NAMES:
             group.want(0.0, name, exchanges=10)
@@ -129,39 +129,41 @@
         self.assertEqual({2}, set(group.count_by_upstream().values()))
         self.assertEqual(7, len(group.count_by_upstream()))
 
-    def test_one_busy_instance_gets_the_slots_of_idle_ones(self):
+    def test_one_busy_instance_can_use_all_slots(self):
         group = Group(pipeline_extra=0)
-        other = next(each for each in NAMES if each != group.find_home())
+        other = next(each for each in NAMES if each != group.get_coordinator())
         group.want(0.0, other, bulk=20)
         group.deliver(0.0)
         self.assertEqual(14, len(group.running))
         self.assertEqual({other}, {name for name, _ in group.running})
 
-    def test_a_freed_slot_goes_to_an_alert_of_another_instance(self):
+    def test_a_released_slot_goes_to_an_alert_of_another_instance(self):
         group = Group(pipeline_extra=0, slot_uses=1)
-        busy, urgent = [n for n in NAMES if n != group.find_home()]
+        busy, other = [
+            each for each in NAMES if each != group.get_coordinator()
+        ]
         group.want(0.0, busy, bulk=20)
         group.deliver(0.0)
-        group.want(0.0, urgent, alerts=1)
+        group.want(0.0, other, alerts=1)
         group.deliver(0.0)
         group.finish(0.1)
         group.deliver(0.1)
-        self.assertEqual(urgent, group.running[-1][0])
+        self.assertEqual(other, group.running[-1][0])
 
-    def test_unused_slots_go_back(self):
+    def test_idle_slots_are_released(self):
         group = Group(pipeline_extra=0)
-        other = next(each for each in NAMES if each != group.find_home())
+        other = next(each for each in NAMES if each != group.get_coordinator())
         group.want(0.0, other, exchanges=14)
         group.waiting[other] = admission.WaitingCounts()
         group.deliver(0.0)
         self.assertEqual([], group.running)
-        group.want(0.0, group.find_home(), exchanges=14)
+        group.want(0.0, group.get_coordinator(), exchanges=14)
         group.deliver(0.0)
         self.assertEqual(14, len(group.running))
 
-    def test_a_draining_upstream_gets_nothing_although_a_slot_is_held(self):
+    def test_a_held_slot_of_a_draining_upstream_is_not_used(self):
         group = Group()
-        other = next(each for each in NAMES if each != group.find_home())
+        other = next(each for each in NAMES if each != group.get_coordinator())
         group.want(0.0, other, exchanges=1)
         drained = test_selector.build_service(draining=range(6))
         group.selectors[other].configure(drained, NAMES)
@@ -174,11 +176,11 @@
         group.deliver(1.0)
         self.assertEqual(allowed, set(group.count_by_upstream()))
 
-    def test_a_silent_home_is_done_without_after_a_while(self):
+    def test_choices_are_local_when_the_coordinator_stays_silent(self):
         group = Group()
-        home = group.find_home()
-        other = next(each for each in NAMES if each != home)
-        group.cut_off.add(home)
+        coordinator = group.get_coordinator()
+        other = next(each for each in NAMES if each != coordinator)
+        group.cut_off.add(coordinator)
         group.want(0.0, other, exchanges=20)
         group.deliver(0.0)
         self.assertEqual([], group.running)
@@ -187,50 +189,50 @@
         group.tick(0.7)
         self.assertEqual(14, len(group.running))
 
-    def test_a_home_settles_before_its_first_request(self):
+    def test_a_coordinator_settles_before_its_first_grant(self):
         selector = test_selector.build_selector(selection.Policy.SLOTS)
-        service_ = test_selector.build_service()
-        selector.configure(service_, ('one', 'zero'))
-        self.assertEqual('one', selector._shares['desk'].home)
+        configured = test_selector.build_service()
+        selector.configure(configured, ('one', 'zero'))
+        self.assertEqual('one', selector._states['desk'].coordinator_name)
         self.assertIsNone(selector.choose(0.0, 'desk', frozenset()).upstream)
-        selector.configure(service_, ('zero',))
-        selector.configure(service_, ('one', 'zero'))
+        selector.configure(configured, ('zero',))
+        selector.configure(configured, ('one', 'zero'))
         selector.tick(1.0)
         choice = selector.choose(1.2, 'desk', frozenset())
         self.assertIsNotNone(choice.upstream)
 
-    def test_a_lost_home_is_done_without_at_once(self):
+    def test_choices_are_local_when_the_coordinator_is_lost(self):
         group = Group()
-        home = group.find_home()
-        other = next(each for each in NAMES if each != home)
-        group.selectors[other].handle_peer_lost(0.0, home)
+        coordinator = group.get_coordinator()
+        other = next(each for each in NAMES if each != coordinator)
+        group.selectors[other].handle_peer_lost(0.0, coordinator)
         group.want(0.0, other, exchanges=1)
         self.assertEqual(1, len(group.running))
 
-    def test_a_new_home_learns_what_is_held(self):
+    def test_a_new_coordinator_learns_which_slots_are_held(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
-        rest = tuple(each for each in NAMES if each != home)
-        for name in rest:
+        coordinator = group.get_coordinator()
+        remaining = tuple(each for each in NAMES if each != coordinator)
+        for name in remaining:
             group.want(0.0, name, exchanges=5)
         group.deliver(0.0)
         self.assertEqual(10, len(group.running))
-        group.cut_off.add(home)
-        group.configure(group.service, rest)
-        for name in rest:
-            group.settle(0.1, name)
+        group.cut_off.add(coordinator)
+        group.configure(group.service, remaining)
+        for name in remaining:
+            group.flush(0.1, name)
         group.deliver(0.1)
         group.tick(0.2)
-        for name in rest:
+        for name in remaining:
             group.want(0.3, name, exchanges=20)
         group.deliver(0.3)
         self.assertEqual({2}, set(group.count_by_upstream().values()))
         self.assertEqual(14, len(group.running))
 
-    def test_a_silent_holder_loses_its_slots(self):
+    def test_slots_of_a_silent_instance_are_reclaimed(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
-        gone, other = [n for n in NAMES if n != home]
+        coordinator = group.get_coordinator()
+        gone, other = [each for each in NAMES if each != coordinator]
         group.want(0.0, gone, exchanges=14)
         group.deliver(0.0)
         group.running.clear()
@@ -241,16 +243,16 @@
         group.deliver(8.0)
         self.assertEqual(14, len(group.running))
 
-    def test_a_lost_grant_is_made_good(self):
+    def test_a_lost_grant_is_replaced(self):
         group = Group(pipeline_extra=0)
-        other = next(each for each in NAMES if each != group.find_home())
+        other = next(each for each in NAMES if each != group.get_coordinator())
         group.want(0.0, other, exchanges=1)
         group.deliver(0.0)
         group.finish(0.1)
         group.deliver(0.1)
         group.want(0.2, other, exchanges=14)
         sender, peer, demand = group.mail.pop(0)
-        group.collect(
+        group.collect_messages(
             peer, group.selectors[peer].handle_message(0.2, sender, demand)
         )
         group.mail.clear()
@@ -259,10 +261,10 @@
             group.tick(0.2 + step * 0.2)
         self.assertEqual(14, len(group.running))
 
-    def test_a_spent_budget_has_all_choose_alone_for_a_while(self):
+    def test_choices_are_local_while_the_byte_budget_is_spent(self):
         group = Group(control_bytes_per_second=100.0, pipeline_extra=0)
-        home = group.find_home()
-        other = next(each for each in NAMES if each != home)
+        coordinator = group.get_coordinator()
+        other = next(each for each in NAMES if each != coordinator)
         for step in range(10):
             group.want(step * 0.01, other, exchanges=1)
             group.deliver(step * 0.01)
@@ -278,10 +280,10 @@
         group.deliver(3.0)
         self.assertEqual(1, len(group.running))
 
-    def test_messages_keep_to_the_budget(self):
+    def test_messages_keep_to_the_byte_budget(self):
         group = Group(control_bytes_per_second=200.0, pipeline_extra=0)
-        home = group.find_home()
-        other = next(each for each in NAMES if each != home)
+        coordinator = group.get_coordinator()
+        other = next(each for each in NAMES if each != coordinator)
         size_bytes = 0
         for step in range(2000):
             now = step * 0.01
@@ -296,11 +298,11 @@
                 group.tick(now)
         self.assertLess(size_bytes / 20, 300)
 
-    def test_a_lost_home_is_returned_to_when_it_answers(self):
+    def test_a_lost_coordinator_is_used_again_when_it_replies(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
-        other = next(each for each in NAMES if each != home)
-        group.selectors[other].handle_peer_lost(0.0, home)
+        coordinator = group.get_coordinator()
+        other = next(each for each in NAMES if each != coordinator)
+        group.selectors[other].handle_peer_lost(0.0, coordinator)
         group.want(0.0, other, exchanges=1)
         group.want(0.1, other, exchanges=1)
         self.assertEqual(2, len(group.running))
@@ -313,14 +315,14 @@
         self.assertEqual(1, len(group.running))
 
 
-class JudgementTest(testtools.TestCase):
+class UpstreamStateTrackingTest(testtools.TestCase):
     def test_a_refusal_lowers_the_limit_for_a_while(self):
         group = Group(
             configured=test_selector.build_service(count=1),
             pipeline_extra=0,
         )
-        home = group.find_home()
-        group.want(0.0, home, exchanges=4)
+        coordinator = group.get_coordinator()
+        group.want(0.0, coordinator, exchanges=4)
         self.assertEqual(2, len(group.running))
         group.finish(0.1, outcome=request.Outcome.REFUSED)
         self.assertEqual(1, len(group.running))
@@ -329,30 +331,32 @@
         group.tick(0.21)
         self.assertEqual(2, len(group.running))
 
-    def test_failures_eject_but_never_more_than_the_cap(self):
+    def test_failures_eject_no_more_than_the_cap(self):
         group = Group()
-        home = group.find_home()
+        coordinator = group.get_coordinator()
         now = 0.0
         for _ in range(60):
             now += 0.01
-            group.want(now, home, exchanges=1)
+            group.want(now, coordinator, exchanges=1)
             group.finish(now, outcome=request.Outcome.BROKEN)
         ejected = [
             each.upstream.name
-            for each in group.selectors[home]._shares['desk'].broker.pool
+            for each in group.selectors[coordinator]
+            ._states['desk']
+            .allocator.pool
             if each.is_ejected(now)
         ]
         self.assertEqual(2, len(ejected))
 
-    def test_an_upstream_out_of_reach_of_one_serves_the_others(self):
+    def test_an_upstream_unreachable_from_one_instance_serves_others(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
-        cut, other = [n for n in NAMES if n != home]
+        coordinator = group.get_coordinator()
+        partitioned, other = [each for each in NAMES if each != coordinator]
         now = 0.0
         used = set()
         for _ in range(100):
             now += 0.01
-            group.want(now, cut, exchanges=1)
+            group.want(now, partitioned, exchanges=1)
             group.deliver(now)
             failed = group.running[-1][1] == 'desk-0'
             outcome = request.Outcome.UNREACHABLE if failed else ANSWERED
@@ -366,40 +370,40 @@
         group.deliver(now)
         self.assertIn('desk-0', group.count_by_upstream())
         group.running.clear()
-        group.want(now, cut, exchanges=14)
+        group.want(now, partitioned, exchanges=14)
         group.deliver(now)
         self.assertNotIn('desk-0', group.count_by_upstream())
 
-    def test_an_instance_that_reaches_nothing_names_a_peer(self):
+    def test_an_instance_that_reaches_no_upstream_names_a_peer(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
-        cut = next(each for each in NAMES if each != home)
+        coordinator = group.get_coordinator()
+        partitioned = next(each for each in NAMES if each != coordinator)
         now = 0.0
         for _ in range(60):
             now += 0.01
-            group.want(now, cut, exchanges=1)
+            group.want(now, partitioned, exchanges=1)
             group.deliver(now)
             group.finish(now, 0, request.Outcome.UNREACHABLE)
             group.deliver(now)
-        choice = group.selectors[cut].choose(now, 'desk', frozenset())
+        choice = group.selectors[partitioned].choose(now, 'desk', frozenset())
         self.assertIsNone(choice.upstream)
         self.assertEqual(
             selection.ChoiceReason.UNREACHABLE_HERE, choice.reason
         )
-        self.assertEqual(home, choice.pass_to)
+        self.assertEqual(coordinator, choice.pass_to)
 
     def test_a_slow_upstream_is_used_last(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
+        coordinator = group.get_coordinator()
         now = 0.0
         for _ in range(200):
             now += 0.01
-            group.want(now, home, exchanges=1)
+            group.want(now, coordinator, exchanges=1)
             slow = group.running[0][1] == 'desk-3'
             group.finish(now, elapsed=0.9 if slow else 0.1)
-        group.want(now, home, exchanges=12)
+        group.want(now, coordinator, exchanges=12)
         self.assertNotIn('desk-3', group.count_by_upstream())
-        group.want(now, home, exchanges=200)
+        group.want(now, coordinator, exchanges=200)
         self.assertIn('desk-3', group.count_by_upstream())
 
     def test_a_new_upstream_starts_with_fewer_slots(self):
@@ -407,28 +411,28 @@
             configured=test_selector.build_service(count=2, slots=4),
             pipeline_extra=0,
         )
-        home = group.find_home()
+        coordinator = group.get_coordinator()
         group.configure(test_selector.build_service(count=3, slots=4))
-        group.want(0.0, home, exchanges=20)
+        group.want(0.0, coordinator, exchanges=20)
         self.assertEqual(1, group.count_by_upstream()['desk-2'])
         for step in range(8):
             index = [each for _, each in group.running].index('desk-2')
             group.finish(0.1 + step, index)
         self.assertEqual(4, group.count_by_upstream()['desk-2'])
 
-    def test_a_report_of_ill_health_counts_less_than_answers(self):
+    def test_recent_answers_outweigh_unhealthy_reports(self):
         group = Group(pipeline_extra=0)
-        home = group.find_home()
-        group.want(0.0, home, exchanges=7)
+        coordinator = group.get_coordinator()
+        group.want(0.0, coordinator, exchanges=7)
         while group.running:
             group.finish(0.1)
-        shares = group.selectors[home]._shares['desk']
-        for record in shares.broker.pool:
+        state = group.selectors[coordinator]._states['desk']
+        for record in state.allocator.pool:
             record.record_report(False, 0)
-        group.want(0.2, home, exchanges=14)
+        group.want(0.2, coordinator, exchanges=14)
         self.assertEqual(14, len(group.running))
         group.running.clear()
-        usable = shares.broker.pool.list_usable(60.0)
+        usable = state.allocator.pool.list_usable(60.0)
         self.assertEqual(5, len(usable))
 
 
@@ -485,7 +489,7 @@
         self._check_recovery(group, now)
 
     def _check_recovery(self, group, now):
-        """Whatever was lost: at peace, all that waits is served."""
+        """Check that all waiting requests are served once faults end."""
         group.cut_off.clear()
         group.configure(test_selector.build_service())
         for _ in range(150):
@@ -496,7 +500,9 @@
                 group.deliver(now)
             if not any(each.total for each in group.waiting.values()):
                 break
-        self.assertEqual(0, sum(w.total for w in group.waiting.values()))
+        self.assertEqual(
+            0, sum(waiting.total for waiting in group.waiting.values())
+        )
         for name in group.owners:
             group.want(now, name, exchanges=40)
         for _ in range(40):
@@ -508,7 +514,7 @@
 
 
 class UpstreamStateTest(testtools.TestCase):
-    def test_a_service_without_active_upstreams_has_no_choice(self):
+    def test_no_upstream_is_chosen_if_none_is_active(self):
         group = Group(
             configured=test_selector.build_service(draining=range(7))
         )
