--- a/skylarkfold/admission/__init__.py
+++ b/skylarkfold/admission/__init__.py
@@ -5,7 +5,6 @@
 can't be served in time.
 """
 
-from skylarkfold.admission._precedence import PriorityScheduler
 from skylarkfold.admission._queue import AdmissionQueue
 from skylarkfold.admission._results import Admitted
 from skylarkfold.admission._results import Expired
@@ -13,6 +12,7 @@
 from skylarkfold.admission._results import Refusal
 from skylarkfold.admission._results import RefusalCode
 from skylarkfold.admission._results import WaitingCounts
+from skylarkfold.admission._scheduler import PriorityScheduler
 from skylarkfold.admission._settings import AdmissionSettings
 
 __all__ = [
--- a/skylarkfold/admission/_queue.py
+++ b/skylarkfold/admission/_queue.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from skylarkfold.admission import _forecast
+from skylarkfold.admission import _policy
 from skylarkfold.admission import _results
 from skylarkfold.admission import _service_queue
 from skylarkfold.admission import _settings
@@ -24,7 +24,7 @@
 
     def __init__(self, settings: _settings.AdmissionSettings) -> None:
         self._settings = settings
-        self._forecast = _forecast.Forecast(settings)
+        self._forecast = _policy.Forecast(settings)
         self._queues: dict[str, _service_queue.ServiceQueue] = {}
         self._services: dict[int, str] = {}
         self._expired: list[_results.Expired] = []
--- a/skylarkfold/admission/_service_queue.py
+++ b/skylarkfold/admission/_service_queue.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterator
 
-from skylarkfold.admission import _estimate
-from skylarkfold.admission import _precedence
+from skylarkfold.admission import _estimators
 from skylarkfold.admission import _results
+from skylarkfold.admission import _scheduler
 from skylarkfold import request as request_module
 
 
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._entries: dict[int, _results.Queued] = {}
         self.size_bytes = 0
-        self.interval = _estimate.TurnInterval()
+        self.interval = _estimators.TurnInterval()
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -60,8 +60,8 @@
 
     def __init__(self, floor_share: float) -> None:
         self.lines = {each: Line() for each in request_module.Priority}
-        self.scheduler = _precedence.PriorityScheduler(floor_share)
-        self.service_time = _estimate.ServiceTime()
+        self.scheduler = _scheduler.PriorityScheduler(floor_share)
+        self.service_time = _estimators.ServiceTime()
 
     @property
     def size_bytes(self) -> int:
