--- a/skylarkfold/admission/__init__.py
+++ b/skylarkfold/admission/__init__.py
@@ -1,8 +1,8 @@
 """Admission: bounded queues of requests that wait for an upstream.
 
-Pure decisions: :class:`AdmissionQueue` takes requests, the present time
-and measured service times, and says which request goes next and which
-can't be served in time.
+:class:`AdmissionQueue` does no I/O: it is given requests, the current time
+and measured service times, and returns the next request to dispatch and
+those that can't be answered in time.
 """
 
 from skylarkfold.admission._queue import AdmissionQueue
--- a/skylarkfold/admission/_estimators.py
+++ b/skylarkfold/admission/_estimators.py
@@ -1,17 +1,17 @@
-"""Measured service times and rates, and waits foretold from them."""
+"""Estimators of service times and of the time between turns."""
 
 from __future__ import annotations
 
-_WEIGHT = 0.1
+_SMOOTHING_WEIGHT = 0.1
 _STALE_SECONDS = 5.0
-_LEAST_TURNS = 4.0
+_MINIMUM_TURNS = 4.0
 
 
-class ServiceTime:
-    """The mean service time and its mean deviation, smoothed.
+class ServiceTimeEstimator:
+    """Smoothed mean and mean deviation of a service's answer times.
 
-    A measurement grows stale: otherwise a spell of slowness would have
-    all requests refused, and nothing would be measured again.
+    Measurements expire: otherwise, after a slow period, all requests could
+    be refused, so that nothing would be measured again.
     """
 
     __slots__ = ('_recorded_at', 'deviation_seconds', 'mean_seconds')
@@ -22,10 +22,10 @@
         self._recorded_at = 0.0
 
     def record(self, now: float, elapsed_seconds: float) -> None:
-        """Take one measured service time.
+        """Record a measured service time.
 
         :param now: the current time.
-        :param elapsed_seconds: from dispatch to the whole answer.
+        :param elapsed_seconds: the time from dispatch to the whole answer.
         """
         self._recorded_at = now
         if not self.mean_seconds:
@@ -33,100 +33,106 @@
             self.deviation_seconds = elapsed_seconds / 2
             return
         error = elapsed_seconds - self.mean_seconds
-        self.mean_seconds += _WEIGHT * error
-        self.deviation_seconds += _WEIGHT * (
+        self.mean_seconds += _SMOOTHING_WEIGHT * error
+        self.deviation_seconds += _SMOOTHING_WEIGHT * (
             abs(error) - self.deviation_seconds
         )
 
-    def foretell(self, now: float, deviations: float) -> float:
-        """Foretell how long the next request may take.
+    def estimate(self, now: float, deviations: float) -> float:
+        """Estimate the service time of the next request.
 
         :param now: the current time.
-        :param deviations: mean deviations beyond the mean.
-        :returns: seconds; 0 as long as nothing was measured lately.
+        :param deviations: mean deviations to add to the mean.
+        :returns: the time in seconds; 0 if nothing was measured recently.
         """
         if now - self._recorded_at > _STALE_SECONDS:
             return 0.0
         return self.mean_seconds + deviations * self.deviation_seconds
 
 
-class TurnInterval:
-    """The smoothed time between two turns of a class that waits.
+class TurnIntervalEstimator:
+    """Smoothed time between two turns of a class with waiting requests.
 
-    Turns may come in batches, as when several slots are granted at once:
-    those of one moment share the time until the next one.
+    A turn is the removal of a request in order to dispatch it. Turns come
+    in batches when several slots are granted at once; the turns of a batch
+    share the time until the next one.
     """
 
     __slots__ = (
-        '_began_at',
-        '_counted',
-        '_elapsed_seconds',
+        '_interval_began_at',
         '_measured_at',
         '_turns',
+        '_weighted_seconds',
+        '_weighted_turns',
     )
 
     def __init__(self) -> None:
-        self._began_at: float | None = None
-        self._counted = 0.0
-        self._elapsed_seconds = 0.0
+        self._interval_began_at: float | None = None
+        self._weighted_turns = 0.0
+        self._weighted_seconds = 0.0
         self._measured_at = 0.0
         self._turns = 0
 
     @property
     def mean_seconds(self) -> float:
-        """The smoothed time; 0 as long as too few turns were measured."""
-        if self._counted < _LEAST_TURNS:
+        """The smoothed time; 0 while too few turns were measured."""
+        if self._weighted_turns < _MINIMUM_TURNS:
             return 0.0
-        return self._elapsed_seconds / self._counted
+        return self._weighted_seconds / self._weighted_turns
 
-    def begin(self, now: float) -> None:
-        """Note that the class begins to wait for a turn.
+    def start_waiting(self, now: float) -> None:
+        """Record that requests of the class are waiting.
 
         :param now: the current time.
         """
-        if self._began_at is not None:
+        if self._interval_began_at is not None:
             return
         if now - self._measured_at > _STALE_SECONDS:
-            self._counted = 0.0
-            self._elapsed_seconds = 0.0
-        self._restart(now)
+            self._weighted_turns = 0.0
+            self._weighted_seconds = 0.0
+        self._restart_interval(now)
 
-    def record_turn(self, now: float, waits_on: bool) -> None:
-        """Note that a request of the class went.
+    def record_turn(self, now: float, has_waiting: bool) -> None:
+        """Record a turn of the class.
 
         :param now: the current time.
-        :param waits_on: whether more of the class waits.
+        :param has_waiting: whether more requests of the class wait.
         """
         self._turns += 1
-        if self._began_at is not None and now > self._began_at:
-            self._add(now - self._began_at, self._turns)
+        if (
+            self._interval_began_at is not None
+            and now > self._interval_began_at
+        ):
+            self._record_interval(now - self._interval_began_at, self._turns)
             self._measured_at = now
-            self._restart(now)
-        if not waits_on:
-            self.stop()
+            self._restart_interval(now)
+        if not has_waiting:
+            self.stop_waiting()
 
-    def stop(self) -> None:
-        """Note that nothing of the class waits any longer."""
-        self._began_at = None
+    def stop_waiting(self) -> None:
+        """Record that no request of the class waits any longer."""
+        self._interval_began_at = None
 
-    def foretell(self, now: float) -> float:
-        """Foretell the time between two turns.
+    def estimate(self, now: float) -> float:
+        """Estimate the time between two turns.
 
-        A turn that is overdue counts at once.
+        If the next turn is overdue, the time since the last one counts.
 
         :param now: the current time.
-        :returns: seconds; 0 as long as nothing was measured.
+        :returns: the time in seconds; 0 while too little was measured.
         """
-        if self._began_at is None or not self.mean_seconds:
+        if self._interval_began_at is None or not self.mean_seconds:
             return self.mean_seconds
-        passed = (now - self._began_at) / (self._turns + 1)
-        return max(self.mean_seconds, passed)
+        elapsed = (now - self._interval_began_at) / (self._turns + 1)
+        return max(self.mean_seconds, elapsed)
 
-    def _restart(self, now: float) -> None:
-        self._began_at = now
+    def _restart_interval(self, now: float) -> None:
+        self._interval_began_at = now
         self._turns = 0
 
-    def _add(self, elapsed_seconds: float, turns: int) -> None:
-        kept = 1 - _WEIGHT
-        self._elapsed_seconds = kept * self._elapsed_seconds + elapsed_seconds
-        self._counted = kept * self._counted + turns
+    def _record_interval(self, elapsed_seconds: float, turns: int) -> None:
+        decay = 1 - _SMOOTHING_WEIGHT
+        self._weighted_seconds = (
+            decay * self._weighted_seconds + elapsed_seconds
+        )
+        self._weighted_turns = decay * self._weighted_turns + turns
--- a/skylarkfold/admission/_policy.py
+++ b/skylarkfold/admission/_policy.py
@@ -1,4 +1,4 @@
-"""Whether a request can be answered in time, as far as is foreseen."""
+"""Rules that refuse or expire requests."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from skylarkfold.admission import _settings
 
 
-class Forecast:
-    """Judges requests by measured service times and turns.
+class AdmissionPolicy:
+    """Decides which requests may wait.
 
-    What can't be answered in time is refused as soon as that is foreseen,
-    not when its deadline is near: its caller can do something else.
+    A request that is not expected to be answered in time is refused at
+    once rather than at its deadline, so that the caller can react early.
 
-    :param settings: the margins.
+    :param settings: the admission settings.
     """
 
     __slots__ = ('_settings',)
@@ -21,66 +21,71 @@
     def __init__(self, settings: _settings.AdmissionSettings) -> None:
         self._settings = settings
 
-    def find_obstacle(
+    def check_admission(
         self,
         now: float,
         queue: _service_queue.ServiceQueue,
         entry: _results.Queued,
     ) -> _results.RefusalCode | None:
-        """Find what speaks against taking a new entry.
+        """Return why a new entry must be refused, if at all.
 
         :param now: the current time.
-        :param queue: its service's queue.
+        :param queue: the queue of its service.
         :param entry: the entry.
-        :returns: the code of a refusal, None if it may wait.
+        :returns: the code of the refusal, None if the entry may wait.
         """
-        line = queue.lines[entry.request.priority]
-        if len(line) >= self._settings.class_requests:
+        class_queue = queue.class_queues[entry.request.priority]
+        if len(class_queue) >= self._settings.class_requests:
             return _results.RefusalCode.QUEUE_FULL
-        if line.size_bytes + entry.size_bytes > self._settings.class_bytes:
+        if (
+            class_queue.size_bytes + entry.size_bytes
+            > self._settings.class_bytes
+        ):
             return _results.RefusalCode.QUEUE_FULL
-        wait = queue.foretell_wait(now, entry.request.priority)
-        age = self._settings.get_age_seconds(entry.request.priority)
-        bound = self._settings.wait_share * (entry.deadline - now)
-        if wait > min(age, bound) or self._is_late(now, wait, queue, entry):
+        wait = queue.estimate_wait(now, entry.request.priority)
+        maximum_age = self._settings.get_age_seconds(entry.request.priority)
+        maximum_wait = self._settings.wait_share * (entry.deadline - now)
+        if wait > min(maximum_age, maximum_wait) or self._misses_deadline(
+            now, wait, queue, entry
+        ):
             return _results.RefusalCode.DEADLINE
         return None
 
-    def find_expiry(
+    def check_waiting(
         self,
         now: float,
         queue: _service_queue.ServiceQueue,
         entry: _results.Queued,
         ahead: int = 0,
     ) -> _results.RefusalCode | None:
-        """Find whether an entry that waits has to be given up.
+        """Return why a waiting entry has to expire, if at all.
 
         :param now: the current time.
-        :param queue: its service's queue.
+        :param queue: the queue of its service.
         :param entry: the entry.
-        :param ahead: how many of its class go before it.
-        :returns: the code of a refusal, None if it may wait on.
+        :param ahead: the number of entries of its class ahead of it.
+        :returns: the code of the refusal, None if it may keep waiting.
         """
-        age_seconds = self._settings.get_age_seconds(entry.request.priority)
-        if now - entry.offered_at >= age_seconds:
+        maximum_age = self._settings.get_age_seconds(entry.request.priority)
+        if now - entry.offered_at >= maximum_age:
             return _results.RefusalCode.AGED
-        line = queue.lines[entry.request.priority]
-        wait = ahead * line.interval.foretell(now)
-        if self._is_late(now, wait, queue, entry):
+        class_queue = queue.class_queues[entry.request.priority]
+        wait = ahead * class_queue.turn_interval.estimate(now)
+        if self._misses_deadline(now, wait, queue, entry):
             return _results.RefusalCode.DEADLINE
         return None
 
-    def advise(self, wait_seconds: float) -> float:
-        """Turn a foretold wait into advice to a refused caller.
+    def clamp_retry(self, wait_seconds: float) -> float:
+        """Limit an estimated wait to the bounds of the retry time.
 
-        :param wait_seconds: the foretold wait.
-        :returns: when to come back, in seconds.
+        :param wait_seconds: the estimated wait.
+        :returns: the time after which to retry, in seconds.
         """
-        least = self._settings.minimum_retry_seconds
-        most = self._settings.maximum_retry_seconds
-        return min(max(wait_seconds, least), most)
+        minimum = self._settings.minimum_retry_seconds
+        maximum = self._settings.maximum_retry_seconds
+        return min(max(wait_seconds, minimum), maximum)
 
-    def _is_late(
+    def _misses_deadline(
         self,
         now: float,
         wait: float,
@@ -88,5 +93,5 @@
         entry: _results.Queued,
     ) -> bool:
         deviations = self._settings.deviations
-        service_time = queue.service_time.foretell(now, deviations)
+        service_time = queue.service_time.estimate(now, deviations)
         return now + wait + service_time >= entry.deadline
--- a/skylarkfold/admission/_results.py
+++ b/skylarkfold/admission/_results.py
@@ -1,4 +1,4 @@
-"""What admission answers."""
+"""Results of the admission queue."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """A request that waits.
+    """A waiting request.
 
     :param request: the request.
-    :param deadline: the time by which its caller wants the answer.
-    :param offered_at: when it came.
-    :param size_bytes: what it counts against the bounds.
+    :param deadline: the time by which the caller needs the answer.
+    :param offered_at: the time at which it was offered.
+    :param size_bytes: its size as counted towards the bounds.
     """
 
     request: request_module.Request
@@ -35,9 +35,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request waits now.
+    """The request was queued.
 
-    :param evicted: requests of other services that had to make room;
+    :param evicted: requests of other services that were removed for it;
         each is to be answered at once as refused and not run.
     """
 
@@ -46,10 +46,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """The request was not taken; it did not run.
+    """The request was refused and did not run.
 
-    :param code: why.
-    :param retry_after_seconds: when to come back.
+    :param code: the reason.
+    :param retry_after_seconds: the time after which to retry.
     """
 
     code: RefusalCode
@@ -58,11 +58,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """A request that waited and was given up; it did not run.
+    """A waiting request that was removed and did not run.
 
     :param request: the request.
-    :param code: why.
-    :param retry_after_seconds: when to come back.
+    :param code: the reason.
+    :param retry_after_seconds: the time after which to retry.
     """
 
     request: request_module.Request
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitingCounts:
-    """How many requests of each class wait for one service."""
+    """The number of waiting requests of each class, for one service."""
 
     alerts: int = 0
     exchanges: int = 0
@@ -84,10 +84,10 @@
         return self.alerts + self.exchanges + self.bulk
 
     def get(self, priority: request_module.Priority) -> int:
-        """Look up one class.
+        """Return the count of one class.
 
         :param priority: the class.
-        :returns: how many wait.
+        :returns: the number of waiting requests.
         """
         if priority is request_module.Priority.ALERT:
             return self.alerts
--- a/skylarkfold/admission/_scheduler.py
+++ b/skylarkfold/admission/_scheduler.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: strict precedence with a floor."""
+"""Priority scheduling with a minimum share for lower classes."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 
 
 class PriorityScheduler:
-    """Chooses between classes that wait.
+    """Chooses the priority class that is served next.
 
-    The highest class goes first. A class that waits and was passed over
-    in all turns but its ``floor_share`` gets the next one, so that no
-    class starves.
+    The highest waiting class is served first. A waiting class that was
+    skipped so often that it would get less than ``floor_share`` of the
+    turns gets the next one, so that no class starves.
 
-    :param floor_share: the least share of turns for each lower class;
-        0 for none.
+    :param floor_share: the minimum share of turns of each lower class; 0
+        for none.
     """
 
-    __slots__ = ('_passed', '_patience')
+    __slots__ = ('_maximum_skipped', '_skipped_turns')
 
     def __init__(self, floor_share: float) -> None:
-        self._patience = math.inf
+        self._maximum_skipped = math.inf
         if floor_share > 0:
-            self._patience = round(1 / floor_share) - 1
-        self._passed = dict.fromkeys(request.Priority, 0)
+            self._maximum_skipped = round(1 / floor_share) - 1
+        self._skipped_turns = dict.fromkeys(request.Priority, 0)
 
     def choose(
         self, waiting: Collection[request.Priority]
     ) -> request.Priority | None:
-        """Choose the class of the next turn, without taking it.
+        """Return the class of the next turn, without recording the turn.
 
-        :param waiting: the classes that have a request.
+        :param waiting: the classes with waiting requests.
         :returns: the class, or None if none waits.
         """
         if not waiting:
             return None
         for priority in sorted(waiting):
-            if self._passed[priority] >= self._patience:
+            if self._skipped_turns[priority] >= self._maximum_skipped:
                 return priority
         return min(waiting)
 
@@ -47,13 +47,13 @@
         taken: request.Priority,
         waiting: Collection[request.Priority],
     ) -> None:
-        """Account for a turn.
+        """Record a turn.
 
-        :param taken: the class that went.
-        :param waiting: the classes that had a request at that time.
+        :param taken: the class that was served.
+        :param waiting: the classes that had waiting requests.
         """
         for priority in request.Priority:
             if priority == taken or priority not in waiting:
-                self._passed[priority] = 0
+                self._skipped_turns[priority] = 0
             elif priority > taken:
-                self._passed[priority] += 1
+                self._skipped_turns[priority] += 1
--- a/skylarkfold/admission/_settings.py
+++ b/skylarkfold/admission/_settings.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionSettings:
-    """Bounds of the queues and the rules between them.
+    """Bounds of the admission queue and rules for refusals.
 
     :param class_requests: requests that may wait for one service in one
         class.
@@ -20,15 +20,16 @@
     :param alert_age_seconds: the longest wait of an alert.
     :param exchange_age_seconds: the longest wait of an exchange.
     :param bulk_age_seconds: the longest wait of bulk.
-    :param floor_share: the least share of turns that each lower class
+    :param floor_share: the minimum share of turns that each lower class
         gets while higher ones wait.
-    :param wait_share: the share of its time that a request may be foreseen
-        to wait when it is taken; the rest is for its run, a repeat and
-        whatever was not foreseen.
-    :param deviations: how many mean deviations beyond the mean service
-        time must be left to a request that is dispatched.
-    :param minimum_retry_seconds: the least advice to a refused caller.
-    :param maximum_retry_seconds: the most.
+    :param wait_share: the share of the time to its deadline that a request
+        may be expected to wait when it is offered; the rest is left for
+        its execution, a retry and inexact estimates.
+    :param deviations: the mean deviations that are added to the mean
+        service time to estimate whether a request meets its deadline.
+    :param minimum_retry_seconds: the shortest retry time given to a
+        refused caller.
+    :param maximum_retry_seconds: the longest one.
     """
 
     class_requests: int = 256
@@ -45,10 +46,10 @@
     maximum_retry_seconds: float = 30.0
 
     def get_age_seconds(self, priority: request.Priority) -> float:
-        """Look up the longest wait of a class.
+        """Return the longest wait of a class.
 
         :param priority: the class.
-        :returns: seconds.
+        :returns: the wait in seconds.
         """
         if priority is request.Priority.ALERT:
             return self.alert_age_seconds
--- a/skylarkfold/tests/admission/test_queue.py
+++ b/skylarkfold/tests/admission/test_queue.py
@@ -25,8 +25,8 @@
     )
 
 
-def measure_rate(queue, rounds=20):
-    """Let one exchange be taken each second up to 29, while more wait."""
+def record_turns(queue, rounds=20):
+    """Record one turn of exchanges a second until 29, then empty the queue."""
     numbers = range(1000, 1000 + rounds + 1)
     for number in numbers:
         queue.offer(29.0 - rounds, build_request(number), 1e6)
@@ -51,7 +51,7 @@
         self.assertEqual([2, 4, 1, 3, 0], numbers)
         self.assertIsNone(self.queue.take(0.0, 'desk'))
 
-    def test_lower_classes_keep_a_floor(self):
+    def test_lower_classes_get_their_share_of_turns(self):
         settings = admission.AdmissionSettings(floor_share=0.1)
         queue = admission.AdmissionQueue(settings)
         for number in range(100):
@@ -62,7 +62,7 @@
         lower = [each for each in taken if each.request.number >= 1000]
         self.assertEqual(6, len(lower))
 
-    def test_refuses_beyond_the_count_with_advice(self):
+    def test_refusal_of_a_full_queue_has_a_retry_time(self):
         settings = admission.AdmissionSettings(class_requests=2)
         queue = admission.AdmissionQueue(settings)
         queue.offer(0.0, build_request(1), 9.0)
@@ -71,8 +71,8 @@
         self.assertEqual(admission.RefusalCode.QUEUE_FULL, refusal.code)
         self.assertGreater(refusal.retry_after_seconds, 0)
 
-    def test_refuses_at_once_what_the_queue_makes_late(self):
-        measure_rate(self.queue)
+    def test_refuses_at_once_if_the_wait_misses_the_deadline(self):
+        record_turns(self.queue)
         for number in range(5):
             self.queue.offer(30.0, build_request(number), 1e6)
         refusal = self.queue.offer(30.0, build_request(9), 33.0)
@@ -83,24 +83,24 @@
         admitted = self.queue.offer(30.0, build_request(9), 43.0)
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_gives_up_what_will_be_late_before_it_is(self):
-        measure_rate(self.queue)
+    def test_expires_requests_before_they_miss_the_deadline(self):
+        record_turns(self.queue)
         for number in range(4):
             self.queue.offer(30.0, build_request(number), 42.0)
         self.assertEqual([], self.queue.expire(30.5))
         self.assertEqual([], self.queue.expire(32.9))
-        late = self.queue.expire(35.9)
-        self.assertEqual([2, 3], [each.request.number for each in late])
+        expired = self.queue.expire(35.9)
+        self.assertEqual([2, 3], [each.request.number for each in expired])
         self.assertEqual(2, self.queue.count_waiting('desk').exchanges)
 
-    def test_an_old_rate_does_not_refuse_for_ever(self):
-        measure_rate(self.queue)
+    def test_a_stale_turn_interval_does_not_refuse(self):
+        record_turns(self.queue)
         for number in range(5):
             self.queue.offer(60.0, build_request(number), 1e6)
         admitted = self.queue.offer(60.0, build_request(9), 63.0)
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_turns_that_come_in_batches_are_counted_each(self):
+    def test_each_turn_of_a_batch_counts(self):
         for number in range(100):
             self.queue.offer(0.0, build_request(number), 1e6)
         for step in range(1, 16):
@@ -110,25 +110,25 @@
         self.assertEqual(40, self.queue.count_waiting('desk').exchanges)
         self.assertAlmostEqual(10.0, refusal.retry_after_seconds, delta=1.5)
 
-    def test_alerts_are_not_judged_by_the_queue_of_bulk(self):
-        measure_rate(self.queue)
+    def test_alerts_ignore_the_wait_of_lower_classes(self):
+        record_turns(self.queue)
         for number in range(5):
             self.queue.offer(30.0, build_request(number), 1e6)
         alert = build_request(9, priority=request.Priority.ALERT)
         admitted = self.queue.offer(30.0, alert, 31.0)
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_refuses_what_is_shorter_than_the_service_time(self):
+    def test_refuses_deadlines_below_the_service_time(self):
         self.queue.record_service_time(0.0, 'desk', 1.0)
         refusal = self.queue.offer(0.0, build_request(1), 0.5)
         self.assertEqual(admission.RefusalCode.DEADLINE, refusal.code)
 
-    def test_an_old_measurement_does_not_refuse_for_ever(self):
+    def test_a_stale_service_time_does_not_refuse(self):
         self.queue.record_service_time(0.0, 'desk', 1.0)
         admitted = self.queue.offer(60.0, build_request(1), 60.5)
         self.assertIsInstance(admitted, admission.Admitted)
 
-    def test_gives_up_what_is_late_when_it_is_taken(self):
+    def test_take_skips_requests_past_their_deadline(self):
         self.queue.offer(0.0, build_request(1), 1.0)
         self.queue.offer(0.0, build_request(2), 9.0)
         self.assertEqual(2, self.queue.take(2.0, 'desk').request.number)
@@ -136,7 +136,7 @@
         self.assertEqual(1, expired.request.number)
         self.assertEqual(admission.RefusalCode.DEADLINE, expired.code)
 
-    def test_gives_up_by_age(self):
+    def test_expires_requests_by_age(self):
         settings = admission.AdmissionSettings(exchange_age_seconds=2.0)
         queue = admission.AdmissionQueue(settings)
         queue.offer(0.0, build_request(1), 100.0)
@@ -145,7 +145,7 @@
         self.assertEqual(admission.RefusalCode.AGED, expired.code)
         self.assertEqual(0, len(queue))
 
-    def test_a_busy_service_makes_room_for_a_quiet_one(self):
+    def test_a_busy_service_is_evicted_for_a_quiet_one(self):
         settings = admission.AdmissionSettings(total_requests=10)
         queue = admission.AdmissionQueue(settings)
         for number in range(10):
@@ -156,7 +156,7 @@
         refusal = queue.offer(0.0, build_request(51, 'busy'), 9.0)
         self.assertEqual(admission.RefusalCode.UNFAIR_SHARE, refusal.code)
 
-    def test_shares_come_out_equal(self):
+    def test_services_get_equal_shares(self):
         settings = admission.AdmissionSettings(total_requests=30)
         queue = admission.AdmissionQueue(settings)
         for number in range(300):
@@ -165,7 +165,7 @@
         counts = [queue.count_waiting(name).total for name in 'abc']
         self.assertEqual([10, 10, 10], counts)
 
-    def test_a_cancelled_request_waits_no_longer(self):
+    def test_a_cancelled_request_is_removed(self):
         self.queue.offer(0.0, build_request(1), 9.0)
         self.assertTrue(self.queue.cancel(1))
         self.assertFalse(self.queue.cancel(1))
