--- a/skylarkfold/selection/_coordinator.py
+++ b/skylarkfold/selection/_coordinator.py
@@ -69,7 +69,7 @@
         if not self._encoded:
             return None
         candidates = list(self._encoded)
-        if self._is_updatable(previous):
+        if self._is_previous_usable(previous):
             candidates = [previous.name, *self._added]
         weight, name = max(
             (self._compute_weight(service_number, each), each)
@@ -77,7 +77,7 @@
         )
         return Coordinator(name, weight, self._version)
 
-    def _is_updatable(self, previous: Coordinator | None) -> bool:
+    def _is_previous_usable(self, previous: Coordinator | None) -> bool:
         """Tell whether only added owners need comparing with the old one."""
         if previous is None or previous.version != self._version - 1:
             return False
--- a/skylarkfold/selection/_local_slots.py
+++ b/skylarkfold/selection/_local_slots.py
@@ -10,7 +10,7 @@
 from skylarkfold.selection import _settings
 
 _REFRESH_SECONDS = 1.0
-_URGENT_OUTCOMES = 4
+_OUTCOMES_PER_REPORT = 4
 _MAXIMUM_OUTCOMES = 16
 
 
@@ -277,7 +277,7 @@
             for each in self._reported_held
         ):
             return True
-        if len(self._outcomes) >= _URGENT_OUTCOMES:
+        if len(self._outcomes) >= _OUTCOMES_PER_REPORT:
             return True
         if not is_tick:
             return False
--- a/skylarkfold/selection/_pool.py
+++ b/skylarkfold/selection/_pool.py
@@ -93,7 +93,7 @@
         :returns: at least one upstream, unless none accepts new work.
         """
         usable = [each for each in self._active if not each.is_ejected(now)]
-        self._level_returning(usable)
+        self._raise_returning_work(usable)
         suspect = [each for each in usable if each.is_suspect(now)]
         if not suspect:
             return usable
@@ -167,7 +167,7 @@
         ]
         return statistics.median(latencies) if latencies else 0.0
 
-    def _level_returning(
+    def _raise_returning_work(
         self, usable: list[_upstream_record.UpstreamRecord]
     ) -> None:
         """Raise the work of upstreams that return from an ejection.
