--- a/skylarkfold/requests/_tombstones.py
+++ b/skylarkfold/requests/_abandoned_claims.py
@@ -7,7 +7,7 @@
 from skylarkfold.requests import _settings
 
 
-class Tombstones:
+class AbandonedClaims:
     """Remembers abandoned claims for as long as a vote may name them.
 
     :param settings: the request settings.
@@ -23,23 +23,23 @@
     def __len__(self) -> int:
         return len(self._expiries)
 
-    def add(self, now: float, claim: int) -> None:
+    def add(self, now: float, claim_number: int) -> None:
         """Remember a claim that was given up.
 
         :param now: the time.
         :param claim: its number.
         """
-        self._expiries[claim] = now + self._retention_seconds
+        self._expiries[claim_number] = now + self._retention_seconds
         if len(self._expiries) > self._maximum:
             self._expiries.popitem(last=False)
 
-    def has(self, claim: int) -> bool:
+    def has(self, claim_number: int) -> bool:
         """Tell whether a claim is known to have been given up.
 
         :param claim: its number.
         :returns: False also where it was forgotten.
         """
-        return claim in self._expiries
+        return claim_number in self._expiries
 
     def expire(self, now: float) -> None:
         """Forget what no vote can name any more.
@@ -47,7 +47,7 @@
         :param now: the time.
         """
         while self._expiries:
-            claim = next(iter(self._expiries))
-            if self._expiries[claim] > now:
+            claim_number = next(iter(self._expiries))
+            if self._expiries[claim_number] > now:
                 return
-            del self._expiries[claim]
+            del self._expiries[claim_number]
--- a/skylarkfold/requests/_answers.py
+++ b/skylarkfold/requests/_answers.py
@@ -50,7 +50,7 @@
 }
 
 
-def refuse(
+def build_refusal(
     verdict: verdict_module.Verdict,
     code: str,
     retry_after_seconds: float | None = None,
@@ -70,7 +70,7 @@
     )
 
 
-def name_outcome(outcome: request_module.Outcome) -> ErrorCode:
+def get_error_code(outcome: request_module.Outcome) -> ErrorCode:
     """Name the code of an attempt that brought no answer.
 
     :param outcome: how it ended.
@@ -79,7 +79,7 @@
     return _OUTCOME_CODES[outcome]
 
 
-def confirm(answer: request_module.Answer) -> request_module.Answer:
+def mark_as_ran(answer: request_module.Answer) -> request_module.Answer:
     """Mark an upstream's whole answer as such.
 
     :param answer: what the upstream answered.
@@ -91,7 +91,7 @@
     return dataclasses.replace(answer, verdict=ran)
 
 
-def is_whole(
+def is_complete(
     request: request_module.Request, answer: request_module.Answer | None
 ) -> bool:
     """Tell whether an answer has all the bytes that it announces.
@@ -111,7 +111,7 @@
     return len(answer.body) >= int(announced)
 
 
-def classify(
+def classify_attempt(
     request: request_module.Request, ended: event.AttemptEnded
 ) -> request_module.Outcome:
     """Tell how an attempt ended, its answer checked.
@@ -121,12 +121,12 @@
     :returns: the outcome; broken where the answer is cut off.
     """
     answered = request_module.Outcome.ANSWERED
-    if ended.outcome is not answered or is_whole(request, ended.answer):
+    if ended.outcome is not answered or is_complete(request, ended.answer):
         return ended.outcome
     return request_module.Outcome.BROKEN
 
 
-def is_lasting(answer: request_module.Answer) -> bool:
+def can_relay(answer: request_module.Answer) -> bool:
     """Tell whether an answer for a key is still true when it arrives.
 
     That a request did not run may be outdated by the time a peer is
--- a/skylarkfold/requests/_attempts.py
+++ b/skylarkfold/requests/_attempts.py
@@ -7,14 +7,14 @@
 from skylarkfold import effect
 from skylarkfold import request as request_module
 from skylarkfold.requests import _context
-from skylarkfold.requests import _exchange
+from skylarkfold.requests import _execution
 from skylarkfold import selection
 from skylarkfold import service as service_module
 
-PassOn = Callable[[float, _exchange.Exchange, str, int], int]
+ForwardCallback = Callable[[float, _execution.Execution, str, int], int]
 
 
-class Attempts:
+class AttemptTracker:
     """Numbers attempts, starts them and records how each ended.
 
     :param context: what the parts of the core share.
@@ -24,24 +24,30 @@
         be told.
     """
 
-    __slots__ = ('_context', '_last', '_pass_on', '_running', '_selector')
+    __slots__ = (
+        '_context',
+        '_forward',
+        '_last_number',
+        '_running',
+        '_selector',
+    )
 
     def __init__(
         self,
         context: _context.Context,
         selector: selection.Selector,
-        pass_on: PassOn,
+        forward: ForwardCallback,
     ) -> None:
         self._context = context
         self._selector = selector
-        self._pass_on = pass_on
-        self._running: dict[int, _exchange.Exchange] = {}
-        self._last = 0
+        self._forward = forward
+        self._running: dict[int, _execution.Execution] = {}
+        self._last_number = 0
 
     def dispatch(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         service: service_module.Service,
         choice: selection.Choice,
     ) -> None:
@@ -52,23 +58,23 @@
         :param service: its service.
         :param choice: the upstream and why.
         """
-        self._start(now, exchange, choice.upstream.name)
+        self._start(now, execution, choice.upstream.name)
         self._selector.record_dispatch(
-            now, exchange.request.service, exchange.upstream
+            now, execution.request.service, execution.upstream
         )
-        self._log(exchange, 'dispatch', choice.reason)
+        self._log(execution, 'dispatch', choice.reason)
         self._context.effects.append(
             effect.DispatchAttempt(
-                attempt=exchange.attempt,
-                request=exchange.request,
+                attempt=execution.attempt,
+                request=execution.request,
                 service=service,
                 upstream=choice.upstream,
-                timeout_seconds=exchange.deadline - now,
+                timeout_seconds=execution.deadline - now,
             )
         )
 
-    def pass_to(
-        self, now: float, exchange: _exchange.Exchange, peer: str
+    def forward_to(
+        self, now: float, execution: _execution.Execution, peer: str
     ) -> bool:
         """Let a peer make the next attempt.
 
@@ -78,16 +84,16 @@
         :returns: False where the exchange came from a peer itself, is late
             or the peer can't be told.
         """
-        if exchange.request.number < 0 or exchange.deadline <= now:
+        if execution.request.number < 0 or execution.deadline <= now:
             return False
-        number = self._pass_on(now, exchange, peer, self._last + 1)
+        number = self._forward(now, execution, peer, self._last_number + 1)
         if not number:
             return False
-        self._start(now, exchange, '')
-        exchange.pass_number = number
+        self._start(now, execution, '')
+        execution.forward_id = number
         return True
 
-    def take(self, number: int) -> _exchange.Exchange | None:
+    def pop(self, number: int) -> _execution.Execution | None:
         """Take an attempt that has ended by itself.
 
         :param number: its number.
@@ -95,10 +101,10 @@
         """
         return self._running.pop(number, None)
 
-    def end(
+    def record_end(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         outcome: request_module.Outcome,
     ) -> None:
         """Record how an attempt ended.
@@ -107,21 +113,21 @@
         :param exchange: its exchange, no longer in flight.
         :param outcome: how it ended.
         """
-        if exchange.upstream:
+        if execution.upstream:
             self._selector.record_outcome(
                 now,
-                exchange.request.service,
-                exchange.upstream,
+                execution.request.service,
+                execution.upstream,
                 outcome,
-                now - exchange.started,
+                now - execution.started,
             )
-        self._log(exchange, 'attempt-end', outcome)
-        exchange.attempt = 0
+        self._log(execution, 'attempt-end', outcome)
+        execution.attempt = 0
 
     def abandon(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         outcome: request_module.Outcome,
     ) -> None:
         """Give up the attempt in flight, which may run all the same.
@@ -130,33 +136,33 @@
         :param exchange: its exchange.
         :param outcome: why.
         """
-        self._running.pop(exchange.attempt, None)
-        if exchange.upstream:
-            cancelled = effect.CancelAttempt(exchange.attempt)
+        self._running.pop(execution.attempt, None)
+        if execution.upstream:
+            cancelled = effect.CancelAttempt(execution.attempt)
             self._context.effects.append(cancelled)
-        self.end(now, exchange, outcome)
-        exchange.may_have_run = True
+        self.record_end(now, execution, outcome)
+        execution.may_have_run = True
 
     def _start(
-        self, now: float, exchange: _exchange.Exchange, upstream: str
+        self, now: float, execution: _execution.Execution, upstream: str
     ) -> None:
-        self._last += 1
-        exchange.state = _exchange.State.RUNNING
-        exchange.attempt = self._last
-        exchange.upstream = upstream
-        exchange.pass_number = 0
-        exchange.started = now
-        exchange.attempts += 1
-        self._running[exchange.attempt] = exchange
+        self._last_number += 1
+        execution.state = _execution.ExecutionState.RUNNING
+        execution.attempt = self._last_number
+        execution.upstream = upstream
+        execution.forward_id = 0
+        execution.started = now
+        execution.attempts += 1
+        self._running[execution.attempt] = execution
 
     def _log(
-        self, exchange: _exchange.Exchange, kind: str, reason: str
+        self, execution: _execution.Execution, kind: str, reason: str
     ) -> None:
-        request = exchange.request
+        request = execution.request
         self._context.log(
             kind,
-            f'{request.number}/{exchange.attempt}',
+            f'{request.number}/{execution.attempt}',
             reason,
             request.service,
-            exchange.upstream,
+            execution.upstream,
         )
--- a/skylarkfold/requests/_claim.py
+++ b/skylarkfold/requests/_claim_tally.py
@@ -5,12 +5,12 @@
 import collections
 
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _register
+from skylarkfold.requests import _vote_table
 
-Identity = tuple[str, int]
+HolderId = tuple[str, int]
 
 
-class Claim:
+class ClaimTally:
     """Counts votes until the claim is won or lost.
 
     :param owner: the claim itself.
@@ -20,31 +20,31 @@
 
     __slots__ = (
         '_asked',
-        '_sets',
+        '_holder_sets',
         '_votes',
+        'claim_id',
+        'competing_claims',
         'key',
-        'label',
-        'owner',
-        'rivals',
+        'list_revision',
     )
 
     def __init__(
         self,
-        owner: _register.Owner,
+        claim_id: _vote_table.ClaimId,
         holders: _holders.HolderList,
         key: bytes,
     ) -> None:
-        self.owner = owner
+        self.claim_id = claim_id
         self.key = key
-        self.label = holders.label
-        self.rivals: collections.Counter[_register.Owner] = (
+        self.list_revision = holders.list_revision
+        self.competing_claims: collections.Counter[_vote_table.ClaimId] = (
             collections.Counter()
         )
-        self._sets = holders.list_sets(_holders.find_range(key))
+        self._holder_sets = holders.list_sets(_holders.compute_range(key))
         self._asked: set[_holders.Holder] = set()
-        self._votes: dict[Identity, bool] = {}
+        self._votes: dict[HolderId, bool] = {}
 
-    def choose_first(
+    def choose_majority(
         self, own_name: str, reachable: frozenset[str]
     ) -> list[_holders.Holder]:
         """Choose just enough holders to win, to be asked first.
@@ -54,9 +54,9 @@
         :returns: a majority of each set.
         """
         chosen: dict[_holders.Holder, None] = {}
-        for one in self._sets:
+        for holder_set in self._holder_sets:
             ranked = sorted(
-                one,
+                holder_set,
                 key=lambda each: (
                     each not in chosen,
                     each.name != own_name,
@@ -64,23 +64,25 @@
                 ),
             )
             chosen.update(
-                dict.fromkeys(ranked[: _holders.count_majority(one)])
+                dict.fromkeys(ranked[: _holders.count_majority(holder_set)])
             )
-        return self._note_asked(list(chosen))
+        return self._mark_asked(list(chosen))
 
-    def choose_rest(self) -> list[_holders.Holder]:
+    def choose_unanswered(self) -> list[_holders.Holder]:
         """Choose all that have not answered, asked before or not."""
-        every = dict.fromkeys(each for one in self._sets for each in one)
-        return self._note_asked(
+        every = dict.fromkeys(
+            each for holder_set in self._holder_sets for each in holder_set
+        )
+        return self._mark_asked(
             [each for each in every if not self._has_answered(each)]
         )
 
     @property
     def is_waiting(self) -> bool:
         """Tell whether any that was asked has not answered."""
-        return bool(self.list_owing())
+        return bool(self.list_unanswered())
 
-    def list_owing(self) -> list[_holders.Holder]:
+    def list_unanswered(self) -> list[_holders.Holder]:
         """List those that were asked and have not answered."""
         return [
             each
@@ -88,17 +90,17 @@
             if not self._has_answered(each)
         ]
 
-    def _note_asked(
+    def _mark_asked(
         self, asked: list[_holders.Holder]
     ) -> list[_holders.Holder]:
         self._asked.update(asked)
         return asked
 
     def _has_answered(self, holder: _holders.Holder) -> bool:
-        return (holder.name, holder.boot) in self._votes
+        return (holder.name, holder.boot_id) in self._votes
 
-    def record(
-        self, holder: Identity, accepted: bool, rival: _register.Owner
+    def record_vote(
+        self, holder: HolderId, accepted: bool, competitor: _vote_table.ClaimId
     ) -> None:
         """Count a holder's answer.
 
@@ -109,23 +111,25 @@
         if holder in self._votes:
             return
         self._votes[holder] = accepted
-        if not accepted and rival != _register.UNKNOWN:
-            self.rivals[rival] += 1
+        if not accepted and competitor != _vote_table.UNKNOWN_CLAIM:
+            self.competing_claims[competitor] += 1
 
     @property
     def is_won(self) -> bool:
         """Tell whether a majority of each set voted for this claim."""
         return all(
-            self._count(one, True) >= _holders.count_majority(one)
-            for one in self._sets
+            self._count_votes(holder_set, True)
+            >= _holders.count_majority(holder_set)
+            for holder_set in self._holder_sets
         )
 
     @property
     def is_lost(self) -> bool:
         """Tell whether refusals make a majority impossible."""
         return any(
-            len(one) - self._count(one, False) < _holders.count_majority(one)
-            for one in self._sets
+            len(holder_set) - self._count_votes(holder_set, False)
+            < _holders.count_majority(holder_set)
+            for holder_set in self._holder_sets
         )
 
     def can_win(self, reachable: frozenset[str]) -> bool:
@@ -135,21 +139,21 @@
         :returns: False where too few holders are left.
         """
         return all(
-            self._count_possible(one, reachable)
-            >= _holders.count_majority(one)
-            for one in self._sets
+            self._count_possible_votes(holder_set, reachable)
+            >= _holders.count_majority(holder_set)
+            for holder_set in self._holder_sets
         )
 
-    def _count(self, holders: _holders.HolderSet, accepted: bool) -> int:
+    def _count_votes(self, holders: _holders.HolderSet, accepted: bool) -> int:
         return sum(
-            self._votes.get((each.name, each.boot)) is accepted
+            self._votes.get((each.name, each.boot_id)) is accepted
             for each in holders
         )
 
-    def _count_possible(
+    def _count_possible_votes(
         self, holders: _holders.HolderSet, reachable: frozenset[str]
     ) -> int:
         return sum(
-            self._votes.get((each.name, each.boot), each.name in reachable)
+            self._votes.get((each.name, each.boot_id), each.name in reachable)
             for each in holders
         )
--- a/skylarkfold/requests/_context.py
+++ b/skylarkfold/requests/_context.py
@@ -19,7 +19,7 @@
 _SCALE = 1 << 63
 
 
-class Asker(NamedTuple):
+class Requester(NamedTuple):
     """Who waits for an answer.
 
     :param peer: the instance that passed the request, empty for a caller
@@ -29,7 +29,7 @@
     """
 
     peer: str
-    boot: int
+    boot_id: int
     number: int
 
 
@@ -53,7 +53,7 @@
         self.effects: list[object] = []
         self.reachable: frozenset[str] = frozenset()
         self._seed = seed
-        self.boot = self.draw(instance.name)
+        self.boot_id = self.draw(instance.name)
 
     def draw(self, text: str) -> int:
         """Draw a number that differs between processes.
@@ -64,7 +64,7 @@
         seeded = f'{self._seed}|{self.name}|{text}'
         return xxhash.xxh3_64_intdigest(seeded.encode()) & _POSITIVE
 
-    def spread(self, seconds: float, text: str) -> float:
+    def jitter(self, seconds: float, text: str) -> float:
         """Spread a delay between half and one and a half times itself.
 
         :param seconds: the mean.
@@ -81,19 +81,21 @@
         """
         self.effects.append(effect.SendToPeer(peer, sent))
 
-    def reply(self, asker: Asker, answer: request_module.Answer) -> None:
+    def reply(
+        self, requester: Requester, answer: request_module.Answer
+    ) -> None:
         """Send a final answer to whoever waits for it.
 
         :param asker: who asked.
         :param answer: the answer.
         """
-        if not asker.peer:
-            self.effects.append(effect.SendAnswer(asker.number, answer))
+        if not requester.peer:
+            self.effects.append(effect.SendAnswer(requester.number, answer))
             return
-        ended = _messages.PassEndedMessage(
-            target_boot=asker.boot,
-            number=asker.number,
-            status=_messages.PassStatus.ANSWERED,
+        ended = _messages.ForwardEndedMessage(
+            target_boot_id=requester.boot_id,
+            number=requester.number,
+            status=_messages.ForwardStatus.ANSWERED,
             verdict=answer.verdict,
             answer_status=answer.status,
             headers=answer.headers,
@@ -101,10 +103,10 @@
             code=answer.code,
             retry_after_seconds=answer.retry_after_seconds,
         )
-        self.send(asker.peer, ended)
+        self.send(requester.peer, ended)
 
     def refuse(
-        self, asker: Asker, verdict: verdict_module.Verdict, code: str
+        self, requester: Requester, verdict: verdict_module.Verdict, code: str
     ) -> None:
         """Send an answer without an upstream's to whoever waits for it.
 
@@ -112,22 +114,22 @@
         :param verdict: whether the request may have run.
         :param code: why.
         """
-        answer = _answers.refuse(
+        answer = _answers.build_refusal(
             verdict, code, self.settings.retry_after_seconds
         )
-        self.reply(asker, answer)
+        self.reply(requester, answer)
 
     def reply_all(
-        self, askers: dict[Asker, float], answer: request_module.Answer
+        self, requesters: dict[Requester, float], answer: request_module.Answer
     ) -> None:
         """Send a final answer to all who wait, and expect none of them.
 
         :param askers: who asked, each with its deadline; empty afterwards.
         :param answer: the answer.
         """
-        for asker in askers:
-            self.reply(asker, answer)
-        askers.clear()
+        for requester in requesters:
+            self.reply(requester, answer)
+        requesters.clear()
 
     def count(self, name: str, amount: int = 1) -> None:
         """Add to a counter.
--- a/skylarkfold/requests/_core.py
+++ b/skylarkfold/requests/_core.py
@@ -12,25 +12,25 @@
 from skylarkfold import member
 from skylarkfold import platform_api
 from skylarkfold import request as request_module
-from skylarkfold.requests import _claimant
+from skylarkfold.requests import _claim_client
 from skylarkfold.requests import _context
-from skylarkfold.requests import _exchange
+from skylarkfold.requests import _execution
+from skylarkfold.requests import _executor
+from skylarkfold.requests import _forwarder
+from skylarkfold.requests import _holder_manager
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _keys
-from skylarkfold.requests import _lifecycle
+from skylarkfold.requests import _keyed_requests
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _passes
-from skylarkfold.requests import _reception
-from skylarkfold.requests import _register
+from skylarkfold.requests import _router
 from skylarkfold.requests import _settings
-from skylarkfold.requests import _stop
-from skylarkfold.requests import _succession
+from skylarkfold.requests import _shutdown
+from skylarkfold.requests import _vote_table
 from skylarkfold.requests import _voter
 
-PassKind = _messages.PassKind
-PassStatus = _messages.PassStatus
-Taker = Callable[[float, typing.Any], None]
-MessageTaker = Callable[[float, str, typing.Any], None]
+ForwardKind = _messages.ForwardKind
+ForwardStatus = _messages.ForwardStatus
+EventHandler = Callable[[float, typing.Any], None]
+MessageHandler = Callable[[float, str, typing.Any], None]
 
 
 class RequestCore:
@@ -49,44 +49,52 @@
         seed: int,
     ) -> None:
         self.context = _context.Context(instance, settings, seed)
-        self.register = _register.Register(settings)
-        self.succession = _succession.Succession(self.context, self.register)
-        self.passes = _passes.Passes(self.context)
-        self.lifecycle = _lifecycle.Lifecycle(
-            self.context, self._end, self._pass_on
+        self.vote_table = _vote_table.VoteTable(settings)
+        self.holder_manager = _holder_manager.HolderManager(
+            self.context, self.vote_table
         )
-        self.keys = _keys.Keys(
+        self.forwarder = _forwarder.RequestForwarder(self.context)
+        self.executor = _executor.RequestExecutor(
+            self.context, self._end, self._forward
+        )
+        self.keyed_requests = _keyed_requests.KeyedRequests(
             self.context,
-            _claimant.Claimant(
-                self.context, self.register, lambda: self.succession.holders
+            _claim_client.ClaimClient(
+                self.context,
+                self.vote_table,
+                lambda: self.holder_manager.holders,
             ),
-            self.lifecycle,
-            self.passes,
+            self.executor,
+            self.forwarder,
         )
         self._configuration = configuration_module.EMPTY
         self._membership = member.EMPTY
-        self._stop = _stop.Stop(
+        self._shutdown = _shutdown.Shutdown(
             self.context,
-            self.lifecycle,
-            self.keys,
-            self.passes,
-            self.succession,
+            self.executor,
+            self.keyed_requests,
+            self.forwarder,
+            self.holder_manager,
         )
-        self.reception = _reception.Reception(
-            self.context, self.lifecycle, self.keys, self.passes, self._stop
+        self.router = _router.RequestRouter(
+            self.context,
+            self.executor,
+            self.keyed_requests,
+            self.forwarder,
+            self._shutdown,
         )
         self.voter = _voter.Voter(
-            self.context, self.register, lambda: self.succession.holders
+            self.context, self.vote_table, lambda: self.holder_manager.holders
         )
         self._ready_at: float | None = None
-        self._is_overdue = False
-        self._takers = self._list_event_takers()
-        self._message_takers = self._list_message_takers()
+        self._is_ready_overdue = False
+        self._event_handlers = self._build_event_handlers()
+        self._message_handlers = self._build_message_handlers()
 
     @property
     def is_stopping(self) -> bool:
         """Tell whether the instance was asked to stop."""
-        return self._stop.is_begun
+        return self._shutdown.has_begun
 
     @property
     def is_ready(self) -> bool:
@@ -95,12 +103,14 @@
         Without the platform no list of holders may come for long; all
         other traffic has to be served then.
         """
-        return self.succession.holders is not None or self._is_overdue
+        return (
+            self.holder_manager.holders is not None or self._is_ready_overdue
+        )
 
     @property
     def is_finished(self) -> bool:
         """Tell whether nothing is left to finish or hand on."""
-        return self._stop.is_finished
+        return self._shutdown.is_finished
 
     def handle(self, now: float, received: object) -> list[object]:
         """Take one event.
@@ -110,72 +120,72 @@
             ignored.
         :returns: effects of :mod:`skylarkfold.effect`, in order.
         """
-        self.reception.notice_pause(now)
-        take = self._takers.get(type(received))
-        if take is not None:
-            take(now, received)
-        self.lifecycle.flush(now)
-        self._stop.finish(now)
+        self.router.detect_pause(now)
+        handler = self._event_handlers.get(type(received))
+        if handler is not None:
+            handler(now, received)
+        self.executor.flush(now)
+        self._shutdown.advance(now)
         produced = self.context.effects[:]
         self.context.effects.clear()
         return produced
 
-    def _list_event_takers(self) -> dict[type, Taker]:
+    def _build_event_handlers(self) -> dict[type, EventHandler]:
         return {
             event.RequestReceived: self._receive,
             event.RequestCancelled: self._cancel,
-            event.AttemptEnded: self.lifecycle.end_attempt,
-            event.LoadReported: self.lifecycle.record_load,
+            event.AttemptEnded: self.executor.end_attempt,
+            event.LoadReported: self.executor.record_load,
             event.ConfigurationChanged: self._configure,
-            event.MembershipChanged: self._observe_membership,
-            event.ObjectChanged: self._observe_object,
+            event.MembershipChanged: self._update_membership,
+            event.ObjectChanged: self._update_object,
             event.WriteEnded: self._end_write,
-            event.PeerLost: self._lose_peer,
-            event.PeerMessageReceived: self._take_message,
+            event.PeerLost: self._handle_peer_lost,
+            event.PeerMessageReceived: self._handle_message,
             event.StopRequested: self._begin_stop,
             event.Tick: self._tick,
         }
 
-    def _list_message_takers(self) -> dict[type, MessageTaker]:
+    def _build_message_handlers(self) -> dict[type, MessageHandler]:
         return {
-            _messages.ClaimMessage: self.voter.vote,
-            _messages.VoteMessage: self.keys.record_vote,
-            _messages.ReleaseMessage: self.voter.release,
-            _messages.PassMessage: self.reception.take_pass,
-            _messages.PassEndedMessage: self.passes.end,
-            _messages.InheritMessage: self.succession.tell_votes,
-            _messages.InheritedMessage: self.succession.take_votes,
-            _messages.ReportMessage: self.succession.take_report,
-            _messages.HandOnMessage: self.keys.take_over,
-            _messages.HoldersMessage: self._take_holders,
-            _messages.TicketRequestMessage: self.passes.issue,
-            _messages.TicketMessage: self.passes.use_ticket,
+            _messages.ClaimMessage: self.voter.handle_claim,
+            _messages.VoteMessage: self.keyed_requests.record_vote,
+            _messages.ReleaseMessage: self.voter.handle_release,
+            _messages.ForwardMessage: self.router.handle_forward,
+            _messages.ForwardEndedMessage: self.forwarder.end,
+            _messages.VotesRequestMessage: self.holder_manager.send_votes,
+            _messages.VotesMessage: self.holder_manager.record_votes,
+            _messages.ReportMessage: self.holder_manager.record_report,
+            _messages.KeyHandoverMessage: self.keyed_requests.accept_handover,
+            _messages.HoldersMessage: self._handle_holders,
+            _messages.TicketRequestMessage: self.forwarder.issue_ticket,
+            _messages.TicketMessage: self.forwarder.use_ticket,
         }
 
     def _receive(self, now: float, received: event.RequestReceived) -> None:
         request = received.request
-        own = _context.Asker('', 0, request.number)
-        self.reception.receive(now, request, own)
+        own = _context.Requester('', 0, request.number)
+        self.router.receive(now, request, own)
 
     def _cancel(self, now: float, cancelled: event.RequestCancelled) -> None:
-        self.reception.cancel(now, cancelled.request)
+        self.router.cancel(now, cancelled.request)
 
-    def _take_message(
+    def _handle_message(
         self, now: float, received: event.PeerMessageReceived
     ) -> None:
         """Hand a message to what decides; those unknown concern slots."""
-        take = self._message_takers.get(
-            type(received.message), self.lifecycle.handle_message
+        handler = self._message_handlers.get(
+            type(received.message), self.executor.handle_message
         )
-        take(now, received.sender, received.message)
+        handler(now, received.sender, received.message)
 
     def _configure(
         self, now: float, changed: event.ConfigurationChanged
     ) -> None:
         self._configuration = changed.configuration
-        self._configure_lifecycle(now)
+        self._configure_executor(now)
 
-    def _observe_membership(
+    def _update_membership(
         self, now: float, changed: event.MembershipChanged
     ) -> None:
         membership = changed.membership
@@ -189,103 +199,101 @@
         )
         own = membership.members.get(self.context.name)
         if own is not None and own.state is member.MemberState.LEFT:
-            self.register.close()
+            self.vote_table.close()
         for peer in sorted(before - self.context.reachable):
-            self.passes.lose(now, peer)
-        self.succession.observe_membership(membership)
-        self._stop.observe_membership(membership)
+            self.forwarder.end_all_to(now, peer)
+        self.holder_manager.update_membership(membership)
+        self._shutdown.update_membership(membership)
         if membership.list_owners() != owners:
-            self._configure_lifecycle(now)
+            self._configure_executor(now)
 
-    def _observe_object(
-        self, now: float, changed: event.ObjectChanged
-    ) -> None:
-        known = changed.stored
-        if known.path == _holders.PATH:
-            self._observe_holders(now, known)
-        elif known.path == _holders.GONE_PATH:
-            self.succession.observe_gone(known.value)
-
-    def _take_holders(
-        self, now: float, sender: str, told: _messages.HoldersMessage
+    def _update_object(self, now: float, changed: event.ObjectChanged) -> None:
+        stored = changed.stored
+        if stored.path == _holders.PATH:
+            self._update_holders(now, stored)
+        elif stored.path == _holders.GONE_PATH:
+            self.holder_manager.update_declared_gone(stored.value)
+
+    def _handle_holders(
+        self, now: float, sender: str, message: _messages.HoldersMessage
     ) -> None:
-        self._observe_holders(now, told)
+        self._update_holders(now, message)
 
-    def _observe_holders(
+    def _update_holders(
         self,
         now: float,
-        known: platform_api.StoredObject | _messages.HoldersMessage,
+        stored: platform_api.StoredObject | _messages.HoldersMessage,
     ) -> None:
-        if self.succession.observe(
-            now, known.revision, known.version, known.value
+        if self.holder_manager.update_list(
+            now, stored.revision, stored.version, stored.value
         ):
-            self.keys.renew_claims(now)
+            self.keyed_requests.renew_claims(now)
 
     def _end_write(self, now: float, ended: event.WriteEnded) -> None:
-        if self.succession.end_write(now, ended):
-            self.keys.renew_claims(now)
+        if self.holder_manager.end_write(now, ended):
+            self.keyed_requests.renew_claims(now)
 
-    def _lose_peer(self, now: float, lost: event.PeerLost) -> None:
-        self.passes.lose(now, lost.peer)
-        self.lifecycle.handle_peer_lost(now, lost.peer)
-        self.keys.handle_peer_lost(now, lost.peer)
+    def _handle_peer_lost(self, now: float, lost: event.PeerLost) -> None:
+        self.forwarder.end_all_to(now, lost.peer)
+        self.executor.handle_peer_lost(now, lost.peer)
+        self.keyed_requests.handle_peer_lost(now, lost.peer)
 
     def _begin_stop(self, now: float, requested: event.StopRequested) -> None:
-        self._stop.begin(now)
+        self._shutdown.begin(now)
 
     def _tick(self, now: float, ticked: event.Tick) -> None:
         if self._ready_at is None:
             self._ready_at = now + self.context.settings.ready_seconds
-        self._is_overdue = now >= self._ready_at
-        self.lifecycle.tick(now)
-        self.keys.tick(now)
-        self.passes.tick(now)
-        self.register.expire(now)
-        self.succession.tick(now)
-
-    def _pass_on(
+        self._is_ready_overdue = now >= self._ready_at
+        self.executor.tick(now)
+        self.keyed_requests.tick(now)
+        self.forwarder.tick(now)
+        self.vote_table.expire(now)
+        self.holder_manager.tick(now)
+
+    def _forward(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         peer: str,
         attempt: int,
     ) -> int:
-        holders = self.succession.holders
+        holders = self.holder_manager.holders
         holder = holders.find(peer) if holders else None
         if holder is None or peer not in self.context.reachable:
             return 0
-        passed = _passes.Pass(
+        forwarded = _forwarder.ForwardedRequest(
             peer=peer,
-            boot=holder.boot,
-            kind=PassKind.RUN,
-            request=exchange.request,
-            deadline=exchange.deadline,
-            ended=functools.partial(self._end_passed_on, attempt=attempt),
+            boot_id=holder.boot_id,
+            kind=ForwardKind.RUN,
+            request=execution.request,
+            deadline=execution.deadline,
+            on_ended=functools.partial(self._end_forwarded, attempt=attempt),
         )
-        return self.passes.send(now, passed)
+        return self.forwarder.send(now, forwarded)
 
-    def _end_passed_on(
+    def _end_forwarded(
         self,
         now: float,
-        status: PassStatus,
+        status: ForwardStatus,
         answer: request_module.Answer | None,
         attempt: int,
     ) -> None:
-        outcome = _passes.judge(status, answer)
+        outcome = _forwarder.get_outcome(status, answer)
         ended = event.AttemptEnded(attempt, outcome, answer)
-        self.lifecycle.end_attempt(now, ended)
+        self.executor.end_attempt(now, ended)
 
-    def _configure_lifecycle(self, now: float) -> None:
+    def _configure_executor(self, now: float) -> None:
         owners = tuple(self._membership.list_owners())
-        self.lifecycle.configure(now, self._configuration.services, owners)
+        self.executor.configure(now, self._configuration.services, owners)
 
     def _end(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         answer: request_module.Answer,
     ) -> None:
-        number = exchange.request.number
-        if self.keys.end_exchange(now, number, answer):
+        number = execution.request.number
+        if self.keyed_requests.end_execution(now, number, answer):
             return
-        self.reception.answer(number, answer)
+        self.router.send_answer(number, answer)
--- a/skylarkfold/requests/_exchange.py
+++ b/skylarkfold/requests/_execution.py
@@ -8,7 +8,7 @@
 from skylarkfold import request as request_module
 
 
-class State(enum.Enum):
+class ExecutionState(enum.Enum):
     """Where an exchange stands.
 
     ``QUEUED`` and ``WAITING`` exchanges have no attempt in flight; the
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Exchange:
+class Execution:
     """A request with all that is known about its execution.
 
     :param request: the request.
@@ -41,10 +41,10 @@
 
     request: request_module.Request
     deadline: float
-    state: State = State.QUEUED
+    state: ExecutionState = ExecutionState.QUEUED
     attempt: int = 0
     upstream: str = ''
-    pass_number: int = 0
+    forward_id: int = 0
     started: float = 0.0
     attempts: int = 0
     may_have_run: bool = False
--- a/skylarkfold/requests/_lifecycle.py
+++ b/skylarkfold/requests/_executor.py
@@ -17,20 +17,22 @@
 from skylarkfold.requests import _answers
 from skylarkfold.requests import _attempts
 from skylarkfold.requests import _context
-from skylarkfold.requests import _exchange
-from skylarkfold.requests import _retry
+from skylarkfold.requests import _execution
+from skylarkfold.requests import _retry_scheduler
 from skylarkfold import selection
 from skylarkfold import service as service_module
 from skylarkfold import verdict as verdict_module
 
-Ended = Callable[[float, _exchange.Exchange, request_module.Answer], None]
+EndedCallback = Callable[
+    [float, _execution.Execution, request_module.Answer], None
+]
 Verdict = verdict_module.Verdict
 Outcome = request_module.Outcome
 ErrorCode = _answers.ErrorCode
-State = _exchange.State
+ExecutionState = _execution.ExecutionState
 
 
-class Lifecycle:
+class RequestExecutor:
     """All exchanges that this instance runs itself.
 
     :param context: what the parts of the core share.
@@ -43,29 +45,31 @@
     def __init__(
         self,
         context: _context.Context,
-        ended: Ended,
-        pass_on: _attempts.PassOn,
+        on_ended: EndedCallback,
+        forward: _attempts.ForwardCallback,
     ) -> None:
         self._context = context
         self._settings = context.settings
-        self._ended = ended
-        self._retries = _retry.Retries(context)
+        self._on_ended = on_ended
+        self._retry_scheduler = _retry_scheduler.RetryScheduler(context)
         self._selector = selection.Selector(
             context.instance,
             context.settings.selection,
             context.draw('selection'),
         )
-        self._attempts = _attempts.Attempts(context, self._selector, pass_on)
+        self._attempts = _attempts.AttemptTracker(
+            context, self._selector, forward
+        )
         self._queue = admission.AdmissionQueue(context.settings.admission)
         self._services: dict[str, service_module.Service] = {}
-        self._exchanges: dict[int, _exchange.Exchange] = {}
-        self._is_touched = False
+        self._executions: dict[int, _execution.Execution] = {}
+        self._needs_flush = False
 
     def __len__(self) -> int:
-        return len(self._exchanges)
+        return len(self._executions)
 
     def __contains__(self, number: int) -> bool:
-        return number in self._exchanges
+        return number in self._executions
 
     def configure(
         self,
@@ -79,14 +83,14 @@
         :param services: all services by name.
         :param owners: the instances that share the upstreams' slots.
         """
-        self._is_touched = True
+        self._needs_flush = True
         for name in self._services.keys() - services.keys():
             self._selector.remove(name)
         self._services = services
         for service in services.values():
             self._selector.configure(service, owners)
-        for exchange in list(self._exchanges.values()):
-            self._give_up_hopeless(now, exchange)
+        for execution in list(self._executions.values()):
+            self._fail_if_unservable(now, execution)
 
     def record_load(self, now: float, reported: event.LoadReported) -> None:
         """Take what an upstream says of itself.
@@ -105,17 +109,17 @@
         :param request: the request, its number not in use here.
         :param deadline: the caller's deadline by the local clock.
         """
-        exchange = _exchange.Exchange(request=request, deadline=deadline)
-        self._exchanges[request.number] = exchange
+        execution = _execution.Execution(request=request, deadline=deadline)
+        self._executions[request.number] = execution
         refusal = self._check_service(request.service)
         if refusal is not None:
-            self._give_up(now, exchange, refusal)
+            self._fail(now, execution, refusal)
             return
         if deadline <= now:
-            self._give_up(now, exchange, ErrorCode.DEADLINE_EXCEEDED)
+            self._fail(now, execution, ErrorCode.DEADLINE_EXCEEDED)
             return
-        self._offer(now, exchange)
-        self.pump(now, request.service)
+        self._enqueue(now, execution)
+        self.dispatch_waiting(now, request.service)
 
     def cancel(self, now: float, number: int) -> None:
         """Give up an exchange whose caller has gone.
@@ -123,23 +127,26 @@
         :param now: the time.
         :param number: the request's number.
         """
-        exchange = self._exchanges.get(number)
-        if exchange is None:
+        execution = self._executions.get(number)
+        if execution is None:
             return
-        if exchange.state is State.RUNNING:
-            self._attempts.abandon(now, exchange, Outcome.CANCELLED)
-        self._give_up(now, exchange, ErrorCode.CANCELLED)
-        self.pump(now, exchange.request.service)
+        if execution.state is ExecutionState.RUNNING:
+            self._attempts.abandon(now, execution, Outcome.CANCELLED)
+        self._fail(now, execution, ErrorCode.CANCELLED)
+        self.dispatch_waiting(now, execution.request.service)
 
-    def cancel_waiting(self, now: float, number: int) -> None:
+    def cancel_unless_running(self, now: float, number: int) -> None:
         """Give an exchange up unless an attempt is in flight.
 
         :param now: the time.
         :param number: the request's number.
         """
-        exchange = self._exchanges.get(number)
-        if exchange is not None and exchange.state is not State.RUNNING:
-            self._give_up(now, exchange, ErrorCode.CANCELLED)
+        execution = self._executions.get(number)
+        if (
+            execution is not None
+            and execution.state is not ExecutionState.RUNNING
+        ):
+            self._fail(now, execution, ErrorCode.CANCELLED)
 
     def end_attempt(self, now: float, ended: event.AttemptEnded) -> None:
         """Judge an attempt.
@@ -148,36 +155,36 @@
         :param ended: how it ended; an attempt that was given up is
             unknown here and its answer goes to nobody.
         """
-        exchange = self._attempts.take(ended.attempt)
-        if exchange is None:
+        execution = self._attempts.pop(ended.attempt)
+        if execution is None:
             self._context.count(metric.REQUESTS_LATE_ANSWERS)
             return
-        outcome = _answers.classify(exchange.request, ended)
-        if outcome is Outcome.ANSWERED and exchange.upstream:
+        outcome = _answers.classify_attempt(execution.request, ended)
+        if outcome is Outcome.ANSWERED and execution.upstream:
             self._queue.record_service_time(
-                now, exchange.request.service, now - exchange.started
+                now, execution.request.service, now - execution.started
             )
-        self._attempts.end(now, exchange, outcome)
+        self._attempts.record_end(now, execution, outcome)
         if outcome is Outcome.ANSWERED:
-            self._end(now, exchange, _answers.confirm(ended.answer))
+            self._end(now, execution, _answers.mark_as_ran(ended.answer))
         else:
-            self._judge_failure(now, exchange, outcome, ended.answer)
-        self.pump(now, exchange.request.service)
+            self._handle_failure(now, execution, outcome, ended.answer)
+        self.dispatch_waiting(now, execution.request.service)
 
     def tick(self, now: float) -> None:
         """End what is past its deadline and retry what is due.
 
         :param now: the time.
         """
-        self._is_touched = True
+        self._needs_flush = True
         self._context.effects += self._selector.tick(now)
         self._end_expired(now)
-        for exchange in list(self._list_late(now)):
-            if exchange.state is State.RUNNING:
-                self._attempts.abandon(now, exchange, Outcome.TIMED_OUT)
-            self._give_up(now, exchange, ErrorCode.DEADLINE_EXCEEDED)
+        for execution in list(self._list_expired(now)):
+            if execution.state is ExecutionState.RUNNING:
+                self._attempts.abandon(now, execution, Outcome.TIMED_OUT)
+            self._fail(now, execution, ErrorCode.DEADLINE_EXCEEDED)
         for service_name in self._services:
-            self.pump(now, service_name)
+            self.dispatch_waiting(now, service_name)
 
     def handle_message(
         self, now: float, sender: str, received: message_module.PeerMessage
@@ -188,11 +195,11 @@
         :param sender: the peer.
         :param received: one of the selector's messages.
         """
-        self._is_touched = True
+        self._needs_flush = True
         effects = self._selector.handle_message(now, sender, received)
         self._context.effects += effects
-        for service_name in self._list_pending():
-            self.pump(now, service_name)
+        for service_name in self._list_pending_services():
+            self.dispatch_waiting(now, service_name)
 
     def handle_peer_lost(self, now: float, peer: str) -> None:
         """Take the loss of a peer.
@@ -200,7 +207,7 @@
         :param now: the time.
         :param peer: its name.
         """
-        self._is_touched = True
+        self._needs_flush = True
         self._context.effects += self._selector.handle_peer_lost(now, peer)
 
     def flush(self, now: float) -> None:
@@ -208,43 +215,45 @@
 
         :param now: the time.
         """
-        if not self._is_touched:
+        if not self._needs_flush:
             return
-        self._is_touched = False
+        self._needs_flush = False
         self._context.effects += self._selector.flush(now)
         ready = self._selector.list_ready()
         for service_name in ready:
-            self.pump(now, service_name)
+            self.dispatch_waiting(now, service_name)
         if ready:
             self._context.effects += self._selector.flush(now)
 
-    def pump(self, now: float, service_name: str) -> None:
+    def dispatch_waiting(self, now: float, service_name: str) -> None:
         """Dispatch what a service has room for.
 
         :param now: the time.
         :param service_name: the service.
         """
-        self._is_touched = True
+        self._needs_flush = True
         self._record_waiting(now, service_name)
-        if not self._retries and not self._queue.has_waiting(service_name):
+        if not self._retry_scheduler and not self._queue.has_waiting(
+            service_name
+        ):
             return
-        self._pump_retries(now, service_name)
-        self._pump_queue(now, service_name)
+        self._dispatch_retries(now, service_name)
+        self._dispatch_queued(now, service_name)
         self._record_waiting(now, service_name)
 
     def _record_waiting(self, now: float, service_name: str) -> None:
         waiting = self._queue.count_waiting(service_name)
         self._selector.record_waiting(now, service_name, waiting)
 
-    def _list_pending(self) -> list[str]:
+    def _list_pending_services(self) -> list[str]:
         names = set(self._queue.list_services())
-        names.update(self._retries.list_services())
+        names.update(self._retry_scheduler.list_services())
         return sorted(names)
 
-    def _pump_queue(self, now: float, service_name: str) -> None:
-        nobody = frozenset()
+    def _dispatch_queued(self, now: float, service_name: str) -> None:
+        no_exclusions = frozenset()
         while self._queue.has_waiting(service_name):
-            choice = self._selector.choose(now, service_name, nobody)
+            choice = self._selector.choose(now, service_name, no_exclusions)
             if choice.upstream is None and choice.pass_to is None:
                 return
             before = len(self._queue)
@@ -253,18 +262,21 @@
                 self._end_expired(now)
             if queued is None:
                 return
-            exchange = self._exchanges[queued.request.number]
+            execution = self._executions[queued.request.number]
             if choice.upstream is not None:
-                self._dispatch(now, exchange, choice)
-            elif self._attempts.pass_to(now, exchange, choice.pass_to):
-                self._retries.note_attempt(exchange)
+                self._dispatch(now, execution, choice)
+            elif self._attempts.forward_to(now, execution, choice.pass_to):
+                self._retry_scheduler.record_attempt(execution)
             else:
-                self._give_up(now, exchange, ErrorCode.UPSTREAM_UNREACHABLE)
+                self._fail(now, execution, ErrorCode.UPSTREAM_UNREACHABLE)
 
     def _end_expired(self, now: float) -> None:
-        for late in self._queue.expire(now):
-            self._end_refused(
-                now, late.request.number, late.code, late.retry_after_seconds
+        for expired in self._queue.expire(now):
+            self._fail_refused(
+                now,
+                expired.request.number,
+                expired.code,
+                expired.retry_after_seconds,
             )
 
     def _check_service(self, service_name: str) -> ErrorCode | None:
@@ -275,112 +287,112 @@
             return ErrorCode.NO_UPSTREAM
         return None
 
-    def _give_up_hopeless(
-        self, now: float, exchange: _exchange.Exchange
+    def _fail_if_unservable(
+        self, now: float, execution: _execution.Execution
     ) -> None:
-        if exchange.state is State.RUNNING:
+        if execution.state is ExecutionState.RUNNING:
             return
-        name = exchange.request.service
+        name = execution.request.service
         refusal = self._check_service(name)
-        is_waiting = exchange.state is State.WAITING
-        if is_waiting and not _retry.has_other_upstream(
-            exchange, self._services.get(name)
+        is_waiting = execution.state is ExecutionState.WAITING
+        if is_waiting and not _retry_scheduler.has_other_upstream(
+            execution, self._services.get(name)
         ):
             refusal = refusal or ErrorCode.NO_UPSTREAM
         if refusal is not None:
-            self._give_up(now, exchange, refusal)
+            self._fail(now, execution, refusal)
 
-    def _offer(self, now: float, exchange: _exchange.Exchange) -> None:
-        offered = self._queue.offer(now, exchange.request, exchange.deadline)
+    def _enqueue(self, now: float, execution: _execution.Execution) -> None:
+        offered = self._queue.offer(now, execution.request, execution.deadline)
         if isinstance(offered, admission.Refusal):
-            self._end_refused(
+            self._fail_refused(
                 now,
-                exchange.request.number,
+                execution.request.number,
                 offered.code,
                 offered.retry_after_seconds,
             )
             return
         for evicted in offered.evicted:
-            self._end_refused(
+            self._fail_refused(
                 now,
                 evicted.request.number,
                 evicted.code,
                 evicted.retry_after_seconds,
             )
 
-    def _list_late(self, now: float) -> Iterator[_exchange.Exchange]:
-        for exchange in self._exchanges.values():
-            if exchange.deadline <= now:
-                yield exchange
+    def _list_expired(self, now: float) -> Iterator[_execution.Execution]:
+        for execution in self._executions.values():
+            if execution.deadline <= now:
+                yield execution
 
-    def _pump_retries(self, now: float, service_name: str) -> None:
-        for exchange in self._retries.list_due(now, service_name):
-            choice = self._selector.choose(now, service_name, exchange.failed)
+    def _dispatch_retries(self, now: float, service_name: str) -> None:
+        for execution in self._retry_scheduler.list_due(now, service_name):
+            choice = self._selector.choose(now, service_name, execution.failed)
             if choice.upstream is not None:
-                self._dispatch(now, exchange, choice)
+                self._dispatch(now, execution, choice)
 
     def _dispatch(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         choice: selection.Choice,
     ) -> None:
-        if exchange.deadline <= now:
-            self._give_up(now, exchange, ErrorCode.DEADLINE_EXCEEDED)
+        if execution.deadline <= now:
+            self._fail(now, execution, ErrorCode.DEADLINE_EXCEEDED)
             return
-        service = self._services[exchange.request.service]
-        self._attempts.dispatch(now, exchange, service, choice)
-        self._retries.note_attempt(exchange)
+        service = self._services[execution.request.service]
+        self._attempts.dispatch(now, execution, service, choice)
+        self._retry_scheduler.record_attempt(execution)
 
-    def _judge_failure(
+    def _handle_failure(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         outcome: Outcome,
         answer: request_module.Answer | None,
     ) -> None:
-        exchange.failed |= {exchange.upstream}
+        execution.failed |= {execution.upstream}
         if outcome.verdict is Verdict.MAY_HAVE_RUN:
-            exchange.may_have_run = True
-        service = self._services.get(exchange.request.service)
-        if self._retries.plan(now, exchange, service):
+            execution.may_have_run = True
+        service = self._services.get(execution.request.service)
+        if self._retry_scheduler.schedule(now, execution, service):
             return
         advice = answer.retry_after_seconds if answer else None
-        self._give_up(now, exchange, _answers.name_outcome(outcome), advice)
+        self._fail(now, execution, _answers.get_error_code(outcome), advice)
 
-    def _end_refused(
+    def _fail_refused(
         self, now: float, number: int, code: str, retry_after_seconds: float
     ) -> None:
-        exchange = self._exchanges.get(number)
-        if exchange is not None:
-            self._give_up(now, exchange, code, retry_after_seconds)
+        execution = self._executions.get(number)
+        if execution is not None:
+            self._fail(now, execution, code, retry_after_seconds)
 
-    def _give_up(
+    def _fail(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         code: str,
         retry_after_seconds: float | None = None,
     ) -> None:
         if retry_after_seconds is None:
             retry_after_seconds = self._settings.retry_after_seconds
         verdict = Verdict.NOT_RUN
-        if exchange.may_have_run:
+        if execution.may_have_run:
             verdict = Verdict.MAY_HAVE_RUN
-        answer = _answers.refuse(verdict, code, retry_after_seconds)
-        self._end(now, exchange, answer)
+        answer = _answers.build_refusal(verdict, code, retry_after_seconds)
+        self._end(now, execution, answer)
 
     def _end(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         answer: request_module.Answer,
     ) -> None:
-        number = exchange.request.number
-        if exchange.state is State.QUEUED:
+        number = execution.request.number
+        if execution.state is ExecutionState.QUEUED:
             self._queue.cancel(number)
-        exchange.state = State.ENDED
-        del self._exchanges[number]
-        self._retries.forget(number)
+        execution.state = ExecutionState.ENDED
+        del self._executions[number]
+        self._retry_scheduler.discard(number)
         self._context.count(f'{metric.REQUESTS_ANSWERED}.{answer.verdict}')
-        self._ended(now, exchange, answer)
+        self._on_ended(now, execution, answer)
--- a/skylarkfold/requests/_passes.py
+++ b/skylarkfold/requests/_forwarder.py
@@ -16,11 +16,13 @@
 from skylarkfold.requests import _messages
 from skylarkfold import verdict as verdict_module
 
-PassKind = _messages.PassKind
-PassStatus = _messages.PassStatus
-Ended = Callable[[float, PassStatus, request_module.Answer | None], None]
+ForwardKind = _messages.ForwardKind
+ForwardStatus = _messages.ForwardStatus
+EndedCallback = Callable[
+    [float, ForwardStatus, request_module.Answer | None], None
+]
 
-_OUTCOMES = {
+_OUTCOMES_BY_VERDICT = {
     verdict_module.Verdict.RAN: request_module.Outcome.ANSWERED,
     verdict_module.Verdict.NOT_RUN: request_module.Outcome.REFUSED,
     verdict_module.Verdict.MAY_HAVE_RUN: request_module.Outcome.BROKEN,
@@ -29,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pass:
+class ForwardedRequest:
     """A request that is to be passed.
 
     :param peer: the instance that gets it.
@@ -43,16 +45,16 @@
     """
 
     peer: str
-    boot: int
-    kind: PassKind
+    boot_id: int
+    kind: ForwardKind
     request: request_module.Request
     deadline: float
-    ended: Ended
-    claim: int = 0
+    on_ended: EndedCallback
+    claim_number: int = 0
     is_sent: bool = False
 
 
-class Passes:
+class RequestForwarder:
     """Matches passed requests with their answers.
 
     :param context: what the parts of the core share.
@@ -60,7 +62,7 @@
 
     def __init__(self, context: _context.Context) -> None:
         self._context = context
-        self._outgoing: dict[int, Pass] = {}
+        self._outgoing: dict[int, ForwardedRequest] = {}
         self._tickets: dict[int, float] = {}
         self._last_number = 0
         self._tickets_issued = 0
@@ -68,7 +70,7 @@
     def __len__(self) -> int:
         return len(self._outgoing)
 
-    def send(self, now: float, passed: Pass) -> int:
+    def send(self, now: float, forwarded: ForwardedRequest) -> int:
         """Pass a request to a peer.
 
         :param now: the time.
@@ -77,33 +79,38 @@
         """
         self._last_number += 1
         number = self._last_number
-        self._outgoing[number] = passed
-        request = passed.request
+        self._outgoing[number] = forwarded
+        request = forwarded.request
         self._context.log(
             'pass',
             str(request.number),
-            passed.kind.name.lower(),
+            forwarded.kind.name.lower(),
             request.service,
-            passed.peer,
+            forwarded.peer,
         )
-        if passed.kind is PassKind.RECALL:
-            self._send(now, number, passed, 0)
+        if forwarded.kind is ForwardKind.RECALL:
+            self._send_request(now, number, forwarded, 0)
             return number
-        asked = _messages.TicketRequestMessage(
-            target_boot=passed.boot, boot=self._context.boot, number=number
+        ticket_request = _messages.TicketRequestMessage(
+            target_boot_id=forwarded.boot_id,
+            boot_id=self._context.boot_id,
+            number=number,
         )
-        self._context.send(passed.peer, asked)
+        self._context.send(forwarded.peer, ticket_request)
         return number
 
-    def forget(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """Wait for the end of a pass no longer.
 
         :param number: the pass.
         """
         self._outgoing.pop(number, None)
 
-    def issue(
-        self, now: float, sender: str, asked: _messages.TicketRequestMessage
+    def issue_ticket(
+        self,
+        now: float,
+        sender: str,
+        ticket_request: _messages.TicketRequestMessage,
     ) -> None:
         """Issue a ticket for one pass.
 
@@ -112,18 +119,20 @@
         :param asked: its question.
         """
         is_full = len(self._tickets) >= _MAXIMUM_TICKETS
-        if asked.target_boot != self._context.boot or is_full:
+        if ticket_request.target_boot_id != self._context.boot_id or is_full:
             return
         self._tickets_issued += 1
         ticket = self._context.draw(f'ticket|{self._tickets_issued}')
         self._tickets[ticket] = now + self._context.settings.pause_seconds
-        issued = _messages.TicketMessage(
-            target_boot=asked.boot, number=asked.number, ticket=ticket
+        ticket_request = _messages.TicketMessage(
+            target_boot_id=ticket_request.boot_id,
+            number=ticket_request.number,
+            ticket=ticket,
         )
-        self._context.send(sender, issued)
+        self._context.send(sender, ticket_request)
 
     def use_ticket(
-        self, now: float, sender: str, issued: _messages.TicketMessage
+        self, now: float, sender: str, ticket_message: _messages.TicketMessage
     ) -> None:
         """Send the request that a ticket was issued for.
 
@@ -131,25 +140,31 @@
         :param sender: the peer that issued it.
         :param issued: the ticket.
         """
-        passed = self._find(sender, issued.target_boot, issued.number)
-        if passed is None or passed.is_sent or passed.deadline <= now:
+        forwarded = self._find(
+            sender, ticket_message.target_boot_id, ticket_message.number
+        )
+        if forwarded is None or forwarded.is_sent or forwarded.deadline <= now:
             return
-        self._send(now, issued.number, passed, issued.ticket)
+        self._send_request(
+            now, ticket_message.number, forwarded, ticket_message.ticket
+        )
 
-    def accept(self, now: float, passed: _messages.PassMessage) -> bool:
+    def redeem_ticket(
+        self, now: float, forwarded: _messages.ForwardMessage
+    ) -> bool:
         """Tell whether a peer's request is to be taken.
 
         :param now: the time.
         :param passed: the peer's message.
         :returns: False for a copy, or one that was long on its way.
         """
-        if passed.kind is PassKind.RECALL:
+        if forwarded.kind is ForwardKind.RECALL:
             return True
-        expires = self._tickets.pop(passed.ticket, None)
+        expires = self._tickets.pop(forwarded.ticket, None)
         return expires is not None and now < expires
 
     def end(
-        self, now: float, sender: str, ended: _messages.PassEndedMessage
+        self, now: float, sender: str, ended: _messages.ForwardEndedMessage
     ) -> None:
         """Take the end of a pass.
 
@@ -157,14 +172,14 @@
         :param sender: the peer that sent it.
         :param ended: the message; one that fits no pass is dropped.
         """
-        passed = self._find(sender, ended.target_boot, ended.number)
-        if passed is None or not passed.is_sent:
+        forwarded = self._find(sender, ended.target_boot_id, ended.number)
+        if forwarded is None or not forwarded.is_sent:
             self._context.count(metric.REQUESTS_LATE_ANSWERS)
             return
         del self._outgoing[ended.number]
-        passed.ended(now, ended.status, _read_answer(ended))
+        forwarded.on_ended(now, ended.status, _read_answer(ended))
 
-    def lose(self, now: float, peer: str) -> None:
+    def end_all_to(self, now: float, peer: str) -> None:
         """End all passes to a peer that was lost.
 
         :param now: the time.
@@ -172,55 +187,59 @@
         """
         lost = [
             number
-            for number, passed in self._outgoing.items()
-            if passed.peer == peer
+            for number, forwarded in self._outgoing.items()
+            if forwarded.peer == peer
         ]
         for number in lost:
-            self._end_lost(now, number)
+            self._end_as_lost(now, number)
 
     def tick(self, now: float) -> None:
         """End passes past their deadline and let tickets expire.
 
         :param now: the time.
         """
-        late = [
+        expired = [
             number
-            for number, passed in self._outgoing.items()
-            if passed.deadline <= now
+            for number, forwarded in self._outgoing.items()
+            if forwarded.deadline <= now
         ]
-        for number in late:
-            self._end_lost(now, number)
+        for number in expired:
+            self._end_as_lost(now, number)
         for ticket, expires in list(self._tickets.items()):
             if expires > now:
                 break
             del self._tickets[ticket]
 
-    def _find(self, sender: str, boot: int, number: int) -> Pass | None:
-        passed = self._outgoing.get(number)
-        if passed is None or passed.peer != sender:
+    def _find(
+        self, sender: str, boot_id: int, number: int
+    ) -> ForwardedRequest | None:
+        forwarded = self._outgoing.get(number)
+        if forwarded is None or forwarded.peer != sender:
             return None
-        return passed if boot == self._context.boot else None
+        return forwarded if boot_id == self._context.boot_id else None
 
-    def _end_lost(self, now: float, number: int) -> None:
-        passed = self._outgoing.pop(number, None)
-        if passed is None:
+    def _end_as_lost(self, now: float, number: int) -> None:
+        forwarded = self._outgoing.pop(number, None)
+        if forwarded is None:
             return
-        status = PassStatus.LOST if passed.is_sent else PassStatus.UNSENT
-        passed.ended(now, status, None)
+        status = (
+            ForwardStatus.LOST if forwarded.is_sent else ForwardStatus.UNSENT
+        )
+        forwarded.on_ended(now, status, None)
 
-    def _send(
-        self, now: float, number: int, passed: Pass, ticket: int
+    def _send_request(
+        self, now: float, number: int, forwarded: ForwardedRequest, ticket: int
     ) -> None:
-        request = passed.request
-        passed.is_sent = True
-        sent = _messages.PassMessage(
-            kind=passed.kind,
-            target_boot=passed.boot,
-            boot=self._context.boot,
+        request = forwarded.request
+        forwarded.is_sent = True
+        sent = _messages.ForwardMessage(
+            kind=forwarded.kind,
+            target_boot_id=forwarded.boot_id,
+            boot_id=self._context.boot_id,
             number=number,
             ticket=ticket,
-            claim=passed.claim,
-            timeout_ms=max(0, int((passed.deadline - now) * 1000)),
+            claim_number=forwarded.claim_number,
+            timeout_ms=max(0, int((forwarded.deadline - now) * 1000)),
             service=request.service,
             method=request.method,
             target=request.target,
@@ -230,11 +249,11 @@
             idempotent=request.idempotent,
             priority=request.priority,
         )
-        self._context.send(passed.peer, sent)
+        self._context.send(forwarded.peer, sent)
 
 
 def read_request(
-    passed: _messages.PassMessage, number: int
+    forwarded: _messages.ForwardMessage, number: int
 ) -> request_module.Request:
     """Read the request from a pass.
 
@@ -244,20 +263,20 @@
     """
     return request_module.Request(
         number=number,
-        service=passed.service,
-        method=passed.method,
-        target=passed.target,
-        headers=passed.headers,
-        body=passed.body,
-        key=passed.key,
-        idempotent=passed.idempotent,
-        priority=passed.priority,
-        timeout_seconds=passed.timeout_ms / 1000,
+        service=forwarded.service,
+        method=forwarded.method,
+        target=forwarded.target,
+        headers=forwarded.headers,
+        body=forwarded.body,
+        key=forwarded.key,
+        idempotent=forwarded.idempotent,
+        priority=forwarded.priority,
+        timeout_seconds=forwarded.timeout_ms / 1000,
     )
 
 
-def judge(
-    status: PassStatus, answer: request_module.Answer | None
+def get_outcome(
+    status: ForwardStatus, answer: request_module.Answer | None
 ) -> request_module.Outcome:
     """Judge a pass as an attempt.
 
@@ -266,17 +285,17 @@
     :returns: the outcome; not run only where the request was not sent or
         the peer said so itself.
     """
-    if status is PassStatus.UNSENT:
+    if status is ForwardStatus.UNSENT:
         return request_module.Outcome.UNREACHABLE
-    if status is not PassStatus.ANSWERED or answer is None:
+    if status is not ForwardStatus.ANSWERED or answer is None:
         return request_module.Outcome.BROKEN
-    return _OUTCOMES[answer.verdict]
+    return _OUTCOMES_BY_VERDICT[answer.verdict]
 
 
 def _read_answer(
-    ended: _messages.PassEndedMessage,
+    ended: _messages.ForwardEndedMessage,
 ) -> request_module.Answer | None:
-    if ended.status is not PassStatus.ANSWERED:
+    if ended.status is not ForwardStatus.ANSWERED:
         return None
     return request_module.Answer(
         verdict=ended.verdict,
--- a/skylarkfold/requests/_succession.py
+++ b/skylarkfold/requests/_holder_manager.py
@@ -15,20 +15,20 @@
 from skylarkfold import platform_api
 from skylarkfold.requests import _context
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _inheritance
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _register
+from skylarkfold.requests import _vote_table
+from skylarkfold.requests import _vote_transfer
 
 MemberState = member_module.MemberState
 
-_STEER_SECONDS = 0.25
+_CHECK_SECONDS = 0.25
 _REPORT_SECONDS = 1.0
-_SETTLE_SECONDS = 3.0
+_COMPLETE_SECONDS = 3.0
 _CONFIRM_SECONDS = 0.5
-_WRITE_PATIENCE_SECONDS = 10.0
+_WRITE_TIMEOUT_SECONDS = 10.0
 
 
-class Succession:
+class HolderManager:
     """Knows the newest list of holders and has it changed where needed.
 
     :param context: what the parts of the core share.
@@ -36,38 +36,38 @@
     """
 
     def __init__(
-        self, context: _context.Context, register: _register.Register
+        self, context: _context.Context, vote_table: _vote_table.VoteTable
     ) -> None:
         self._context = context
-        self._register = register
-        self._inheritance = _inheritance.Inheritance(
-            context, register, self._is_gone
+        self._vote_table = vote_table
+        self._vote_transfer = _vote_transfer.VoteTransfer(
+            context, vote_table, self._is_gone
         )
         self._membership = member_module.EMPTY
         self._reports: dict[str, _messages.ReportMessage] = {}
         self._unconfirmed: dict[str, tuple[int, float]] = {}
-        self._ended: set[tuple[str, int]] = set()
-        self._wanted: _holders.HolderSet = ()
-        self._wanted_since = 0.0
-        self._report_at = 0.0
-        self._steer_at = 0.0
-        self._gone: frozenset[str] = frozenset()
-        self._writing_until = 0.0
-        self._observed_at = 0.0
+        self._ended_processes: set[tuple[str, int]] = set()
+        self._desired: _holders.HolderSet = ()
+        self._desired_since = 0.0
+        self._next_report_at = 0.0
+        self._next_check_at = 0.0
+        self._declared_gone: frozenset[str] = frozenset()
+        self._write_blocked_until = 0.0
+        self._list_changed_at = 0.0
         # Whether the store has an older list, or none.
-        self._is_lost = False
+        self._is_rolled_back = False
         self.holders: _holders.HolderList | None = None
         self.is_stopping = False
 
     @property
-    def is_released(self) -> bool:
+    def is_unlisted(self) -> bool:
         """Tell whether nobody counts on this instance's votes."""
         if self.holders is None:
             return True
-        own = (self._context.name, self._context.boot)
-        return own not in self.holders.list_identities()
+        own = (self._context.name, self._context.boot_id)
+        return own not in self.holders.list_processes()
 
-    def observe(
+    def update_list(
         self, now: float, revision: int, version: int, value: bytes | None
     ) -> bool:
         """Take the stored list.
@@ -78,41 +78,43 @@
         :param value: the object; None where it was deleted.
         :returns: whether it is newer than the list known so far.
         """
-        if self.holders is not None and revision <= self.holders.label:
+        if self.holders is not None and revision <= self.holders.list_revision:
             return False
         if value is None:
-            self._note_lost(0)
+            self._record_rollback(0)
             return False
         changed = platform_api.StoredObject(
             _holders.PATH, version, revision, value
         )
         try:
-            holders = _holders.read_list(changed, self.holders)
+            holders = _holders.decode_list(changed, self.holders)
         except errors.DecodeError:
             self._context.count(metric.REQUESTS_HOLDERS_MALFORMED)
             return False
-        if self._is_later(holders):
-            self._note_lost(version)
+        if self._has_newer_than(holders):
+            self._record_rollback(version)
             return False
         self.holders = holders
-        self._is_lost = False
-        self._observed_at = now
-        self._ended &= holders.list_identities()
-        self._writing_until = 0.0
-        self._inheritance.begin(now, holders)
+        self._is_rolled_back = False
+        self._list_changed_at = now
+        self._ended_processes &= holders.list_processes()
+        self._write_blocked_until = 0.0
+        self._vote_transfer.start(now, holders)
         self._context.log(
-            'holders', str(holders.label), f'{len(holders.value.current)}'
+            'holders',
+            str(holders.list_revision),
+            f'{len(holders.value.current)}',
         )
         self.tick(now)
         return True
 
-    def _is_later(self, other: _holders.HolderList) -> bool:
+    def _has_newer_than(self, other: _holders.HolderList) -> bool:
         """Tell whether the list that is known is later than another."""
         if self.holders is None:
             return False
         return other.value.serial < self.holders.value.serial
 
-    def _note_lost(self, version: int) -> None:
+    def _record_rollback(self, version: int) -> None:
         """Note that the store has come back without the newest list.
 
         Votes were given by it, so that nobody goes back to an older one.
@@ -122,10 +124,10 @@
         if self.holders is None:
             return
         self.holders.version = version
-        self._is_lost = True
+        self._is_rolled_back = True
         self._context.count(metric.REQUESTS_HOLDERS_LOST)
 
-    def observe_gone(self, value: bytes | None) -> None:
+    def update_declared_gone(self, value: bytes | None) -> None:
         """Take the names that operators declare gone for good.
 
         An instance that finds its own name there votes no more.
@@ -133,14 +135,14 @@
         :param value: the stored list; None where it was deleted.
         """
         try:
-            self._gone = _holders.read_gone(value or b'[]')
+            self._declared_gone = _holders.decode_gone(value or b'[]')
         except errors.DecodeError:
             self._context.count(metric.REQUESTS_GONE_MALFORMED)
             return
-        if self._context.name in self._gone:
-            self._register.close()
+        if self._context.name in self._declared_gone:
+            self._vote_table.close()
 
-    def observe_membership(self, membership: member_module.Membership) -> None:
+    def update_membership(self, membership: member_module.Membership) -> None:
         """Take the newest membership.
 
         :param membership: all members as seen here.
@@ -161,15 +163,17 @@
         if ended.path != _holders.PATH:
             return False
         # A conflict without an object is over once the watch brings it.
-        self._writing_until = now + self._context.settings.change_delay_seconds
+        self._write_blocked_until = (
+            now + self._context.settings.change_delay_seconds
+        )
         current = ended.current
         if current is None:
             return False
-        return self.observe(
+        return self.update_list(
             now, current.revision, current.version, current.value
         )
 
-    def take_report(
+    def record_report(
         self, now: float, sender: str, report: _messages.ReportMessage
     ) -> None:
         """Take a member's report.
@@ -183,35 +187,35 @@
         :param report: which process it is and what it has to take over.
         """
         if report.is_ending:
-            self._ended.add((sender, report.boot))
+            self._ended_processes.add((sender, report.boot_id))
             return
         known = self._reports.get(sender)
-        if known is not None and known.boot == report.boot:
+        if known is not None and known.boot_id == report.boot_id:
             self._reports[sender] = report
             return
-        boot, since = self._unconfirmed.get(sender, (0, now))
-        if boot != report.boot:
-            self._unconfirmed[sender] = (report.boot, now)
+        boot_id, since = self._unconfirmed.get(sender, (0, now))
+        if boot_id != report.boot_id:
+            self._unconfirmed[sender] = (report.boot_id, now)
         elif now - since >= _CONFIRM_SECONDS:
             del self._unconfirmed[sender]
             self._reports[sender] = report
 
-    def say_goodbye(self) -> None:
+    def announce_end(self) -> None:
         """Tell all holders that this process never votes again."""
-        self._register.close()
+        self._vote_table.close()
         if self.holders is None:
             return
         report = _messages.ReportMessage(
-            boot=self._context.boot,
-            label=self.holders.label,
+            boot_id=self._context.boot_id,
+            list_revision=self.holders.list_revision,
             is_ending=True,
         )
         for holder in self.holders.value.current:
             if holder.name in self._context.reachable:
                 self._context.send(holder.name, report)
 
-    def tell_votes(
-        self, now: float, sender: str, asked: _messages.InheritMessage
+    def send_votes(
+        self, now: float, sender: str, request: _messages.VotesRequestMessage
     ) -> None:
         """Tell this instance's votes to a holder that takes them over.
 
@@ -219,10 +223,10 @@
         :param sender: the holder.
         :param asked: its question.
         """
-        self._inheritance.tell(sender, asked)
+        self._vote_transfer.send_votes(sender, request)
 
-    def take_votes(
-        self, now: float, sender: str, told: _messages.InheritedMessage
+    def record_votes(
+        self, now: float, sender: str, message: _messages.VotesMessage
     ) -> None:
         """Take a previous holder's votes over.
 
@@ -230,46 +234,50 @@
         :param sender: the holder.
         :param told: a portion of its votes.
         """
-        self._inheritance.take(now, sender, told)
+        self._vote_transfer.record_votes(now, sender, message)
 
     def tick(self, now: float) -> None:
         """Go on with what the newest list and membership ask for.
 
         :param now: the time.
         """
-        self._inheritance.tick(now)
-        if now < self._steer_at:
+        self._vote_transfer.tick(now)
+        if now < self._next_check_at:
             return
-        self._steer_at = now + _STEER_SECONDS
-        steward = self._find_steward()
-        if steward == self._context.name:
-            self._reports[steward] = self._make_report(now)
+        self._next_check_at = now + _CHECK_SECONDS
+        coordinator = self._find_coordinator()
+        if coordinator == self._context.name:
+            self._reports[coordinator] = self._make_report(now)
             self._write_if_needed(now)
-        elif steward and now >= self._report_at and self._has_news():
-            self._report_at = now + _REPORT_SECONDS
-            self._context.send(steward, self._make_report(now))
+        elif (
+            coordinator
+            and now >= self._next_report_at
+            and self._needs_report()
+        ):
+            self._next_report_at = now + _REPORT_SECONDS
+            self._context.send(coordinator, self._make_report(now))
 
     def _make_report(self, now: float) -> _messages.ReportMessage:
         return _messages.ReportMessage(
-            boot=self._context.boot,
-            label=self.holders.label if self.holders else 0,
-            missing=tuple(self._inheritance.list_missing(now)),
+            boot_id=self._context.boot_id,
+            list_revision=self.holders.list_revision if self.holders else 0,
+            pending_ranges=tuple(self._vote_transfer.list_pending_ranges(now)),
         )
 
-    def _has_news(self) -> bool:
+    def _needs_report(self) -> bool:
         if self.holders is None or self.holders.is_joint:
             return True
         own = self.holders.find(self._context.name)
-        return own is None or own.boot != self._context.boot
+        return own is None or own.boot_id != self._context.boot_id
 
-    def _find_steward(self) -> str:
+    def _find_coordinator(self) -> str:
         alive = [
             each.name
             for each in self._membership.members.values()
             if each.state is MemberState.ALIVE
             and each.name != self._context.name
         ]
-        if self._takes_part():
+        if self._can_hold():
             alive.append(self._context.name)
         listed = [each for each in alive if self._find_listed(each)]
         return min(listed or alive, default='')
@@ -277,26 +285,26 @@
     def _find_listed(self, name: str) -> _holders.Holder | None:
         return self.holders.find(name) if self.holders else None
 
-    def _takes_part(self) -> bool:
+    def _can_hold(self) -> bool:
         own = self._membership.members.get(self._context.name)
         return not self.is_stopping and (own is None or own.state.may_own)
 
-    def _list_wanted(self) -> _holders.HolderSet:
-        wanted = []
-        if self._takes_part():
+    def _list_desired(self) -> _holders.HolderSet:
+        desired = []
+        if self._can_hold():
             instance = self._context.instance
-            wanted.append(
+            desired.append(
                 _holders.Holder(
-                    instance.name, instance.zone, self._context.boot
+                    instance.name, instance.zone, self._context.boot_id
                 )
             )
         for each in self._membership.members.values():
-            holder = self._find_wanted(each)
+            holder = self._find_desired(each)
             if holder is not None:
-                wanted.append(holder)
-        return tuple(sorted(wanted, key=lambda each: each.name))
+                desired.append(holder)
+        return tuple(sorted(desired, key=lambda each: each.name))
 
-    def _find_wanted(
+    def _find_desired(
         self, member: member_module.Member
     ) -> _holders.Holder | None:
         if member.name == self._context.name or not member.state.may_own:
@@ -307,92 +315,93 @@
             return listed
         if listed is None and member.state is not MemberState.ALIVE:
             return None
-        return _holders.Holder(member.name, member.zone, report.boot)
+        return _holders.Holder(member.name, member.zone, report.boot_id)
 
     def _write_if_needed(self, now: float) -> None:
-        wanted = self._list_wanted()
-        if wanted != self._wanted:
-            self._wanted = wanted
-            self._wanted_since = now
-        if now < self._writing_until or not wanted:
+        desired = self._list_desired()
+        if desired != self._desired:
+            self._desired = desired
+            self._desired_since = now
+        if now < self._write_blocked_until or not desired:
             return
         delay = self._context.settings.change_delay_seconds
-        since = max(self._wanted_since, self._observed_at)
+        since = max(self._desired_since, self._list_changed_at)
         is_stable = now - since >= delay
         if self.holders is None:
             if is_stable:
-                self._write(now, _holders.HolderValue(wanted, serial=1))
+                self._write(now, _holders.HolderValue(desired, serial=1))
             return
-        if self._is_lost:
+        if self._is_rolled_back:
             self._write(now, self.holders.value)
             return
-        if wanted != self.holders.value.current:
-            if is_stable and self._keeps_most(wanted):
-                self._write(now, self.holders.change(wanted))
+        if desired != self.holders.value.current:
+            if is_stable and self._retains_majority(desired):
+                self._write(now, self.holders.build_replacement(desired))
             return
-        self._settle(now)
+        self._complete_ranges(now)
 
-    def _keeps_most(self, wanted: _holders.HolderSet) -> bool:
+    def _retains_majority(self, desired: _holders.HolderSet) -> bool:
         """Tell whether most of those in force that may live are kept.
 
         Of two sides that are cut off from each other at most one may
         write: else they would take turns in locking each other out.
         """
         current = self.holders.value.current
-        kept = [each for each in current if each in wanted]
+        kept = [each for each in current if each in desired]
         lost = [
             each
             for each in current
-            if each not in wanted and not self._is_gone_for(each, wanted)
+            if each not in desired
+            and not self._is_gone_or_replaced(each, desired)
         ]
         if len(kept) != len(lost):
             return len(kept) > len(lost)
         names = [each.name for each in lost]
         return not lost or min(names) > min(each.name for each in kept)
 
-    def _is_gone_for(
-        self, holder: _holders.Holder, wanted: _holders.HolderSet
+    def _is_gone_or_replaced(
+        self, holder: _holders.Holder, desired: _holders.HolderSet
     ) -> bool:
-        is_followed = any(each.name == holder.name for each in wanted)
+        is_followed = any(each.name == holder.name for each in desired)
         return is_followed or self._is_gone(holder)
 
-    def _settle(self, now: float) -> None:
+    def _complete_ranges(self, now: float) -> None:
         """Let ranges go on without their past holders, best all at once."""
-        moved = self.holders.list_moved()
-        settled = frozenset(
-            each for each in moved if self._is_range_settled(each)
+        pending = self.holders.list_pending()
+        completed = frozenset(
+            each for each in pending if self._is_range_complete(each)
         )
-        is_late = now - self._observed_at >= _SETTLE_SECONDS
-        if settled and (is_late or len(settled) == len(moved)):
-            self._write(now, self.holders.settle(settled))
+        is_late = now - self._list_changed_at >= _COMPLETE_SECONDS
+        if completed and (is_late or len(completed) == len(pending)):
+            self._write(now, self.holders.build_completion(completed))
 
-    def _is_range_settled(self, number: int) -> bool:
+    def _is_range_complete(self, number: int) -> bool:
         current = self.holders.get_current(number)
-        settled = sum(self._has_settled(each, number) for each in current)
-        return settled >= _holders.count_majority(current)
+        completed = sum(self._has_completed(each, number) for each in current)
+        return completed >= _holders.count_majority(current)
 
-    def _has_settled(self, holder: _holders.Holder, number: int) -> bool:
+    def _has_completed(self, holder: _holders.Holder, number: int) -> bool:
         report = self._reports.get(holder.name)
         return (
             report is not None
-            and report.boot == holder.boot
-            and report.label == self.holders.label
-            and number not in report.missing
+            and report.boot_id == holder.boot_id
+            and report.list_revision == self.holders.list_revision
+            and number not in report.pending_ranges
         )
 
     def _write(self, now: float, value: _holders.HolderValue) -> None:
-        self._writing_until = now + _WRITE_PATIENCE_SECONDS
+        self._write_blocked_until = now + _WRITE_TIMEOUT_SECONDS
         write = platform_api.WriteObject(
             path=_holders.PATH,
-            value=_holders.write_value(value),
+            value=_holders.encode_value(value),
             expected_version=self.holders.version if self.holders else 0,
         )
         self._context.effects.append(effect.RequestWrite(write))
 
     def _is_gone(self, holder: _holders.Holder) -> bool:
-        if holder.name in self._gone:
+        if holder.name in self._declared_gone:
             return True
-        if (holder.name, holder.boot) in self._ended:
+        if (holder.name, holder.boot_id) in self._ended_processes:
             return True
         listed = self._find_listed(holder.name)
-        return listed is not None and listed.boot != holder.boot
+        return listed is not None and listed.boot_id != holder.boot_id
--- a/skylarkfold/requests/_holders.py
+++ b/skylarkfold/requests/_holders.py
@@ -19,7 +19,7 @@
 PATH = '/leases/requests/holders'
 GONE_PATH = '/leases/requests/gone'
 RANGES = 1024
-COPIES = 3
+HOLDERS_PER_RANGE = 3
 
 
 class Holder(msgspec.Struct, frozen=True, array_like=True):
@@ -32,10 +32,10 @@
 
     name: str
     zone: str
-    boot: int
+    boot_id: int
 
 
-class Generation(msgspec.Struct, frozen=True, array_like=True):
+class PreviousHolders(msgspec.Struct, frozen=True, array_like=True):
     """Holders of the past that some ranges still depend on.
 
     :param holders: the holders, sorted by name.
@@ -56,7 +56,7 @@
     """
 
     current: tuple[Holder, ...]
-    previous: tuple[Generation, ...] = ()
+    previous: tuple[PreviousHolders, ...] = ()
     serial: int = 0
 
 
@@ -75,28 +75,35 @@
     :param before: the list known so far, whose sets are used again.
     """
 
-    __slots__ = ('_bases', '_by_name', '_sets', 'label', 'value', 'version')
+    __slots__ = (
+        '_by_name',
+        '_previous_by_range',
+        '_sets_by_holders',
+        'list_revision',
+        'value',
+        'version',
+    )
 
     def __init__(
         self,
-        label: int,
+        list_revision: int,
         version: int,
         value: HolderValue,
-        before: HolderList | None = None,
+        known: HolderList | None = None,
     ) -> None:
-        self.label = label
+        self.list_revision = list_revision
         self.version = version
         self.value = value
         self._by_name = {each.name: each for each in value.current}
-        self._bases = {
-            number: generation.holders
+        self._previous_by_range = {
+            range_number: generation.holders
             for generation in value.previous
-            for number in generation.ranges
+            for range_number in generation.ranges
         }
         all_holders = [value.current]
         all_holders += [each.holders for each in value.previous]
-        self._sets: dict[HolderSet, dict[int, HolderSet]] = {
-            holders: before._derive(holders) if before is not None else {}
+        self._sets_by_holders: dict[HolderSet, dict[int, HolderSet]] = {
+            holders: known._reuse_sets(holders) if known is not None else {}
             for holders in all_holders
         }
 
@@ -105,82 +112,88 @@
         """Tell whether a claim still needs a majority of two sets."""
         return bool(self.value.previous)
 
-    def get_current(self, number: int) -> HolderSet:
+    def get_current(self, range_number: int) -> HolderSet:
         """Get the holders in force for a range of keys.
 
         :param number: the range.
         :returns: its holders.
         """
-        return self._get(self.value.current, number)
+        return self._get_holders(self.value.current, range_number)
 
-    def get_previous(self, number: int) -> HolderSet:
+    def get_previous(self, range_number: int) -> HolderSet:
         """Get the holders that a range of keys still depends on.
 
         :param number: the range.
         :returns: its holders before; none where all is taken over.
         """
-        holders = self._bases.get(number)
-        return () if holders is None else self._get(holders, number)
+        holders = self._previous_by_range.get(range_number)
+        return (
+            () if holders is None else self._get_holders(holders, range_number)
+        )
 
-    def list_sets(self, number: int) -> tuple[HolderSet, ...]:
+    def list_sets(self, range_number: int) -> tuple[HolderSet, ...]:
         """List the sets of which a claim needs a majority each.
 
         :param number: the range of the key.
         :returns: one set or two.
         """
-        current = self.get_current(number)
-        if number not in self._bases:
+        current = self.get_current(range_number)
+        if range_number not in self._previous_by_range:
             return (current,)
-        return (current, self.get_previous(number))
+        return (current, self.get_previous(range_number))
 
-    def list_moved(self) -> list[int]:
+    def list_pending(self) -> list[int]:
         """List the ranges that are not taken over yet."""
-        return sorted(self._bases)
+        return sorted(self._previous_by_range)
 
-    def list_identities(self) -> set[tuple[str, int]]:
+    def list_processes(self) -> set[tuple[str, int]]:
         """List all processes that anything depends on, name and boot."""
-        listed = {(each.name, each.boot) for each in self.value.current}
+        listed = {(each.name, each.boot_id) for each in self.value.current}
         for generation in self.value.previous:
-            listed.update((one.name, one.boot) for one in generation.holders)
+            listed.update(
+                (one.name, one.boot_id) for one in generation.holders
+            )
         return listed
 
-    def change(self, wanted: HolderSet) -> HolderValue:
+    def build_replacement(self, holders: HolderSet) -> HolderValue:
         """Make the value that brings other holders in force.
 
         :param wanted: the holders, sorted by name.
         :returns: the value; ranges that move depend on their holders of
             now, or on those that they depended on already.
         """
-        after = HolderList(0, 0, HolderValue(wanted), self)
+        after = HolderList(0, 0, HolderValue(holders), self)
         kept = (
-            Generation(
+            PreviousHolders(
                 each.holders,
                 tuple(
-                    number
-                    for number in each.ranges
-                    if self.get_previous(number) != after.get_current(number)
+                    range_number
+                    for range_number in each.ranges
+                    if self.get_previous(range_number)
+                    != after.get_current(range_number)
                 ),
             )
             for each in self.value.previous
         )
-        moved = tuple(
-            number
-            for number in range(RANGES)
-            if number not in self._bases
-            and self.get_current(number) != after.get_current(number)
+        pending = tuple(
+            range_number
+            for range_number in range(RANGES)
+            if range_number not in self._previous_by_range
+            and self.get_current(range_number)
+            != after.get_current(range_number)
         )
-        added = Generation(self.value.current, moved)
+        added = PreviousHolders(self.value.current, pending)
         previous = _drop_empty((*kept, added))
-        return HolderValue(wanted, previous, self.value.serial + 1)
+        return HolderValue(holders, previous, self.value.serial + 1)
 
-    def settle(self, numbers: frozenset[int]) -> HolderValue:
+    def build_completion(self, numbers: frozenset[int]) -> HolderValue:
         """Make the value in which ranges depend on no past holders.
 
         :param numbers: ranges that are taken over.
         :returns: the value.
         """
         kept = (
-            Generation(
+            PreviousHolders(
                 each.holders,
                 tuple(one for one in each.ranges if one not in numbers),
             )
@@ -189,19 +202,21 @@
         previous = _drop_empty(kept)
         return HolderValue(self.value.current, previous, self.value.serial + 1)
 
-    def _get(self, holders: HolderSet, number: int) -> HolderSet:
-        cache = self._sets[holders]
-        found = cache.get(number)
+    def _get_holders(self, holders: HolderSet, range_number: int) -> HolderSet:
+        cache = self._sets_by_holders[holders]
+        found = cache.get(range_number)
         if found is None:
-            found = cache[number] = choose_holders(holders, number)
+            found = cache[range_number] = choose_holders(holders, range_number)
         return found
 
-    def _derive(self, holders: HolderSet) -> dict[int, HolderSet]:
-        known = self._sets.get(holders)
+    def _reuse_sets(self, holders: HolderSet) -> dict[int, HolderSet]:
+        known = self._sets_by_holders.get(holders)
         if known is not None:
             return known
         current = self.value.current
-        return _derive(self._sets[current], current, holders)
+        return _keep_unchanged_sets(
+            self._sets_by_holders[current], current, holders
+        )
 
     def find(self, name: str) -> Holder | None:
         """Find the holder in force under a name.
@@ -212,7 +227,7 @@
         return self._by_name.get(name)
 
 
-def find_range(key: bytes) -> int:
+def compute_range(key: bytes) -> int:
     """Find the range of a key.
 
     :param key: the key's digest.
@@ -230,8 +245,8 @@
     return len(holders) // 2 + 1
 
 
-def read_list(
-    changed: platform_api.StoredObject, before: HolderList | None = None
+def decode_list(
+    changed: platform_api.StoredObject, known: HolderList | None = None
 ) -> HolderList:
     """Read the stored list.
 
@@ -244,10 +259,10 @@
         value = _decoder.decode(changed.value)
     except msgspec.MsgspecError as error:
         raise errors.DecodeError(str(error)) from error
-    return HolderList(changed.revision, changed.version, value, before)
+    return HolderList(changed.revision, changed.version, value, known)
 
 
-def read_gone(value: bytes) -> frozenset[str]:
+def decode_gone(value: bytes) -> frozenset[str]:
     """Read the names that operators declare gone for good.
 
     :param value: a JSON list of instances' names.
@@ -260,7 +275,7 @@
         raise errors.DecodeError(str(error)) from error
 
 
-def write_value(value: HolderValue) -> bytes:
+def encode_value(value: HolderValue) -> bytes:
     """Give the stored form of a list.
 
     :param value: the holders.
@@ -269,7 +284,7 @@
     return _encoder.encode(value)
 
 
-def choose_holders(holders: Iterable[Holder], number: int) -> HolderSet:
+def choose_holders(holders: Iterable[Holder], range_number: int) -> HolderSet:
     """Choose the holders of a range by rendezvous hash, zones apart.
 
     :param holders: all holders.
@@ -279,7 +294,7 @@
     """
     ranked = sorted(
         holders,
-        key=lambda each: _score(number, each),
+        key=lambda each: _score(range_number, each),
         reverse=True,
     )
     zones: set[str] = set()
@@ -288,20 +303,20 @@
     for holder in ranked:
         (rest if holder.zone in zones else first).append(holder)
         zones.add(holder.zone)
-    return tuple((first + rest)[:COPIES])
+    return tuple((first + rest)[:HOLDERS_PER_RANGE])
 
 
-def _score(number: int, holder: Holder) -> int:
-    return xxhash.xxh3_64_intdigest(f'{number}|{holder.name}'.encode())
+def _score(range_number: int, holder: Holder) -> int:
+    return xxhash.xxh3_64_intdigest(f'{range_number}|{holder.name}'.encode())
 
 
 def _drop_empty(
-    generations: Iterable[Generation],
-) -> tuple[Generation, ...]:
+    generations: Iterable[PreviousHolders],
+) -> tuple[PreviousHolders, ...]:
     return tuple(each for each in generations if each.ranges)
 
 
-def _derive(
+def _keep_unchanged_sets(
     cache: dict[int, HolderSet], before: HolderSet, after: HolderSet
 ) -> dict[int, HolderSet]:
     """Keep the sets that a change of the holders leaves as they are."""
@@ -311,17 +326,19 @@
     if any(each.zone not in known_zones for each in added):
         return {}
     return {
-        number: chosen
-        for number, chosen in cache.items()
+        range_number: chosen
+        for range_number, chosen in cache.items()
         if not removed.intersection(chosen)
-        and not _is_displaced(number, chosen, added)
+        and not _is_displaced(range_number, chosen, added)
     }
 
 
-def _is_displaced(number: int, chosen: HolderSet, added: list[Holder]) -> bool:
+def _is_displaced(
+    range_number: int, chosen: HolderSet, added: list[Holder]
+) -> bool:
     if not added:
         return False
-    if len(chosen) < COPIES:
+    if len(chosen) < HOLDERS_PER_RANGE:
         return True
-    least = min(_score(number, each) for each in chosen)
-    return any(_score(number, each) >= least for each in added)
+    lowest_score = min(_score(range_number, each) for each in chosen)
+    return any(_score(range_number, each) >= lowest_score for each in added)
--- a/skylarkfold/requests/_handover.py
+++ b/skylarkfold/requests/_key_handover.py
@@ -5,15 +5,15 @@
 import collections
 
 from skylarkfold import request as request_module
-from skylarkfold.requests import _claimant
+from skylarkfold.requests import _claim_client
 from skylarkfold.requests import _context
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _memory
+from skylarkfold.requests import _key_memory
+from skylarkfold.requests import _key_record
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _record
 
 
-class Handover:
+class KeyHandover:
     """Hands finished keys on, and takes over those of others.
 
     :param context: what the parts of the core share.
@@ -21,18 +21,18 @@
     :param memory: the keys that this instance answers for.
     """
 
-    __slots__ = ('_claimant', '_context', '_memory', '_waiting')
+    __slots__ = ('_claim_client', '_context', '_memory', '_waiting')
 
     def __init__(
         self,
         context: _context.Context,
-        claimant: _claimant.Claimant,
-        memory: _memory.KeyMemory,
+        claim_client: _claim_client.ClaimClient,
+        memory: _key_memory.KeyMemory,
     ) -> None:
         self._context = context
-        self._claimant = claimant
+        self._claim_client = claim_client
         self._memory = memory
-        self._waiting: collections.deque[_record.KeyRecord] | None = None
+        self._waiting: collections.deque[_key_record.KeyRecord] | None = None
 
     @property
     def is_over(self) -> bool:
@@ -41,7 +41,7 @@
             return not len(self._memory)
         return not self._waiting
 
-    def note_ended(self, record: _record.KeyRecord) -> None:
+    def record_ended(self, record: _key_record.KeyRecord) -> None:
         """Note a key that has ended while others are handed on.
 
         :param record: the key.
@@ -49,7 +49,7 @@
         if self._waiting is not None:
             self._waiting.append(record)
 
-    def hand_on(self, successor: _holders.Holder, limit: int) -> None:
+    def hand_over(self, successor: _holders.Holder, limit: int) -> None:
         """Hand finished keys on, a portion at a time.
 
         :param successor: the instance that answers for them from then on.
@@ -60,18 +60,23 @@
         for _ in range(min(limit, len(self._waiting))):
             self._send(self._waiting.popleft(), successor)
 
-    def take_over(self, now: float, handed: _messages.HandOnMessage) -> None:
+    def accept_handover(
+        self, now: float, handed: _messages.KeyHandoverMessage
+    ) -> None:
         """Answer for a finished key of another instance from now on.
 
         :param now: the time.
         :param handed: the key's record.
         """
-        if handed.target_boot != self._context.boot or self._memory.is_full:
+        if (
+            handed.target_boot_id != self._context.boot_id
+            or self._memory.is_full
+        ):
             return
         if self._memory.find(handed.key) is not None:
             return
-        record = _record.KeyRecord(handed.key, handed.fingerprint, None)
-        record.claim_number = handed.claim
+        record = _key_record.KeyRecord(handed.key, handed.fingerprint, None)
+        record.last_claim_number = handed.claim_number
         answer = request_module.Answer(
             verdict=handed.verdict,
             status=handed.answer_status,
@@ -82,16 +87,16 @@
         self._memory.end(now, record, answer)
 
     def _send(
-        self, record: _record.KeyRecord, successor: _holders.Holder
+        self, record: _key_record.KeyRecord, successor: _holders.Holder
     ) -> None:
         answer = record.answer
         if answer is None:
             return
-        sent = _messages.HandOnMessage(
-            target_boot=successor.boot,
+        sent = _messages.KeyHandoverMessage(
+            target_boot_id=successor.boot_id,
             key=record.key,
             fingerprint=record.fingerprint,
-            claim=record.claim_number,
+            claim_number=record.last_claim_number,
             verdict=answer.verdict,
             answer_status=answer.status,
             headers=answer.headers,
@@ -99,4 +104,6 @@
             code=answer.code,
         )
         self._context.send(successor.name, sent)
-        self._claimant.release(record.key, record.claim_number, successor)
+        self._claim_client.release(
+            record.key, record.last_claim_number, successor
+        )
--- a/skylarkfold/requests/_memory.py
+++ b/skylarkfold/requests/_key_memory.py
@@ -7,7 +7,7 @@
 
 from skylarkfold import request as request_module
 from skylarkfold.requests import _answers
-from skylarkfold.requests import _record
+from skylarkfold.requests import _key_record
 from skylarkfold.requests import _settings
 from skylarkfold import verdict as verdict_module
 
@@ -23,11 +23,11 @@
 
     def __init__(self, settings: _settings.RequestSettings) -> None:
         self._settings = settings
-        self._active: dict[bytes, _record.KeyRecord] = {}
-        self._ended: collections.OrderedDict[bytes, _record.KeyRecord] = (
+        self._active: dict[bytes, _key_record.KeyRecord] = {}
+        self._ended: collections.OrderedDict[bytes, _key_record.KeyRecord] = (
             collections.OrderedDict()
         )
-        self._with_body: collections.deque[_record.KeyRecord] = (
+        self._records_with_body: collections.deque[_key_record.KeyRecord] = (
             collections.deque()
         )
         self._active_bytes = 0
@@ -50,7 +50,7 @@
         is_small = size <= self._settings.maximum_waiting_bytes
         return is_small and not self.is_full
 
-    def find(self, key: bytes) -> _record.KeyRecord | None:
+    def find(self, key: bytes) -> _key_record.KeyRecord | None:
         """Find a key's record.
 
         :param key: the key's digest.
@@ -58,7 +58,7 @@
         """
         return self._active.get(key) or self._ended.get(key)
 
-    def add(self, record: _record.KeyRecord) -> None:
+    def add(self, record: _key_record.KeyRecord) -> None:
         """Add a record whose answer is not known yet.
 
         :param record: the record.
@@ -66,7 +66,7 @@
         self._active[record.key] = record
         self._active_bytes += len(record.request.body)
 
-    def drop(self, record: _record.KeyRecord) -> None:
+    def drop(self, record: _key_record.KeyRecord) -> None:
         """Forget a key that has no final answer.
 
         :param record: its record.
@@ -77,7 +77,7 @@
     def end(
         self,
         now: float,
-        record: _record.KeyRecord,
+        record: _key_record.KeyRecord,
         answer: request_module.Answer,
     ) -> None:
         """Keep a key's final answer.
@@ -87,22 +87,22 @@
         :param answer: the answer.
         """
         self.drop(record)
-        record.state = _record.KeyState.ENDED
+        record.state = _key_record.KeyState.ENDED
         record.request = None
-        record.claim = None
+        record.tally = None
         record.answer = answer
-        record.expires = now + self._settings.key_memory_seconds
+        record.expires_at = now + self._settings.key_memory_seconds
         self._ended[record.key] = record
         self.kept_bytes += record.answer_bytes
-        self._with_body.append(record)
+        self._records_with_body.append(record)
         while self.kept_bytes > self._settings.maximum_answer_bytes:
-            self._drop_body(self._with_body.popleft())
+            self._drop_body(self._records_with_body.popleft())
 
-    def list_active(self) -> list[_record.KeyRecord]:
+    def list_active(self) -> list[_key_record.KeyRecord]:
         """List the records whose answer is not known yet."""
         return list(self._active.values())
 
-    def list_ended(self) -> Iterator[_record.KeyRecord]:
+    def list_ended(self) -> Iterator[_key_record.KeyRecord]:
         """List the records with a final answer, oldest first."""
         yield from self._ended.values()
 
@@ -113,19 +113,22 @@
         """
         while self._ended:
             record = next(iter(self._ended.values()))
-            if record.expires > now:
+            if record.expires_at > now:
                 return
             del self._ended[record.key]
             self.kept_bytes -= record.answer_bytes
             record.answer = None
-            if self._with_body and self._with_body[0] is record:
-                self._with_body.popleft()
+            if (
+                self._records_with_body
+                and self._records_with_body[0] is record
+            ):
+                self._records_with_body.popleft()
 
-    def _drop_body(self, record: _record.KeyRecord) -> None:
+    def _drop_body(self, record: _key_record.KeyRecord) -> None:
         if not record.answer_bytes:
             return
         self.kept_bytes -= record.answer_bytes
-        record.answer = _answers.refuse(
+        record.answer = _answers.build_refusal(
             verdict_module.Verdict.MAY_HAVE_RUN,
             _answers.ErrorCode.ANSWER_FORGOTTEN,
         )
--- a/skylarkfold/requests/_record.py
+++ b/skylarkfold/requests/_key_record.py
@@ -7,7 +7,7 @@
 import hashlib
 
 from skylarkfold import request as request_module
-from skylarkfold.requests import _claim
+from skylarkfold.requests import _claim_tally
 from skylarkfold.requests import _context
 
 _DIGEST_BYTES = 16
@@ -51,16 +51,16 @@
     fingerprint: int
     request: request_module.Request | None
     state: KeyState = KeyState.CLAIMING
-    askers: dict[_context.Asker, float] = dataclasses.field(
+    requesters: dict[_context.Requester, float] = dataclasses.field(
         default_factory=dict
     )
-    give_up_at: float = 0.0
-    claim: _claim.Claim | None = None
-    claim_number: int = 0
+    claim_deadline: float = 0.0
+    tally: _claim_tally.ClaimTally | None = None
+    last_claim_number: int = 0
     retry_at: float = 0.0
-    pass_number: int = 0
+    forward_id: int = 0
     answer: request_module.Answer | None = None
-    expires: float = 0.0
+    expires_at: float = 0.0
 
     @property
     def answer_bytes(self) -> int:
@@ -75,8 +75,8 @@
     :returns: 16 bytes that nobody can make collide.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
-    _add(digest, request.service.encode())
-    _add(digest, request.key.encode())
+    _update(digest, request.service.encode())
+    _update(digest, request.key.encode())
     return digest.digest()
 
 
@@ -87,12 +87,12 @@
     :returns: a number of 64 bits.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
-    _add(digest, request.method.encode())
-    _add(digest, request.target.encode())
-    _add(digest, request.body)
+    _update(digest, request.method.encode())
+    _update(digest, request.target.encode())
+    _update(digest, request.body)
     return int.from_bytes(digest.digest(), 'big')
 
 
-def _add(digest: hashlib.blake2b, part: bytes) -> None:
+def _update(digest: hashlib.blake2b, part: bytes) -> None:
     digest.update(len(part).to_bytes(8, 'big'))
     digest.update(part)
--- a/skylarkfold/requests/_keys.py
+++ b/skylarkfold/requests/_keyed_requests.py
@@ -12,20 +12,20 @@
 from skylarkfold import metric
 from skylarkfold import request as request_module
 from skylarkfold.requests import _answers
-from skylarkfold.requests import _claimant
+from skylarkfold.requests import _claim_client
 from skylarkfold.requests import _context
-from skylarkfold.requests import _handover
+from skylarkfold.requests import _forwarder
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _memory
+from skylarkfold.requests import _key_handover
+from skylarkfold.requests import _key_memory
+from skylarkfold.requests import _key_record
+from skylarkfold.requests import _key_resolver
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _ownership
-from skylarkfold.requests import _passes
-from skylarkfold.requests import _record
 from skylarkfold import verdict as verdict_module
 
 ErrorCode = _answers.ErrorCode
-PassStatus = _messages.PassStatus
-KeyState = _record.KeyState
+ForwardStatus = _messages.ForwardStatus
+KeyState = _key_record.KeyState
 Verdict = verdict_module.Verdict
 
 MAY_HAVE_RUN = Verdict.MAY_HAVE_RUN
@@ -40,11 +40,11 @@
     ) -> None:
         """Admit a request."""
 
-    def cancel_waiting(self, now: float, number: int) -> None:
+    def cancel_unless_running(self, now: float, number: int) -> None:
         """Give a request up unless an attempt is in flight."""
 
 
-class Keys:
+class KeyedRequests:
     """Claims keys, answers for those won, asks about those lost.
 
     :param context: what the parts of the core share.
@@ -56,20 +56,22 @@
     def __init__(
         self,
         context: _context.Context,
-        claimant: _claimant.Claimant,
+        claim_client: _claim_client.ClaimClient,
         runner: Runner,
-        passes: _passes.Passes,
+        forwarder: _forwarder.RequestForwarder,
     ) -> None:
         self._context = context
         self._settings = context.settings
-        self._claimant = claimant
+        self._claim_client = claim_client
         self._runner = runner
-        self._passes = passes
-        self._memory = _memory.KeyMemory(context.settings)
-        self._by_number: dict[int, _record.KeyRecord] = {}
-        self._handover = _handover.Handover(context, claimant, self._memory)
-        self._ownership = _ownership.Ownership(
-            context, claimant, passes, self._memory, self._run
+        self._forwarder = forwarder
+        self._memory = _key_memory.KeyMemory(context.settings)
+        self._by_number: dict[int, _key_record.KeyRecord] = {}
+        self._handover = _key_handover.KeyHandover(
+            context, claim_client, self._memory
+        )
+        self._key_resolver = _key_resolver.KeyResolver(
+            context, claim_client, forwarder, self._memory, self._run
         )
 
     def __len__(self) -> int:
@@ -81,7 +83,7 @@
         return not self._memory.list_active()
 
     @property
-    def is_handed_on(self) -> bool:
+    def is_handed_over(self) -> bool:
         """Tell whether all finished keys were handed on."""
         return self._handover.is_over
 
@@ -89,7 +91,7 @@
         self,
         now: float,
         request: request_module.Request,
-        asker: _context.Asker,
+        requester: _context.Requester,
         deadline: float,
     ) -> None:
         """Take a keyed request that may run only once.
@@ -99,34 +101,36 @@
         :param asker: who waits for its answer.
         :param deadline: until when, by the local clock.
         """
-        key = _record.digest_key(request)
-        fingerprint = _record.digest_request(request)
+        key = _key_record.digest_key(request)
+        fingerprint = _key_record.digest_request(request)
         record = self._memory.find(key)
         if record is not None:
-            self._join(record, fingerprint, asker, deadline)
+            self._join(record, fingerprint, requester, deadline)
             return
-        if not self._claimant.is_ready:
-            self._context.refuse(asker, MAY_HAVE_RUN, ErrorCode.KEY_UNVERIFIED)
+        if not self._claim_client.is_ready:
+            self._context.refuse(
+                requester, MAY_HAVE_RUN, ErrorCode.KEY_UNVERIFIED
+            )
             return
         if not self._memory.has_room(request):
             self._context.refuse(
-                asker, MAY_HAVE_RUN, ErrorCode.KEY_MEMORY_FULL
+                requester, MAY_HAVE_RUN, ErrorCode.KEY_MEMORY_FULL
             )
             return
-        record = _record.KeyRecord(key, fingerprint, request)
-        record.askers[asker] = deadline
-        record.give_up_at = now + self._settings.claim_patience_seconds
+        record = _key_record.KeyRecord(key, fingerprint, request)
+        record.requesters[requester] = deadline
+        record.claim_deadline = now + self._settings.claim_patience_seconds
         self._memory.add(record)
-        self._ownership.claim(now, record)
+        self._key_resolver.claim(now, record)
 
     def recall(
         self,
         now: float,
         request: request_module.Request,
-        asker: _context.Asker,
+        requester: _context.Requester,
         deadline: float,
-        claim: int,
-    ) -> PassStatus | None:
+        claim_number: int,
+    ) -> ForwardStatus | None:
         """Answer another instance for a key that this one claimed.
 
         :param now: the time.
@@ -137,14 +141,16 @@
         :returns: why there is no answer; None where the answer has been
             sent or will be.
         """
-        key = _record.digest_key(request)
-        if self._claimant.has_abandoned(claim):
-            self._claimant.release(key, claim)
-            return PassStatus.ABANDONED
+        key = _key_record.digest_key(request)
+        if self._claim_client.has_abandoned(claim_number):
+            self._claim_client.release(key, claim_number)
+            return ForwardStatus.ABANDONED
         record = self._memory.find(key)
-        if record is None or record.claim_number != claim:
-            return PassStatus.UNKNOWN
-        self._join(record, _record.digest_request(request), asker, deadline)
+        if record is None or record.last_claim_number != claim_number:
+            return ForwardStatus.UNKNOWN
+        self._join(
+            record, _key_record.digest_request(request), requester, deadline
+        )
         return None
 
     def record_vote(
@@ -156,9 +162,9 @@
         :param sender: the holder.
         :param vote: its answer; one to another claim is ignored.
         """
-        self._ownership.record_vote(now, sender, vote)
+        self._key_resolver.record_vote(now, sender, vote)
 
-    def end_exchange(
+    def end_execution(
         self, now: float, number: int, answer: request_module.Answer
     ) -> bool:
         """Take the final answer of a request whose key was won.
@@ -172,15 +178,15 @@
         if record is None:
             return False
         if answer.verdict is NOT_RUN:
-            self._claimant.abandon(now, record)
+            self._claim_client.abandon(now, record)
             self._memory.drop(record)
         else:
             self._memory.end(now, record, answer)
-            self._handover.note_ended(record)
-        self._context.reply_all(record.askers, answer)
+            self._handover.record_ended(record)
+        self._context.reply_all(record.requesters, answer)
         return True
 
-    def cancel(self, now: float, asker: _context.Asker) -> bool:
+    def cancel(self, now: float, requester: _context.Requester) -> bool:
         """Wait no longer on behalf of a caller that has gone.
 
         A request that runs is left to end, for the caller's next try.
@@ -190,8 +196,8 @@
         :returns: whether it waited for a key.
         """
         for record in self._memory.list_active():
-            if record.askers.pop(asker, None) is not None:
-                self._drop_unasked(now, record)
+            if record.requesters.pop(requester, None) is not None:
+                self._drop_without_requesters(now, record)
                 return True
         return False
 
@@ -201,7 +207,7 @@
         :param now: the time.
         :param peer: its name.
         """
-        self._claimant.note_silent(now, peer)
+        self._claim_client.mark_unresponsive(now, peer)
 
     def tick(self, now: float) -> None:
         """Ask the silent again and end what is past its deadline.
@@ -209,11 +215,11 @@
         :param now: the time.
         """
         for record in self._memory.list_active():
-            self._expire_askers(now, record)
-            if record.askers and record.state is KeyState.CLAIMING:
-                self._ownership.retry(now, record)
+            self._expire_requesters(now, record)
+            if record.requesters and record.state is KeyState.CLAIMING:
+                self._key_resolver.retry(now, record)
         self._memory.expire(now)
-        self._claimant.expire(now)
+        self._claim_client.expire(now)
 
     def renew_claims(self, now: float) -> None:
         """Make undecided claims anew under a newer list of holders.
@@ -221,18 +227,18 @@
         :param now: the time.
         """
         for record in self._memory.list_active():
-            self._ownership.renew(now, record)
+            self._key_resolver.renew(now, record)
 
-    def hand_on(self, successor: _holders.Holder, limit: int) -> None:
+    def hand_over(self, successor: _holders.Holder, limit: int) -> None:
         """Hand finished keys on to another instance, a portion at a time.
 
         :param successor: the instance.
         :param limit: how many at most.
         """
-        self._handover.hand_on(successor, limit)
+        self._handover.hand_over(successor, limit)
 
-    def take_over(
-        self, now: float, sender: str, handed: _messages.HandOnMessage
+    def accept_handover(
+        self, now: float, sender: str, handed: _messages.KeyHandoverMessage
     ) -> None:
         """Answer for a finished key from now on.
 
@@ -240,52 +246,58 @@
         :param sender: the instance that answered before.
         :param handed: the key's record.
         """
-        self._handover.take_over(now, handed)
+        self._handover.accept_handover(now, handed)
 
     def _join(
         self,
-        record: _record.KeyRecord,
+        record: _key_record.KeyRecord,
         fingerprint: int,
-        asker: _context.Asker,
+        requester: _context.Requester,
         deadline: float,
     ) -> None:
         if fingerprint != record.fingerprint:
             if record.state is KeyState.ENDED:
-                self._context.refuse(asker, NOT_RUN, ErrorCode.KEY_REUSED)
+                self._context.refuse(requester, NOT_RUN, ErrorCode.KEY_REUSED)
             else:
-                self._context.refuse(asker, MAY_HAVE_RUN, ErrorCode.KEY_IN_USE)
+                self._context.refuse(
+                    requester, MAY_HAVE_RUN, ErrorCode.KEY_IN_USE
+                )
             return
         if record.state is KeyState.ENDED:
             self._context.count(metric.REQUESTS_REPLAYED)
-            self._context.reply(asker, record.answer)
+            self._context.reply(requester, record.answer)
             return
-        record.askers[asker] = deadline
+        record.requesters[requester] = deadline
 
-    def _run(self, now: float, record: _record.KeyRecord) -> None:
+    def _run(self, now: float, record: _key_record.KeyRecord) -> None:
         self._by_number[record.request.number] = record
-        deadline = max(record.askers.values())
+        deadline = max(record.requesters.values())
         self._runner.begin(now, record.request, deadline)
 
-    def _expire_askers(self, now: float, record: _record.KeyRecord) -> None:
-        late = [
-            asker
-            for asker, deadline in record.askers.items()
+    def _expire_requesters(
+        self, now: float, record: _key_record.KeyRecord
+    ) -> None:
+        expired = [
+            requester
+            for requester, deadline in record.requesters.items()
             if deadline <= now
         ]
-        for asker in late:
-            del record.askers[asker]
+        for requester in expired:
+            del record.requesters[requester]
             self._context.refuse(
-                asker, MAY_HAVE_RUN, ErrorCode.DEADLINE_EXCEEDED
+                requester, MAY_HAVE_RUN, ErrorCode.DEADLINE_EXCEEDED
             )
-        if late:
-            self._drop_unasked(now, record)
+        if expired:
+            self._drop_without_requesters(now, record)
 
-    def _drop_unasked(self, now: float, record: _record.KeyRecord) -> None:
-        if record.askers:
+    def _drop_without_requesters(
+        self, now: float, record: _key_record.KeyRecord
+    ) -> None:
+        if record.requesters:
             return
         if record.state is KeyState.OWNED:
-            self._runner.cancel_waiting(now, record.request.number)
+            self._runner.cancel_unless_running(now, record.request.number)
             return
-        self._claimant.abandon(now, record)
-        self._passes.forget(record.pass_number)
+        self._claim_client.abandon(now, record)
+        self._forwarder.discard(record.forward_id)
         self._memory.drop(record)
--- a/skylarkfold/requests/_messages.py
+++ b/skylarkfold/requests/_messages.py
@@ -14,7 +14,7 @@
 from skylarkfold import verdict as verdict_module
 
 
-class Ballot(enum.IntEnum):
+class VoteStatus(enum.IntEnum):
     """How a holder answers a claim.
 
     ``TAKEN``: it voted for another claim. ``STALE``: the claim was made
@@ -37,11 +37,11 @@
     :param claim: the claim's number.
     """
 
-    label: int
-    target_boot: int
+    list_revision: int
+    target_boot_id: int
     key: bytes
-    boot: int
-    claim: int
+    boot_id: int
+    claim_number: int
 
 
 class VoteMessage(message.PeerMessage, tag=21):
@@ -57,14 +57,14 @@
     :param owner_claim: its claim.
     """
 
-    label: int
-    target_boot: int
-    claim: int
-    boot: int
-    ballot: Ballot
-    owner: str = ''
-    owner_boot: int = 0
-    owner_claim: int = 0
+    list_revision: int
+    target_boot_id: int
+    claim_number: int
+    boot_id: int
+    status: VoteStatus
+    competitor: str = ''
+    competitor_boot_id: int = 0
+    competitor_claim_number: int = 0
 
 
 class ReleaseMessage(message.PeerMessage, tag=22):
@@ -80,13 +80,13 @@
     """
 
     key: bytes
-    boot: int
-    claim: int
+    boot_id: int
+    claim_number: int
     successor: str = ''
-    successor_boot: int = 0
+    successor_boot_id: int = 0
 
 
-class PassKind(enum.IntEnum):
+class ForwardKind(enum.IntEnum):
     """What a passed request asks for.
 
     ``RUN``: run it, the sender vouches for its key. ``RECEIVE``: treat it
@@ -98,7 +98,7 @@
     RECALL = 2
 
 
-class PassMessage(message.PeerMessage, tag=23):
+class ForwardMessage(message.PeerMessage, tag=23):
     """Passes a request to another instance.
 
     :param kind: what is asked for.
@@ -112,12 +112,12 @@
         the others.
     """
 
-    kind: PassKind
-    target_boot: int
-    boot: int
+    kind: ForwardKind
+    target_boot_id: int
+    boot_id: int
     number: int
     ticket: int
-    claim: int
+    claim_number: int
     timeout_ms: int
     service: str
     method: str
@@ -129,7 +129,7 @@
     priority: request_module.Priority
 
 
-class PassStatus(enum.IntEnum):
+class ForwardStatus(enum.IntEnum):
     """How a pass ended.
 
     ``ABANDONED``: the claim was given up before anything ran.
@@ -145,7 +145,7 @@
     LOST = 4
 
 
-class PassEndedMessage(message.PeerMessage, tag=24):
+class ForwardEndedMessage(message.PeerMessage, tag=24):
     """The end of a pass.
 
     :param target_boot: the process that passed the request.
@@ -155,9 +155,9 @@
         others.
     """
 
-    target_boot: int
+    target_boot_id: int
     number: int
-    status: PassStatus
+    status: ForwardStatus
     verdict: verdict_module.Verdict = verdict_module.Verdict.MAY_HAVE_RUN
     answer_status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
@@ -166,7 +166,7 @@
     retry_after_seconds: float | None = None
 
 
-class InheritMessage(message.PeerMessage, tag=25):
+class VotesRequestMessage(message.PeerMessage, tag=25):
     """Asks a previous holder to refuse older claims and tell its votes.
 
     :param label: the list of holders that moved the ranges.
@@ -176,23 +176,23 @@
     :param ranges: ranges of keys.
     """
 
-    label: int
-    question: int
-    target_boot: int
-    boot: int
+    list_revision: int
+    request_number: int
+    target_boot_id: int
+    boot_id: int
     ranges: tuple[int, ...]
 
 
-class HeldVote(message.PeerMessage):
+class TransferredVote(message.PeerMessage):
     """A vote as it is handed on."""
 
     key: bytes
-    owner: str
-    boot: int
-    claim: int
+    claimant: str
+    boot_id: int
+    claim_number: int
 
 
-class InheritedMessage(message.PeerMessage, tag=26):
+class VotesMessage(message.PeerMessage, tag=26):
     """A portion of a previous holder's votes.
 
     :param label: the label asked for.
@@ -204,13 +204,13 @@
     :param votes: the votes.
     """
 
-    label: int
-    question: int
-    target_boot: int
-    boot: int
-    portion: int
-    portions: int
-    votes: tuple[HeldVote, ...]
+    list_revision: int
+    request_number: int
+    target_boot_id: int
+    boot_id: int
+    chunk: int
+    chunk_count: int
+    votes: tuple[TransferredVote, ...]
 
 
 class ReportMessage(message.PeerMessage, tag=27):
@@ -222,13 +222,13 @@
     :param is_ending: whether the process ends and never votes again.
     """
 
-    boot: int
-    label: int
-    missing: tuple[int, ...] = ()
+    boot_id: int
+    list_revision: int
+    pending_ranges: tuple[int, ...] = ()
     is_ending: bool = False
 
 
-class HandOnMessage(message.PeerMessage, tag=28):
+class KeyHandoverMessage(message.PeerMessage, tag=28):
     """Hands the record of a finished key on.
 
     :param target_boot: the receiver's process.
@@ -238,10 +238,10 @@
     :param verdict: the answer's verdict, as for :class:`PassEndedMessage`.
     """
 
-    target_boot: int
+    target_boot_id: int
     key: bytes
     fingerprint: int
-    claim: int
+    claim_number: int
     verdict: verdict_module.Verdict
     answer_status: int
     headers: tuple[tuple[str, str], ...]
@@ -270,8 +270,8 @@
     :param number: the pass.
     """
 
-    target_boot: int
-    boot: int
+    target_boot_id: int
+    boot_id: int
     number: int
 
 
@@ -285,7 +285,7 @@
     :param ticket: the ticket.
     """
 
-    target_boot: int
+    target_boot_id: int
     number: int
     ticket: int
 
@@ -294,12 +294,12 @@
     ClaimMessage
     | VoteMessage
     | ReleaseMessage
-    | PassMessage
-    | PassEndedMessage
-    | InheritMessage
-    | InheritedMessage
+    | ForwardMessage
+    | ForwardEndedMessage
+    | VotesRequestMessage
+    | VotesMessage
     | ReportMessage
-    | HandOnMessage
+    | KeyHandoverMessage
     | HoldersMessage
     | TicketRequestMessage
     | TicketMessage
--- a/skylarkfold/requests/_retry.py
+++ b/skylarkfold/requests/_retry_scheduler.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from skylarkfold.requests import _budget
 from skylarkfold.requests import _context
-from skylarkfold.requests import _exchange
+from skylarkfold.requests import _execution
+from skylarkfold.requests import _retry_budget
 from skylarkfold import service as service_module
 
 
-class Retries:
+class RetryScheduler:
     """Allows retries that are safe, useful and within the budget.
 
     :param context: what the parts of the core share.
@@ -19,22 +19,22 @@
     def __init__(self, context: _context.Context) -> None:
         self._context = context
         self._settings = context.settings
-        self._budget = _budget.RetryBudget(context.settings)
-        self._waiting: dict[int, _exchange.Exchange] = {}
+        self._budget = _retry_budget.RetryBudget(context.settings)
+        self._waiting: dict[int, _execution.Execution] = {}
 
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def note_attempt(self, exchange: _exchange.Exchange) -> None:
+    def record_attempt(self, execution: _execution.Execution) -> None:
         """Count an attempt that has begun; its exchange waits no more.
 
         :param exchange: the exchange.
         """
-        self.forget(exchange.request.number)
-        if exchange.attempts == 1:
+        self.discard(execution.request.number)
+        if execution.attempts == 1:
             self._budget.earn()
 
-    def forget(self, number: int) -> None:
+    def discard(self, number: int) -> None:
         """Try an exchange no more.
 
         :param number: its request's number.
@@ -43,7 +43,7 @@
 
     def list_due(
         self, now: float, service_name: str
-    ) -> list[_exchange.Exchange]:
+    ) -> list[_execution.Execution]:
         """List the exchanges of a service that may be tried again.
 
         :param now: the time.
@@ -59,10 +59,10 @@
         """List the services for which an exchange waits."""
         return {each.request.service for each in self._waiting.values()}
 
-    def plan(
+    def schedule(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         service: service_module.Service | None,
     ) -> bool:
         """Let an exchange wait for a retry, taken from the budget.
@@ -72,40 +72,40 @@
         :param service: its service, None where it is no longer known.
         :returns: False where it must not be tried again.
         """
-        retry_at = self._find_time(now, exchange, service)
+        retry_at = self._compute_retry_time(now, execution, service)
         if retry_at is None:
             return False
-        exchange.state = _exchange.State.WAITING
-        exchange.retry_at = retry_at
-        self._waiting[exchange.request.number] = exchange
+        execution.state = _execution.ExecutionState.WAITING
+        execution.retry_at = retry_at
+        self._waiting[execution.request.number] = execution
         return True
 
-    def _find_time(
+    def _compute_retry_time(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         service: service_module.Service | None,
     ) -> float | None:
-        retry_at = now + self._draw_delay(exchange)
-        if exchange.may_have_run and not exchange.request.idempotent:
+        retry_at = now + self._compute_delay(execution)
+        if execution.may_have_run and not execution.request.idempotent:
             return None
-        if exchange.attempts >= self._settings.maximum_attempts:
+        if execution.attempts >= self._settings.maximum_attempts:
             return None
-        if retry_at >= exchange.deadline:
+        if retry_at >= execution.deadline:
             return None
-        if not has_other_upstream(exchange, service):
+        if not has_other_upstream(execution, service):
             return None
         return retry_at if self._budget.spend() else None
 
-    def _draw_delay(self, exchange: _exchange.Exchange) -> float:
-        return self._context.spread(
+    def _compute_delay(self, execution: _execution.Execution) -> float:
+        return self._context.jitter(
             self._settings.retry_delay_seconds,
-            f'{exchange.request.number}|{exchange.attempts}',
+            f'{execution.request.number}|{execution.attempts}',
         )
 
 
 def has_other_upstream(
-    exchange: _exchange.Exchange, service: service_module.Service | None
+    execution: _execution.Execution, service: service_module.Service | None
 ) -> bool:
     """Tell whether an upstream is left that has not failed an exchange.
 
@@ -115,6 +115,6 @@
     if service is None:
         return False
     return any(
-        each.takes_new_work and each.name not in exchange.failed
+        each.takes_new_work and each.name not in execution.failed
         for each in service.upstreams
     )
--- a/skylarkfold/requests/_stop.py
+++ b/skylarkfold/requests/_shutdown.py
@@ -8,22 +8,22 @@
 from skylarkfold import request as request_module
 from skylarkfold.requests import _answers
 from skylarkfold.requests import _context
+from skylarkfold.requests import _executor
+from skylarkfold.requests import _forwarder
+from skylarkfold.requests import _holder_manager
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _keys
-from skylarkfold.requests import _lifecycle
+from skylarkfold.requests import _keyed_requests
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _passes
-from skylarkfold.requests import _succession
 from skylarkfold import verdict as verdict_module
 
 ErrorCode = _answers.ErrorCode
 Verdict = verdict_module.Verdict
 
-_PACE_SECONDS = 0.1
-_PORTION = 200
+_STEP_SECONDS = 0.1
+_BATCH_SIZE = 200
 
 
-class Stop:
+class Shutdown:
     """Takes no new work once asked to, and knows when all is done.
 
     :param context: what the parts of the core share.
@@ -36,23 +36,23 @@
     def __init__(
         self,
         context: _context.Context,
-        lifecycle: _lifecycle.Lifecycle,
-        keys: _keys.Keys,
-        passes: _passes.Passes,
-        succession: _succession.Succession,
+        executor: _executor.RequestExecutor,
+        keyed_requests: _keyed_requests.KeyedRequests,
+        forwarder: _forwarder.RequestForwarder,
+        holder_manager: _holder_manager.HolderManager,
     ) -> None:
         self._context = context
-        self._lifecycle = lifecycle
-        self._keys = keys
-        self._passes = passes
-        self._succession = succession
+        self._executor = executor
+        self._keyed_requests = keyed_requests
+        self._forwarder = forwarder
+        self._holder_manager = holder_manager
         self._membership = member_module.EMPTY
         self._begun_at: float | None = None
-        self._next_at = 0.0
+        self._next_step_at = 0.0
         self.is_finished = False
 
     @property
-    def is_begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Tell whether the instance was asked to stop."""
         return self._begun_at is not None
 
@@ -63,21 +63,21 @@
         """
         if self._begun_at is None:
             self._begun_at = now
-            self._next_at = now
-            self._succession.is_stopping = True
+            self._next_step_at = now
+            self._holder_manager.is_stopping = True
 
-    def observe_membership(self, membership: member_module.Membership) -> None:
+    def update_membership(self, membership: member_module.Membership) -> None:
         """Take the newest membership.
 
         :param membership: all members as seen here.
         """
         self._membership = membership
 
-    def turn_away(
+    def refuse_or_forward(
         self,
         now: float,
         request: request_module.Request,
-        asker: _context.Asker,
+        requester: _context.Requester,
         deadline: float,
     ) -> None:
         """Refuse a request, or pass it on where a refusal can't be true.
@@ -90,70 +90,78 @@
         :param deadline: until when, by the local clock.
         """
         if not request.key or request.idempotent:
-            self._context.refuse(asker, Verdict.NOT_RUN, ErrorCode.STOPPING)
+            self._context.refuse(
+                requester, Verdict.NOT_RUN, ErrorCode.STOPPING
+            )
             return
         successor = self._find_successor()
-        if asker.peer or successor is None:
+        if requester.peer or successor is None:
             self._context.refuse(
-                asker, Verdict.MAY_HAVE_RUN, ErrorCode.STOPPING
+                requester, Verdict.MAY_HAVE_RUN, ErrorCode.STOPPING
             )
             return
-        passed = _passes.Pass(
+        forwarded = _forwarder.ForwardedRequest(
             peer=successor.name,
-            boot=successor.boot,
-            kind=_messages.PassKind.RECEIVE,
+            boot_id=successor.boot_id,
+            kind=_messages.ForwardKind.RECEIVE,
             request=request,
             deadline=deadline,
-            ended=functools.partial(self._end_passed, asker=asker),
+            on_ended=functools.partial(
+                self._end_forwarded, requester=requester
+            ),
         )
-        self._passes.send(now, passed)
+        self._forwarder.send(now, forwarded)
 
-    def finish(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Hand on, and leave once nothing runs any more.
 
         The process stays while others count on its votes, for a while.
 
         :param now: the time.
         """
-        if self._begun_at is None or self.is_finished or now < self._next_at:
+        if (
+            self._begun_at is None
+            or self.is_finished
+            or now < self._next_step_at
+        ):
             return
-        self._next_at = now + _PACE_SECONDS
+        self._next_step_at = now + _STEP_SECONDS
         successor = self._find_successor()
-        if self._is_busy() or not self._may_hand_on(now, successor):
+        if self._is_busy() or not self._can_hand_over(now, successor):
             return
         if successor is not None:
-            self._keys.hand_on(successor, _PORTION)
-        if successor is None or self._keys.is_handed_on:
+            self._keyed_requests.hand_over(successor, _BATCH_SIZE)
+        if successor is None or self._keyed_requests.is_handed_over:
             self.is_finished = True
-            self._succession.say_goodbye()
+            self._holder_manager.announce_end()
 
-    def _may_hand_on(
+    def _can_hand_over(
         self, now: float, successor: _holders.Holder | None
     ) -> bool:
         """Tell whether the votes on the keys have found their place."""
         is_late = now - self._begun_at > self._context.settings.hand_on_seconds
-        return successor is None or self._succession.is_released or is_late
+        return successor is None or self._holder_manager.is_unlisted or is_late
 
     def _is_busy(self) -> bool:
-        is_running = len(self._lifecycle) > 0 or len(self._passes) > 0
-        return is_running or not self._keys.is_idle
+        is_running = len(self._executor) > 0 or len(self._forwarder) > 0
+        return is_running or not self._keyed_requests.is_idle
 
-    def _end_passed(
+    def _end_forwarded(
         self,
         now: float,
-        status: _messages.PassStatus,
+        status: _messages.ForwardStatus,
         answer: request_module.Answer | None,
-        asker: _context.Asker,
+        requester: _context.Requester,
     ) -> None:
-        if answer is not None and _answers.is_lasting(answer):
-            self._context.reply(asker, answer)
+        if answer is not None and _answers.can_relay(answer):
+            self._context.reply(requester, answer)
         else:
             self._context.refuse(
-                asker, Verdict.MAY_HAVE_RUN, ErrorCode.STOPPING
+                requester, Verdict.MAY_HAVE_RUN, ErrorCode.STOPPING
             )
 
     def _find_successor(self) -> _holders.Holder | None:
-        holders = self._succession.holders
+        holders = self._holder_manager.holders
         if holders is None:
             return None
         candidates = [
--- a/skylarkfold/requests/_register.py
+++ b/skylarkfold/requests/_vote_table.py
@@ -13,7 +13,7 @@
 from skylarkfold.requests import _settings
 
 
-class Owner(NamedTuple):
+class ClaimId(NamedTuple):
     """A claim to a key.
 
     :param name: the instance that claims it.
@@ -22,21 +22,21 @@
     """
 
     name: str
-    boot: int
-    claim: int
+    boot_id: int
+    number: int
 
 
-Ballot = _messages.Ballot
-UNKNOWN = Owner('', 0, 0)
+VoteStatus = _messages.VoteStatus
+UNKNOWN_CLAIM = ClaimId('', 0, 0)
 
 
 @dataclasses.dataclass(slots=True)
-class _Record:
-    owner: Owner
-    touched: float
+class _Vote:
+    claim_id: ClaimId
+    last_asked_at: float
 
 
-class Register:
+class VoteTable:
     """Remembers which claim to each key got this holder's vote.
 
     :param settings: the request settings.
@@ -45,18 +45,18 @@
     def __init__(self, settings: _settings.RequestSettings) -> None:
         self._maximum = settings.maximum_votes
         self._retention_seconds = settings.vote_retention_seconds
-        self._records: collections.OrderedDict[bytes, _Record] = (
+        self._votes: collections.OrderedDict[bytes, _Vote] = (
             collections.OrderedDict()
         )
         self._is_closed = False
-        self.floor = 0
+        self.minimum_revision = 0
 
     def __len__(self) -> int:
-        return len(self._records)
+        return len(self._votes)
 
     def vote(
-        self, now: float, label: int, key: bytes, owner: Owner
-    ) -> tuple[Ballot, Owner]:
+        self, now: float, list_revision: int, key: bytes, claim_id: ClaimId
+    ) -> tuple[VoteStatus, ClaimId]:
         """Answer a claim.
 
         :param now: the time.
@@ -65,34 +65,34 @@
         :param owner: the claim.
         :returns: the ballot, and the claim that holds the vote.
         """
-        if label < self.floor or self._is_closed:
-            return Ballot.STALE, UNKNOWN
-        self.floor = label
-        record = self._records.get(key)
-        if record is not None:
-            record.touched = now
-            self._records.move_to_end(key)
-            if record.owner == owner:
-                return Ballot.ACCEPTED, owner
-            return Ballot.TAKEN, record.owner
-        if len(self._records) >= self._maximum:
-            return Ballot.FULL, UNKNOWN
-        self._records[key] = _Record(owner, now)
-        return Ballot.ACCEPTED, owner
-
-    def seal(self, label: int) -> None:
+        if list_revision < self.minimum_revision or self._is_closed:
+            return VoteStatus.STALE, UNKNOWN_CLAIM
+        self.minimum_revision = list_revision
+        vote = self._votes.get(key)
+        if vote is not None:
+            vote.last_asked_at = now
+            self._votes.move_to_end(key)
+            if vote.claim_id == claim_id:
+                return VoteStatus.ACCEPTED, claim_id
+            return VoteStatus.TAKEN, vote.claim_id
+        if len(self._votes) >= self._maximum:
+            return VoteStatus.FULL, UNKNOWN_CLAIM
+        self._votes[key] = _Vote(claim_id, now)
+        return VoteStatus.ACCEPTED, claim_id
+
+    def fence(self, list_revision: int) -> None:
         """Refuse claims that are made under a list before this one.
 
         :param label: the list's label.
         """
-        self.floor = max(self.floor, label)
+        self.minimum_revision = max(self.minimum_revision, list_revision)
 
     def close(self) -> None:
         """Never vote again: others have been told that this process left."""
         self._is_closed = True
 
     def release(
-        self, key: bytes, owner: Owner, successor: Owner | None
+        self, key: bytes, claim_id: ClaimId, successor: ClaimId | None
     ) -> None:
         """Take a vote back, or move it, at the word of its owner.
 
@@ -100,43 +100,47 @@
         :param owner: the claim that its claimant gave up.
         :param successor: the claim that follows it, None for none.
         """
-        record = self._records.get(key)
-        if record is None or record.owner != owner:
+        vote = self._votes.get(key)
+        if vote is None or vote.claim_id != claim_id:
             return
         if successor is None:
-            del self._records[key]
+            del self._votes[key]
         else:
-            record.owner = successor
+            vote.claim_id = successor
 
-    def take_release(
-        self, claimant: str, released: _messages.ReleaseMessage
+    def apply_release(
+        self, claimant: str, release: _messages.ReleaseMessage
     ) -> None:
         """Take a vote back, or move it, at the word of its claimant.
 
         :param claimant: the instance that made the claim.
         :param released: the claim, and who follows it.
         """
-        owner = Owner(claimant, released.boot, released.claim)
+        claim_id = ClaimId(claimant, release.boot_id, release.claim_number)
         successor = None
-        if released.successor:
-            successor = Owner(
-                released.successor, released.successor_boot, released.claim
+        if release.successor:
+            successor = ClaimId(
+                release.successor,
+                release.successor_boot_id,
+                release.claim_number,
             )
-        self.release(released.key, owner, successor)
+        self.release(release.key, claim_id, successor)
 
     def list_votes(
         self, ranges: frozenset[int]
-    ) -> Iterator[tuple[bytes, Owner]]:
+    ) -> Iterator[tuple[bytes, ClaimId]]:
         """List the votes in some ranges of keys.
 
         :param ranges: the ranges.
         :returns: keys with the claim that got the vote.
         """
-        for key, record in self._records.items():
-            if _holders.find_range(key) in ranges:
-                yield key, record.owner
+        for key, vote in self._votes.items():
+            if _holders.compute_range(key) in ranges:
+                yield key, vote.claim_id
 
-    def adopt(self, now: float, votes: Iterable[tuple[bytes, Owner]]) -> None:
+    def merge(
+        self, now: float, votes: Iterable[tuple[bytes, ClaimId]]
+    ) -> None:
         """Take over another holder's votes.
 
         Where the two differ either may have been decided, so the key's
@@ -146,12 +150,12 @@
         :param now: the time.
         :param votes: keys with the claim that got the vote.
         """
-        for key, owner in votes:
-            record = self._records.get(key)
-            if record is None:
-                self._records[key] = _Record(owner, now)
-            elif record.owner != owner:
-                record.owner = UNKNOWN
+        for key, claim_id in votes:
+            vote = self._votes.get(key)
+            if vote is None:
+                self._votes[key] = _Vote(claim_id, now)
+            elif vote.claim_id != claim_id:
+                vote.claim_id = UNKNOWN_CLAIM
 
     def expire(self, now: float) -> None:
         """Forget votes on keys that nobody may send again.
@@ -159,8 +163,8 @@
         :param now: the time.
         """
         oldest = now - self._retention_seconds
-        while self._records:
-            key = next(iter(self._records))
-            if self._records[key].touched > oldest:
+        while self._votes:
+            key = next(iter(self._votes))
+            if self._votes[key].last_asked_at > oldest:
                 return
-            del self._records[key]
+            del self._votes[key]
--- a/skylarkfold/requests/_voter.py
+++ b/skylarkfold/requests/_voter.py
@@ -7,9 +7,9 @@
 from skylarkfold.requests import _context
 from skylarkfold.requests import _holders
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _register
+from skylarkfold.requests import _vote_table
 
-Ballot = _messages.Ballot
+VoteStatus = _messages.VoteStatus
 
 
 class Voter:
@@ -20,20 +20,20 @@
     :param get_holders: gives the newest list of holders, None for none.
     """
 
-    __slots__ = ('_context', '_get_holders', '_register')
+    __slots__ = ('_context', '_get_holders', '_vote_table')
 
     def __init__(
         self,
         context: _context.Context,
-        register: _register.Register,
+        vote_table: _vote_table.VoteTable,
         get_holders: Callable[[], _holders.HolderList | None],
     ) -> None:
         self._context = context
-        self._register = register
+        self._vote_table = vote_table
         self._get_holders = get_holders
 
-    def vote(
-        self, now: float, sender: str, claim: _messages.ClaimMessage
+    def handle_claim(
+        self, now: float, sender: str, message: _messages.ClaimMessage
     ) -> None:
         """Answer a peer's claim to a key.
 
@@ -41,28 +41,34 @@
         :param sender: the claimant.
         :param claim: the claim.
         """
-        if claim.target_boot != self._context.boot:
+        if message.target_boot_id != self._context.boot_id:
             return
-        claimant = _register.Owner(sender, claim.boot, claim.claim)
-        ballot, owner = self._register.vote(
-            now, claim.label, claim.key, claimant
+        claim_id = _vote_table.ClaimId(
+            sender, message.boot_id, message.claim_number
+        )
+        status, holder_claim_id = self._vote_table.vote(
+            now, message.list_revision, message.key, claim_id
+        )
+        competitor = (
+            holder_claim_id
+            if status is VoteStatus.TAKEN
+            else _vote_table.UNKNOWN_CLAIM
         )
-        rival = owner if ballot is Ballot.TAKEN else _register.UNKNOWN
         vote = _messages.VoteMessage(
-            label=claim.label,
-            target_boot=claim.boot,
-            claim=claim.claim,
-            boot=self._context.boot,
-            ballot=ballot,
-            owner=rival.name,
-            owner_boot=rival.boot,
-            owner_claim=rival.claim,
+            list_revision=message.list_revision,
+            target_boot_id=message.boot_id,
+            claim_number=message.claim_number,
+            boot_id=self._context.boot_id,
+            status=status,
+            competitor=competitor.name,
+            competitor_boot_id=competitor.boot_id,
+            competitor_claim_number=competitor.number,
         )
-        self._tell_holders(sender, claim.label)
+        self._send_newer_list(sender, message.list_revision)
         self._context.send(sender, vote)
 
-    def release(
-        self, now: float, sender: str, released: _messages.ReleaseMessage
+    def handle_release(
+        self, now: float, sender: str, release: _messages.ReleaseMessage
     ) -> None:
         """Take a vote back at the word of the claim's maker.
 
@@ -70,15 +76,15 @@
         :param sender: the claimant.
         :param released: the claim, and who follows it.
         """
-        self._register.take_release(sender, released)
+        self._vote_table.apply_release(sender, release)
 
-    def _tell_holders(self, sender: str, label: int) -> None:
+    def _send_newer_list(self, sender: str, list_revision: int) -> None:
         holders = self._get_holders()
-        if holders is None or holders.label <= label:
+        if holders is None or holders.list_revision <= list_revision:
             return
-        told = _messages.HoldersMessage(
-            revision=holders.label,
+        message = _messages.HoldersMessage(
+            revision=holders.list_revision,
             version=holders.version,
-            value=_holders.write_value(holders.value),
+            value=_holders.encode_value(holders.value),
         )
-        self._context.send(sender, told)
+        self._context.send(sender, message)
--- a/skylarkfold/tests/requests/fleet.py
+++ b/skylarkfold/tests/requests/fleet.py
@@ -158,10 +158,10 @@
     def provide_holders(self):
         """Let the platform hold a settled list of all processes."""
         holders = tuple(
-            _holders.Holder(each.name, each.zone, each.core.context.boot)
+            _holders.Holder(each.name, each.zone, each.core.context.boot_id)
             for each in self.processes.values()
         )
-        value = _holders.write_value(_holders.HolderValue(holders))
+        value = _holders.encode_value(_holders.HolderValue(holders))
         self.revision += 1
         self.objects[_holders.PATH] = platform_api.StoredObject(
             _holders.PATH, 1, self.revision, value
--- a/skylarkfold/tests/requests/test_lifecycle.py
+++ b/skylarkfold/tests/requests/test_executor.py
@@ -11,7 +11,7 @@
 Verdict = verdict.Verdict
 
 
-class LifecycleTest(testtools.TestCase):
+class RequestExecutorTest(testtools.TestCase):
     """One instance's requests from admission to answer."""
 
     def begin(self, core, number=1, now=1.0, **options):
--- a/skylarkfold/tests/requests/test_holders.py
+++ b/skylarkfold/tests/requests/test_holders.py
@@ -13,10 +13,10 @@
     return _holders.Holder(f'e-{number}', f'zone-{number % 4}', number)
 
 
-def make_list(numbers, before=None, label=1):
+def make_list(numbers, before=None, revision=1):
     current = tuple(make_holder(each) for each in sorted(numbers))
     value = _holders.HolderValue(current)
-    return _holders.HolderList(label, label, value, before)
+    return _holders.HolderList(revision, revision, value, before)
 
 
 class HoldersTest(testtools.TestCase):
@@ -26,7 +26,7 @@
         holders = make_list(range(12))
         for number in range(LIMIT):
             zones = {each.zone for each in holders.get_current(number)}
-            self.assertEqual(_holders.COPIES, len(zones))
+            self.assertEqual(_holders.HOLDERS_PER_RANGE, len(zones))
 
     def test_one_zone_gives_three_holders_too(self):
         holders = make_list(range(0, 40, 4))
@@ -64,41 +64,43 @@
 
     def test_value_survives_the_store(self):
         value = make_list(range(3)).value
-        written = _holders.write_value(value)
+        written = _holders.encode_value(value)
         changed = platform_api.StoredObject(_holders.PATH, 4, 9, written)
-        read = _holders.read_list(changed)
-        self.assertEqual((value, 9, 4), (read.value, read.label, read.version))
+        read = _holders.decode_list(changed)
+        self.assertEqual(
+            (value, 9, 4), (read.value, read.list_revision, read.version)
+        )
 
     def test_malformed_value_is_an_error(self):
         changed = platform_api.StoredObject(_holders.PATH, 4, 9, b'[1]')
-        self.assertRaises(errors.DecodeError, _holders.read_list, changed)
+        self.assertRaises(errors.DecodeError, _holders.decode_list, changed)
 
 
 class ChangeTest(testtools.TestCase):
     """Ranges on their way from one set of holders to another."""
 
-    def change(self, before, numbers, label):
+    def replace(self, before, numbers, revision):
         wanted = tuple(make_holder(each) for each in sorted(numbers))
-        value = before.change(wanted)
-        return _holders.HolderList(label, label, value, before)
+        value = before.build_replacement(wanted)
+        return _holders.HolderList(revision, revision, value, before)
 
     def test_moved_range_depends_on_both_sets(self):
         before = make_list(range(5))
-        after = self.change(before, range(1, 5), 2)
+        after = self.replace(before, range(1, 5), 2)
         for number in range(_holders.RANGES):
             sets = after.list_sets(number)
             self.assertEqual(after.get_current(number), sets[0])
-            if number in after.list_moved():
+            if number in after.list_pending():
                 self.assertEqual(before.get_current(number), sets[1])
             else:
                 self.assertEqual(1, len(sets))
 
     def test_second_change_keeps_what_a_range_depends_on(self):
         first = make_list(range(5))
-        second = self.change(first, range(1, 5), 2)
-        third = self.change(second, range(2, 5), 3)
-        for number in second.list_moved():
-            if number in third.list_moved():
+        second = self.replace(first, range(1, 5), 2)
+        third = self.replace(second, range(2, 5), 3)
+        for number in second.list_pending():
+            if number in third.list_pending():
                 self.assertEqual(
                     first.get_current(number), third.get_previous(number)
                 )
@@ -109,18 +111,18 @@
 
     def test_change_that_is_taken_back_needs_no_taking_over(self):
         first = make_list(range(5))
-        second = self.change(first, range(1, 5), 2)
-        third = self.change(second, range(5), 3)
-        self.assertEqual([], third.list_moved())
+        second = self.replace(first, range(1, 5), 2)
+        third = self.replace(second, range(5), 3)
+        self.assertEqual([], third.list_pending())
 
     def test_settled_ranges_depend_on_nothing_and_the_rest_still_does(self):
         first = make_list(range(5))
-        second = self.change(first, range(1, 5), 2)
-        stuck = second.list_moved()[0]
-        rest = frozenset(second.list_moved()) - {stuck}
-        value = second.settle(rest)
+        second = self.replace(first, range(1, 5), 2)
+        stuck = second.list_pending()[0]
+        rest = frozenset(second.list_pending()) - {stuck}
+        value = second.build_completion(rest)
         third = _holders.HolderList(3, 3, value, second)
-        self.assertEqual([stuck], third.list_moved())
+        self.assertEqual([stuck], third.list_pending())
         self.assertEqual(first.get_current(stuck), third.get_previous(stuck))
-        value = third.settle(frozenset({stuck}))
+        value = third.build_completion(frozenset({stuck}))
         self.assertFalse(_holders.HolderList(4, 4, value).is_joint)
--- a/skylarkfold/tests/requests/test_memory.py
+++ b/skylarkfold/tests/requests/test_key_memory.py
@@ -1,8 +1,8 @@
 import testtools
 
 from skylarkfold import requests
-from skylarkfold.requests import _memory
-from skylarkfold.requests import _record
+from skylarkfold.requests import _key_memory
+from skylarkfold.requests import _key_record
 from skylarkfold.tests.requests import samples
 from skylarkfold import verdict
 
@@ -17,12 +17,14 @@
         self.settings = requests.RequestSettings(
             maximum_keys=3, maximum_answer_bytes=10, maximum_waiting_bytes=10
         )
-        self.memory = _memory.KeyMemory(self.settings)
+        self.memory = _key_memory.KeyMemory(self.settings)
 
     def add(self, number, body=b'1234'):
         made = samples.make_request(number, key=f'k-{number}', body=body)
-        key = _record.digest_key(made)
-        record = _record.KeyRecord(key, _record.digest_request(made), made)
+        key = _key_record.digest_key(made)
+        record = _key_record.KeyRecord(
+            key, _key_record.digest_request(made), made
+        )
         self.memory.add(record)
         return record
 
--- a/skylarkfold/tests/requests/test_keys.py
+++ b/skylarkfold/tests/requests/test_keys.py
@@ -27,7 +27,7 @@
     def test_list_settles(self):
         self.fleet = fleet.Fleet()
         self.fleet.settle(4.0)
-        holders = self.fleet.processes['e-0'].core.succession.holders
+        holders = self.fleet.processes['e-0'].core.holder_manager.holders
         self.assertEqual(5, len(holders.value.current))
         self.assertFalse(holders.is_joint)
 
@@ -240,10 +240,10 @@
         self.assertIn(Verdict.MAY_HAVE_RUN, self.ask_many('e-2'))
 
     def test_old_report_of_a_process_before_does_not_list_it(self):
-        old = _messages.ReportMessage(boot=7, label=0)
+        old = _messages.ReportMessage(boot_id=7, list_revision=0)
         core = self.fleet.processes['e-0'].core
-        core.succession.take_report(self.fleet.now, 'e-1', old)
-        core.succession.take_report(self.fleet.now, 'e-1', old)
+        core.holder_manager.record_report(self.fleet.now, 'e-1', old)
+        core.holder_manager.record_report(self.fleet.now, 'e-1', old)
         revision = self.fleet.revision
         self.fleet.settle(4.0)
         self.assertEqual(revision, self.fleet.revision)
@@ -271,7 +271,7 @@
             self.fleet.serve()
         self.fleet.settle(0.5)
         self.fleet.stop('e-1')
-        while not (portion := self.list_letters(_messages.HandOnMessage)):
+        while not (portion := self.list_letters(_messages.KeyHandoverMessage)):
             self.fleet.exchange()
             self.fleet.advance(0.25)
         self.assertEqual(200, len(portion))
@@ -320,11 +320,11 @@
         self.fleet.settle(0.5, runs=False)
         asked = self.fleet.ask('e-2', 'k', timeout=8.0)
         self.fleet.exchange()
-        while not self.list_letters(_messages.PassEndedMessage):
+        while not self.list_letters(_messages.ForwardEndedMessage):
             for attempt in list(self.fleet.attempts):
                 self.fleet.end(attempt, fleet.Outcome.REFUSED)
             self.fleet.advance(0.2)
-        outdated = self.take(_messages.PassEndedMessage)
+        outdated = self.take(_messages.ForwardEndedMessage)
         third = self.fleet.ask('e-3', 'k')
         self.fleet.settle()
         self.assert_verdict(Verdict.RAN, third)
@@ -338,8 +338,8 @@
         self.fleet.advance(50.0)
         self.fleet.advance(1.0)
         for process in self.fleet.list_alive():
-            self.assertEqual(0, len(process.core.keys))
-            self.assertEqual(0, len(process.core.register))
+            self.assertEqual(0, len(process.core.keyed_requests))
+            self.assertEqual(0, len(process.core.vote_table))
 
     def test_claim_of_a_caller_past_its_deadline_is_dropped(self):
         self.fleet.cut_zone('hall-a')
@@ -357,7 +357,7 @@
         self.fleet.ask('e-1', 'k')
         self.deliver(_messages.TicketRequestMessage)
         self.deliver(_messages.TicketMessage)
-        delayed = self.take(_messages.PassMessage)
+        delayed = self.take(_messages.ForwardMessage)
         ask = self.fleet.ask('e-2', 'k')
         self.fleet.settle()
         self.assert_verdict(Verdict.RAN, ask)
@@ -373,7 +373,7 @@
         ask = self.fleet.ask('e-1', 'k')
         self.deliver(_messages.TicketRequestMessage)
         self.deliver(_messages.TicketMessage)
-        doubled = self.take(_messages.PassMessage)
+        doubled = self.take(_messages.ForwardMessage)
         for _ in range(3):
             self.fleet.deliver(doubled, keep=True)
             self.fleet.settle()
--- a/skylarkfold/tests/requests/test_machine.py
+++ b/skylarkfold/tests/requests/test_state_machine.py
@@ -4,10 +4,10 @@
 import testtools
 
 from skylarkfold import requests
+from skylarkfold.requests import _executor
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _lifecycle
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _register
+from skylarkfold.requests import _vote_table
 from skylarkfold.tests.requests import chaos
 from skylarkfold.tests.requests import fleet
 
@@ -28,31 +28,31 @@
 )
 
 
-class AcceptingRegister(_register.Register):
+class AcceptingVoteTable(_vote_table.VoteTable):
     """Votes for every claim."""
 
-    def vote(self, now, label, key, owner):
-        return _messages.Ballot.ACCEPTED, owner
+    def vote(self, now, list_revision, key, claim_id):
+        return _messages.VoteStatus.ACCEPTED, claim_id
 
 
-class RepeatingLifecycle(_lifecycle.Lifecycle):
+class RepeatingExecutor(_executor.RequestExecutor):
     """Takes a broken attempt for one that did not run."""
 
-    def _judge_failure(self, now, exchange, outcome, answer):
-        refused = _lifecycle.Outcome.REFUSED
-        super()._judge_failure(now, exchange, refused, answer)
+    def _handle_failure(self, now, execution, outcome, answer):
+        refused = _executor.Outcome.REFUSED
+        super()._handle_failure(now, execution, refused, answer)
 
 
 class AcceptingCore(requests.RequestCore):
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.register.__class__ = AcceptingRegister
+        self.vote_table.__class__ = AcceptingVoteTable
 
 
 class RepeatingCore(requests.RequestCore):
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.lifecycle.__class__ = RepeatingLifecycle
+        self.executor.__class__ = RepeatingExecutor
 
 
 class Machine(stateful.RuleBasedStateMachine):
--- a/skylarkfold/tests/requests/test_returns.py
+++ b/skylarkfold/tests/requests/test_store_rollback.py
@@ -31,7 +31,7 @@
 def store(value, version, number, era):
     """Give a list as the store has it."""
     revision = int(revisions.Revision(number, era))
-    written = None if value is None else _holders.write_value(value)
+    written = None if value is None else _holders.encode_value(value)
     return platform_api.StoredObject(_holders.PATH, version, revision, written)
 
 
@@ -68,7 +68,7 @@
         ]
 
     def get_holders(self):
-        return self.core.succession.holders
+        return self.core.holder_manager.holders
 
     def test_an_older_list_does_not_replace_the_newest(self):
         self.see(store(build_list('entry-2', serial=5), 5, 26, 2))
@@ -78,11 +78,11 @@
         self.see(store(build_list('entry-2', serial=5), 5, 26, 2))
         write = self.wait(1.0)[0]
         self.assertEqual(5, write.expected_version)
-        self.assertEqual(_holders.write_value(self.newest), write.value)
+        self.assertEqual(_holders.encode_value(self.newest), write.value)
         written = store(self.newest, 6, 30, 2)
         ended = event.WriteEnded(_holders.PATH, OK, written)
         self.core.handle(self.now, ended)
-        self.assertEqual(written.revision, self.get_holders().label)
+        self.assertEqual(written.revision, self.get_holders().list_revision)
         self.assertEqual(6, self.get_holders().version)
         self.assertNotIn(write.value, [each.value for each in self.wait(3.0)])
 
@@ -93,13 +93,13 @@
         again = store(self.newest, 6, 30, 2)
         ended = event.WriteEnded(_holders.PATH, CONFLICT, again)
         self.core.handle(self.now, ended)
-        self.assertEqual(again.revision, self.get_holders().label)
+        self.assertEqual(again.revision, self.get_holders().list_revision)
 
     def test_one_that_the_copy_lacks_is_written_again(self):
         self.see(store(None, 8, 26, 2))
         write = self.wait(1.0)[0]
         self.assertEqual(0, write.expected_version)
-        self.assertEqual(_holders.write_value(self.newest), write.value)
+        self.assertEqual(_holders.encode_value(self.newest), write.value)
 
     def test_a_later_list_counts_whatever_its_version(self):
         later = build_list(NAME, 'entry-3', serial=8)
@@ -109,14 +109,14 @@
     def test_each_change_has_a_serial_of_its_own(self):
         holders = self.get_holders()
         wanted = (_holders.Holder(NAME, 'hall-a', 1),)
-        changed = holders.change(wanted)
+        changed = holders.build_replacement(wanted)
         self.assertEqual(8, changed.serial)
         joint = _holders.HolderList(2, 2, changed)
-        self.assertEqual(9, joint.settle(frozenset()).serial)
+        self.assertEqual(9, joint.build_completion(frozenset()).serial)
 
     def test_lists_of_before_there_were_serials_go_by_their_revision(self):
         core = samples.make_core(name=NAME)
         first, second = build_list(NAME), build_list(NAME, 'entry-2')
         for found in (store(first, 1, 3, 1), store(second, 2, 4, 1)):
             core.handle(0.0, event.ObjectChanged(found))
-        self.assertEqual(second, core.succession.holders.value)
+        self.assertEqual(second, core.holder_manager.holders.value)
