--- a/skylarkfold/requests/_forwarder.py
+++ b/skylarkfold/requests/_forwarder.py
@@ -124,12 +124,12 @@
         self._tickets_issued += 1
         ticket = self._context.draw(f'ticket|{self._tickets_issued}')
         self._tickets[ticket] = now + self._context.settings.pause_seconds
-        ticket_request = _messages.TicketMessage(
+        ticket_message = _messages.TicketMessage(
             target_boot_id=ticket_request.boot_id,
             number=ticket_request.number,
             ticket=ticket,
         )
-        self._context.send(sender, ticket_request)
+        self._context.send(sender, ticket_message)
 
     def use_ticket(
         self, now: float, sender: str, ticket_message: _messages.TicketMessage
--- a/skylarkfold/requests/_key_handover.py
+++ b/skylarkfold/requests/_key_handover.py
@@ -84,7 +84,7 @@
             body=handed.body,
             code=handed.code,
         )
-        self._memory.end(now, record, answer)
+        self._memory.store_answer(now, record, answer)
 
     def _send(
         self, record: _key_record.KeyRecord, successor: _holders.Holder
--- a/skylarkfold/requests/_key_memory.py
+++ b/skylarkfold/requests/_key_memory.py
@@ -74,7 +74,7 @@
         if self._active.pop(record.key, None) is not None:
             self._active_bytes -= len(record.request.body)
 
-    def end(
+    def store_answer(
         self,
         now: float,
         record: _key_record.KeyRecord,
--- a/skylarkfold/requests/_keyed_requests.py
+++ b/skylarkfold/requests/_keyed_requests.py
@@ -181,7 +181,7 @@
             self._claim_client.abandon(now, record)
             self._memory.drop(record)
         else:
-            self._memory.end(now, record, answer)
+            self._memory.store_answer(now, record, answer)
             self._handover.record_ended(record)
         self._context.reply_all(record.requesters, answer)
         return True
--- a/skylarkfold/tests/requests/chaos.py
+++ b/skylarkfold/tests/requests/chaos.py
@@ -7,7 +7,7 @@
 
 Outcome = request_module.Outcome
 State = fleet.State
-SPANS = (0.3, 0.3, 1.0, 1.0, 3.0, 7.0, 25.0, 45.0)
+TIME_STEPS = (0.3, 0.3, 1.0, 1.0, 3.0, 7.0, 25.0, 45.0)
 VIEWS = (State.ALIVE, State.ALIVE, State.SUSPECT, State.DEAD)
 BODIES = (b'x', b'x', b'x', b'other')
 TIMEOUTS = (0.2, 1.0, 5.0, 5.0, 5.0, 20.0)
@@ -25,7 +25,7 @@
 
     def __init__(self, size=5, core_type=requests.RequestCore, **options):
         self.fleet = fleet.Fleet(size, core_type, **options)
-        self.fleet.tells_leaving = False
+        self.fleet.announces_leaving = False
         self.fleet.provide_holders()
         self.first_sent = {}
         self.last_key = 0
@@ -49,36 +49,38 @@
         if known:
             self._send(choose(known, -1 - a % 4), choose(BODIES, b), c)
 
-    def send_plain(self, a, b, c):
+    def send_unkeyed(self, a, b, c):
         self.last_key += 1
         body = f'plain {self.last_key}'.encode()
         names = self.list_names()
         if names:
-            self.fleet.ask(choose(names, a), body=body, idempotent=b % 2 == 0)
+            self.fleet.send_request(
+                choose(names, a), body=body, idempotent=b % 2 == 0
+            )
 
     def _send(self, key, body, number):
         names = self.list_names()
         if names:
             timeout = choose(TIMEOUTS, number // 16)
             name = choose(names, number)
-            self.fleet.ask(name, key, body, timeout=timeout)
+            self.fleet.send_request(name, key, body, timeout=timeout)
 
     def cancel(self, a, b, c):
-        asks = list(self.fleet.asks.values())
-        if asks:
-            self.fleet.cancel(choose(asks, -1 - a % 4))
+        sent_requests = list(self.fleet.sent_requests.values())
+        if sent_requests:
+            self.fleet.cancel(choose(sent_requests, -1 - a % 4))
 
     def deliver(self, a, b, c):
-        if self.fleet.letters:
-            self.fleet.deliver(choose(self.fleet.letters, a))
+        if self.fleet.envelopes:
+            self.fleet.deliver(choose(self.fleet.envelopes, a))
 
-    def double(self, a, b, c):
-        if self.fleet.letters:
-            self.fleet.deliver(choose(self.fleet.letters, a), keep=True)
+    def duplicate(self, a, b, c):
+        if self.fleet.envelopes:
+            self.fleet.deliver(choose(self.fleet.envelopes, a), keep=True)
 
     def drop(self, a, b, c):
-        if self.fleet.letters:
-            self.fleet.letters.remove(choose(self.fleet.letters, a))
+        if self.fleet.envelopes:
+            self.fleet.envelopes.remove(choose(self.fleet.envelopes, a))
 
     def exchange(self, a, b, c):
         self.fleet.exchange()
@@ -90,12 +92,12 @@
         self.fleet.serve()
 
     def run(self, a, b, c):
-        waiting = [each for each in self.fleet.attempts if not each.has_ran]
+        waiting = [each for each in self.fleet.attempts if not each.has_run]
         if waiting:
             self.fleet.run(choose(waiting, a))
 
     def answer(self, a, b, c):
-        ran = [each for each in self.fleet.attempts if each.has_ran]
+        ran = [each for each in self.fleet.attempts if each.has_run]
         if ran:
             self.fleet.answer(choose(ran, a), is_whole=b % 3 > 0)
 
@@ -103,23 +105,23 @@
         if not self.fleet.attempts:
             return
         attempt = choose(self.fleet.attempts, a)
-        if attempt.has_ran or b % 2:
+        if attempt.has_run or b % 2:
             self.fleet.end(attempt, choose(LOST, c))
         else:
             self.fleet.end(attempt, choose(REFUSED, c))
 
     def run_and_fail(self, a, b, c):
         self.run(a, b, c)
-        ran = [each for each in self.fleet.attempts if each.has_ran]
+        ran = [each for each in self.fleet.attempts if each.has_run]
         if ran:
             self.fleet.end(choose(ran, b), choose(LOST, c))
 
-    def run_stray(self, a, b, c):
-        if self.fleet.strays:
-            self.fleet.run_stray(choose(self.fleet.strays, a))
+    def run_abandoned(self, a, b, c):
+        if self.fleet.abandoned_attempts:
+            self.fleet.run_abandoned(choose(self.fleet.abandoned_attempts, a))
 
     def advance(self, a, b, c):
-        self.fleet.advance(choose(SPANS, a))
+        self.fleet.advance(choose(TIME_STEPS, a))
 
     def kill(self, a, b, c):
         names = self.list_names()
@@ -147,22 +149,22 @@
         if paused:
             self.fleet.resume(choose(paused, a))
 
-    def cut(self, a, b, c):
+    def break_links(self, a, b, c):
         names = list(self.fleet.processes)
         if a % 2:
-            self.fleet.cut_zone(choose(fleet.ZONES, b))
+            self.fleet.isolate_zone(choose(fleet.ZONES, b))
         else:
             pair = choose(names, b), choose(names, c)
-            self.fleet.cuts.add(frozenset(pair))
+            self.fleet.broken_links.add(frozenset(pair))
 
     def heal(self, a, b, c):
-        self.fleet.cuts.clear()
+        self.fleet.broken_links.clear()
 
     def lose_stream(self, a, b, c):
         names = list(self.fleet.processes)
         self.fleet.lose_stream(choose(names, a), choose(names, b))
 
-    def view(self, a, b, c):
+    def change_view(self, a, b, c):
         living = self.fleet.list_alive()
         name = choose(list(self.fleet.processes), b)
         if not living:
@@ -170,7 +172,7 @@
         state = choose(VIEWS, c)
         if name in self.fleet.left:
             state = State.LEFT
-        self.fleet.view(choose(living, a), name, state)
+        self.fleet.set_view(choose(living, a), name, state)
 
     def toggle_platform(self, a, b, c):
         self.fleet.is_platform_up = not self.fleet.is_platform_up
@@ -180,10 +182,10 @@
             process, write = choose(self.fleet.writes, a)
             self.fleet.write(process, write, is_answered=b % 3 > 0)
 
-    def inform(self, a, b, c):
+    def deliver_objects(self, a, b, c):
         living = self.fleet.list_alive()
         if living:
-            self.fleet.inform(choose(living, a))
+            self.fleet.deliver_objects(choose(living, a))
 
     def stop(self, a, b, c):
         running = [
@@ -214,8 +216,8 @@
     """Count answers by verdict."""
     answers = [
         answer
-        for asked in chaos.fleet.asks.values()
-        for answer in asked.answers
+        for sent in chaos.fleet.sent_requests.values()
+        for answer in sent.answers
     ]
     counts = dict.fromkeys(verdict_module.Verdict, 0)
     for answer in answers:
--- a/skylarkfold/tests/requests/fleet.py
+++ b/skylarkfold/tests/requests/fleet.py
@@ -30,7 +30,7 @@
 CLOCK_STEP_SECONDS = 1000.0
 
 
-class Violation(AssertionError):
+class InvariantViolation(AssertionError):
     """A promise was broken."""
 
 
@@ -44,12 +44,12 @@
     is_alive: bool = True
     is_paused: bool = False
     is_stopping: bool = False
-    seen: int = 0
+    seen_revision: int = 0
     inbox: list = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Letter:
+class Envelope:
     source: Process
     target: str
     message: object
@@ -60,7 +60,7 @@
     process: Process
     dispatch: effect.DispatchAttempt
     sent_at: float
-    has_ran: bool = False
+    has_run: bool = False
 
     @property
     def identity(self):
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Ask:
+class SentRequest:
     process: Process
     request: request_module.Request
     answers: list = dataclasses.field(default_factory=list)
@@ -79,7 +79,7 @@
     return request.key, request.body
 
 
-class Judge:
+class Checker:
     """Knows what ran and checks what callers are told."""
 
     def __init__(self):
@@ -97,12 +97,12 @@
             body = self.keys.setdefault(request.key, request.body)
             self._check(body == request.body, f'{request.key} ran twice')
 
-    def answer(self, ask, answer, attempts):
-        identity = identify(ask.request)
-        ask.answers.append(answer)
-        self._check(len(ask.answers) == 1, f'{identity} answered twice')
+    def answer(self, sent, answer, attempts):
+        identity = identify(sent.request)
+        sent.answers.append(answer)
+        self._check(len(sent.answers) == 1, f'{identity} answered twice')
         if answer.verdict is Verdict.RAN:
-            whole = ask.request.body + END
+            whole = sent.request.body + END
             self._check(
                 answer.body == whole, f'{identity} got {answer.body!r}'
             )
@@ -117,7 +117,7 @@
 
     def _check(self, holds, text):
         if not holds:
-            raise Violation(text)
+            raise InvariantViolation(text)
 
 
 class Fleet:
@@ -131,18 +131,18 @@
         self.settings = requests.RequestSettings(**chosen | options)
         self.core_type = core_type
         self.now = 0.0
-        self.judge = Judge()
-        self.letters = []
+        self.checker = Checker()
+        self.envelopes = []
         self.attempts = []
-        self.strays = []
+        self.abandoned_attempts = []
         self.writes = []
-        self.asks = {}
+        self.sent_requests = {}
         self.objects = {}
         self.revision = 0
         self.is_platform_up = True
-        self.cuts = set()
+        self.broken_links = set()
         self.left = set()
-        self.tells_leaving = True
+        self.announces_leaving = True
         self.processes = {}
         self.last_seed = 0
         self.last_number = 0
@@ -167,7 +167,7 @@
             _holders.PATH, 1, self.revision, value
         )
         for each in self.list_alive():
-            self.inform(each)
+            self.deliver_objects(each)
 
     def declare_gone(self, *names):
         """Let operators say that instances are gone for good."""
@@ -197,20 +197,20 @@
         self.feed(process, event.ConfigurationChanged(self.configuration))
         for each in self.processes.values():
             if is_known or name not in each.views:
-                self.view(each, name, State.ALIVE)
-            self.view(process, each.name, State.ALIVE)
+                self.set_view(each, name, State.ALIVE)
+            self.set_view(process, each.name, State.ALIVE)
 
     def kill(self, name, is_known=True):
         self.processes[name].is_alive = False
         if is_known:
-            self.see(name, State.DEAD)
+            self.set_member_state(name, State.DEAD)
 
-    def see(self, name, state):
+    def set_member_state(self, name, state):
         """Let all living processes see a member in a state."""
         for each in self.list_alive():
-            self.view(each, name, state)
+            self.set_view(each, name, state)
 
-    def view(self, process, name, state):
+    def set_view(self, process, name, state):
         """Let one process see a member in a state."""
         if name == process.name and state is not State.ALIVE:
             return
@@ -228,10 +228,10 @@
         membership = member.Membership(len(members), members)
         self.feed(process, event.MembershipChanged(membership))
 
-    def cancel(self, asked):
+    def cancel(self, sent):
         """Let a caller go away."""
-        number = asked.request.number
-        self.feed(asked.process, event.RequestCancelled(number))
+        number = sent.request.number
+        self.feed(sent.process, event.RequestCancelled(number))
 
     def list_alive(self):
         return [each for each in self.processes.values() if each.is_alive]
@@ -248,24 +248,26 @@
         if process.is_stopping and process.core.is_finished:
             process.is_alive = False
             self.left.add(process.name)
-            if self.tells_leaving:
-                self.see(process.name, State.LEFT)
+            if self.announces_leaving:
+                self.set_member_state(process.name, State.LEFT)
 
     def _perform(self, process, produced):
         if isinstance(produced, effect.SendToPeer):
-            letter = Letter(process, produced.peer, produced.message)
-            self.letters.append(letter)
+            envelope = Envelope(process, produced.peer, produced.message)
+            self.envelopes.append(envelope)
         elif isinstance(produced, effect.DispatchAttempt):
             self.attempts.append(Attempt(process, produced, self.now))
         elif isinstance(produced, effect.CancelAttempt):
             pass
         elif isinstance(produced, effect.SendAnswer):
-            ask = self.asks[id(process), produced.request]
-            self.judge.answer(ask, produced.answer, self._list_startable())
+            sent = self.sent_requests[id(process), produced.request]
+            self.checker.answer(sent, produced.answer, self._list_startable())
         elif isinstance(produced, effect.RequestWrite):
             self.writes.append((process, produced.write))
 
-    def ask(self, name, key='', body=b'x', idempotent=False, timeout=5.0):
+    def send_request(
+        self, name, key='', body=b'x', idempotent=False, timeout=5.0
+    ):
         """Let a caller send a request to an instance."""
         self.last_number += 1
         process = self.processes[name]
@@ -276,41 +278,41 @@
             idempotent=idempotent,
             timeout_seconds=timeout,
         )
-        asked = Ask(process, made)
-        self.asks[id(process), made.number] = asked
+        sent = SentRequest(process, made)
+        self.sent_requests[id(process), made.number] = sent
         self.feed(process, event.RequestReceived(made))
-        return asked
+        return sent
 
-    def is_cut(self, one, other):
-        return frozenset((one, other)) in self.cuts
+    def is_link_broken(self, one, other):
+        return frozenset((one, other)) in self.broken_links
 
-    def cut_zone(self, zone):
+    def isolate_zone(self, zone):
         """Cut a zone off from the others."""
         for one in self.processes.values():
             for other in self.processes.values():
                 if (one.zone == zone) != (other.zone == zone):
-                    self.cuts.add(frozenset((one.name, other.name)))
+                    self.broken_links.add(frozenset((one.name, other.name)))
 
-    def deliver(self, letter, keep=False):
+    def deliver(self, envelope, keep=False):
         """Deliver a letter unless the two are cut off."""
-        if self.is_cut(letter.source.name, letter.target):
+        if self.is_link_broken(envelope.source.name, envelope.target):
             return
         if not keep:
-            self.letters.remove(letter)
-        target = self.processes.get(letter.target)
+            self.envelopes.remove(envelope)
+        target = self.processes.get(envelope.target)
         if target is None:
             return
         decoder = codec.StreamDecoder(requests.MESSAGES)
-        [decoded] = decoder.feed(codec.encode(letter.message))
-        received = event.PeerMessageReceived(letter.source.name, decoded)
+        [decoded] = decoder.feed(codec.encode(envelope.message))
+        received = event.PeerMessageReceived(envelope.source.name, decoded)
         self.feed(target, received)
 
     def lose_stream(self, one, other):
         """Drop what is on its way between two and tell both."""
         pair = {one, other}
-        self.letters = [
+        self.envelopes = [
             each
-            for each in self.letters
+            for each in self.envelopes
             if {each.source.name, each.target} != pair
         ]
         self.feed(self.processes[one], event.PeerLost(other))
@@ -336,9 +338,9 @@
             ended = event.WriteEnded(write.path, unknown, None)
         self.feed(process, ended)
 
-    def inform(self, process):
+    def deliver_objects(self, process):
         """Let a process learn the newest objects."""
-        process.seen = self.revision
+        process.seen_revision = self.revision
         for known in self.objects.values():
             self.feed(process, event.ObjectChanged(known))
 
@@ -347,8 +349,8 @@
         if not self._can_start(attempt):
             self.end(attempt, Outcome.REFUSED)
             return
-        attempt.has_ran = True
-        self.judge.run(attempt)
+        attempt.has_run = True
+        self.checker.run(attempt)
 
     def answer(self, attempt, is_whole=True):
         """Let an upstream that ran answer."""
@@ -360,25 +362,25 @@
 
     def end(self, attempt, outcome, answer=None):
         self.attempts.remove(attempt)
-        if outcome in LOST and not attempt.has_ran:
-            self.strays.append(attempt)
+        if outcome in LOST and not attempt.has_run:
+            self.abandoned_attempts.append(attempt)
         ended = event.AttemptEnded(attempt.dispatch.attempt, outcome, answer)
         self.feed(attempt.process, ended)
 
     def _can_start(self, attempt):
         timeout = attempt.dispatch.timeout_seconds
-        return not attempt.has_ran and self.now < attempt.sent_at + timeout
+        return not attempt.has_run and self.now < attempt.sent_at + timeout
 
     def _list_startable(self):
-        both = self.attempts + self.strays
+        both = self.attempts + self.abandoned_attempts
         return [each for each in both if self._can_start(each)]
 
-    def run_stray(self, stray):
+    def run_abandoned(self, attempt):
         """Let an upstream run what its instance has given up."""
-        self.strays.remove(stray)
-        if self._can_start(stray):
-            stray.has_ran = True
-            self.judge.run(stray)
+        self.abandoned_attempts.remove(attempt)
+        if self._can_start(attempt):
+            attempt.has_run = True
+            self.checker.run(attempt)
 
     def advance(self, seconds):
         """Let time pass and tick everywhere, never rarely."""
@@ -403,7 +405,7 @@
         process = self.processes[name]
         process.is_stopping = True
         for each in self.list_alive():
-            self.view(each, name, State.LEAVING)
+            self.set_view(each, name, State.LEAVING)
         self.feed(process, event.StopRequested())
 
     def settle(self, seconds=1.0, runs=True):
@@ -422,27 +424,27 @@
         for _ in range(40):
             due = [
                 each
-                for each in self.letters
-                if not self.is_cut(each.source.name, each.target)
+                for each in self.envelopes
+                if not self.is_link_broken(each.source.name, each.target)
             ]
-            for letter in due:
-                if letter in self.letters:
-                    self.deliver(letter)
+            for envelope in due:
+                if envelope in self.envelopes:
+                    self.deliver(envelope)
             if self.is_platform_up:
                 for process, write in list(self.writes):
                     self.write(process, write)
                 for process in self.list_alive():
-                    if process.seen < self.revision:
-                        self.inform(process)
+                    if process.seen_revision < self.revision:
+                        self.deliver_objects(process)
             elif not due:
                 return
-            if not self.letters and not self.writes:
+            if not self.envelopes and not self.writes:
                 return
 
     def serve(self):
         """Let every upstream run and answer what it got."""
         for attempt in list(self.attempts):
-            if not attempt.has_ran:
+            if not attempt.has_run:
                 self.run(attempt)
             if attempt in self.attempts:
                 self.answer(attempt)
--- a/skylarkfold/tests/requests/test_executor.py
+++ b/skylarkfold/tests/requests/test_executor.py
@@ -22,7 +22,7 @@
         ended = event.AttemptEnded(attempt, outcome, answer)
         return core.handle(now, ended)
 
-    def test_whole_answer_goes_to_its_caller(self):
+    def test_complete_answer_goes_to_its_caller(self):
         core = samples.make_core()
         first = samples.list_dispatches(self.begin(core, 1))[0]
         second = samples.list_dispatches(self.begin(core, 2))[0]
@@ -36,7 +36,7 @@
         self.assertEqual((1, b'one'), (sent.request, sent.answer.body))
         self.assertEqual(Verdict.RAN, sent.answer.verdict)
 
-    def test_doubled_answer_goes_to_nobody(self):
+    def test_duplicate_answer_is_dropped(self):
         core = samples.make_core()
         [sent] = samples.list_dispatches(self.begin(core))
         answer = samples.make_answer()
@@ -44,7 +44,7 @@
         effects = self.end(core, sent.attempt, Outcome.ANSWERED, answer)
         self.assertEqual([], samples.list_answers(effects))
 
-    def test_truncated_answer_is_not_passed_on(self):
+    def test_truncated_answer_is_not_relayed(self):
         core = samples.make_core()
         [sent] = samples.list_dispatches(self.begin(core))
         headers = (('content-length', '9'),)
@@ -102,7 +102,7 @@
         effects = self.end(core, sent.attempt, Outcome.REFUSED)
         self.assertEqual(1, len(samples.list_answers(effects)))
 
-    def test_deadline_cancels_and_says_that_it_may_have_run(self):
+    def test_deadline_cancels_the_attempt_and_answers_may_have_run(self):
         core = samples.make_core()
         [sent] = samples.list_dispatches(self.begin(core))
         self.assertEqual(5.0, sent.timeout_seconds)
@@ -149,7 +149,7 @@
         self.end(core, sent.attempt, Outcome.ANSWERED, samples.make_answer())
         self.assertTrue(core.is_finished)
 
-    def test_alerts_go_first(self):
+    def test_alerts_are_dispatched_first(self):
         core = samples.make_core(samples.make_upstream('u-1', slots=1))
         [sent] = samples.list_dispatches(self.begin(core, 1))
         self.begin(core, 2, priority=request.Priority.BULK)
@@ -168,7 +168,7 @@
         effects = self.end(core, sent.attempt, Outcome.ANSWERED, answer)
         self.assertEqual([], samples.list_dispatches(effects))
 
-    def test_waiting_is_given_up_at_once_when_no_upstream_is_left(self):
+    def test_queued_request_is_refused_when_no_upstream_is_left(self):
         core = samples.make_core(samples.make_upstream('u-1', slots=1))
         self.begin(core, 1)
         self.begin(core, 2)
--- a/skylarkfold/tests/requests/test_holders.py
+++ b/skylarkfold/tests/requests/test_holders.py
@@ -28,18 +28,18 @@
             zones = {each.zone for each in holders.get_current(number)}
             self.assertEqual(_holders.HOLDERS_PER_RANGE, len(zones))
 
-    def test_one_zone_gives_three_holders_too(self):
+    def test_one_zone_gives_three_holders(self):
         holders = make_list(range(0, 40, 4))
         self.assertEqual(3, len(set(holders.get_current(1))))
 
-    def test_majorities_of_a_set_meet(self):
+    def test_majorities_of_a_set_intersect(self):
         for size in range(1, 4):
             needed = _holders.count_majority(
                 make_list(range(size)).value.current
             )
             self.assertGreater(2 * needed, size)
 
-    def test_one_leaving_moves_only_its_ranges(self):
+    def test_removed_holder_moves_only_its_ranges(self):
         before = make_list(range(12))
         after = make_list(range(1, 12))
         for number in range(LIMIT):
@@ -51,7 +51,7 @@
         strategies.sets(strategies.integers(0, 9), min_size=1),
         strategies.sets(strategies.integers(0, 9), min_size=1),
     )
-    def test_sets_used_again_are_those_made_afresh(self, first, second):
+    def test_reused_sets_equal_recomputed_ones(self, first, second):
         before = make_list(first)
         for number in range(LIMIT):
             before.get_current(number)
@@ -62,7 +62,7 @@
                 fresh.get_current(number), derived.get_current(number)
             )
 
-    def test_value_survives_the_store(self):
+    def test_value_round_trip(self):
         value = make_list(range(3)).value
         written = _holders.encode_value(value)
         changed = platform_api.StoredObject(_holders.PATH, 4, 9, written)
@@ -95,7 +95,7 @@
             else:
                 self.assertEqual(1, len(sets))
 
-    def test_second_change_keeps_what_a_range_depends_on(self):
+    def test_second_change_keeps_the_previous_holders_of_a_range(self):
         first = make_list(range(5))
         second = self.replace(first, range(1, 5), 2)
         third = self.replace(second, range(2, 5), 3)
@@ -109,13 +109,13 @@
                     first.get_current(number), third.get_current(number)
                 )
 
-    def test_change_that_is_taken_back_needs_no_taking_over(self):
+    def test_reverted_change_leaves_no_pending_ranges(self):
         first = make_list(range(5))
         second = self.replace(first, range(1, 5), 2)
         third = self.replace(second, range(5), 3)
         self.assertEqual([], third.list_pending())
 
-    def test_settled_ranges_depend_on_nothing_and_the_rest_still_does(self):
+    def test_completed_ranges_drop_their_previous_holders(self):
         first = make_list(range(5))
         second = self.replace(first, range(1, 5), 2)
         stuck = second.list_pending()[0]
--- a/skylarkfold/tests/requests/test_key_memory.py
+++ b/skylarkfold/tests/requests/test_key_memory.py
@@ -30,13 +30,13 @@
 
     def end(self, number, body=b'1234', now=0.0):
         record = self.add(number)
-        self.memory.end(now, record, samples.make_answer(body))
+        self.memory.store_answer(now, record, samples.make_answer(body))
         return record
 
     def has_room(self, body):
         return self.memory.has_room(samples.make_request(9, body=body))
 
-    def test_waiting_bodies_are_bounded(self):
+    def test_waiting_bytes_are_limited(self):
         first = self.add(1)
         self.assertTrue(self.has_room(b'123456'))
         self.assertFalse(self.has_room(b'1234567'))
@@ -45,12 +45,12 @@
         self.assertTrue(self.has_room(b'1234567890'))
         self.assertFalse(self.has_room(b'12345678901'))
 
-    def test_keys_are_bounded_by_count(self):
+    def test_key_count_is_limited(self):
         for number in range(3):
             self.end(number)
         self.assertFalse(self.has_room(b''))
 
-    def test_oldest_body_goes_first_and_its_key_stays(self):
+    def test_oldest_body_is_dropped_and_its_key_is_kept(self):
         records = [self.end(number) for number in range(3)]
         verdicts = [each.answer.verdict for each in records]
         expected = [Verdict.MAY_HAVE_RUN, Verdict.RAN, Verdict.RAN]
@@ -58,7 +58,7 @@
         self.assertEqual(8, self.memory.kept_bytes)
         self.assertIs(records[0], self.memory.find(records[0].key))
 
-    def test_keys_are_forgotten_by_age(self):
+    def test_keys_expire_by_age(self):
         self.end(1)
         second = self.end(2, now=5.0)
         seconds = self.settings.key_memory_seconds
--- a/skylarkfold/tests/requests/test_state_machine.py
+++ b/skylarkfold/tests/requests/test_state_machine.py
@@ -89,18 +89,18 @@
         super().setUp()
         self.patch(_holders, 'RANGES', 16)
 
-    def test_promises_hold(self):
+    def test_invariants_hold(self):
         stateful.run_state_machine_as_test(Machine, settings=SETTINGS)
 
-    def test_judge_finds_holders_that_vote_twice(self):
+    def test_checker_finds_holders_that_vote_twice(self):
         self.assert_violated(AcceptingMachine)
 
-    def test_judge_finds_repeats_of_what_may_have_run(self):
+    def test_checker_finds_retries_of_what_may_have_run(self):
         self.assert_violated(RepeatingMachine)
 
     def assert_violated(self, machine):
         self.assertRaises(
-            fleet.Violation,
+            fleet.InvariantViolation,
             stateful.run_state_machine_as_test,
             machine,
             settings=SEARCH,
--- a/skylarkfold/tests/requests/test_store_rollback.py
+++ b/skylarkfold/tests/requests/test_store_rollback.py
@@ -35,15 +35,15 @@
     return platform_api.StoredObject(_holders.PATH, version, revision, written)
 
 
-class ReturnTest(testtools.TestCase):
+class StoreRollbackTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.core = samples.make_core(name=NAME)
         self.now = 0.0
         self.newest = build_list(NAME, 'entry-2', serial=7)
-        self.see(store(self.newest, 7, 38, 1))
+        self.handle_stored(store(self.newest, 7, 38, 1))
 
-    def see(self, found):
+    def handle_stored(self, found):
         """Learn what the store has; give the writes that follow."""
         return self.list_writes(
             self.core.handle(self.now, event.ObjectChanged(found))
@@ -70,12 +70,12 @@
     def get_holders(self):
         return self.core.holder_manager.holders
 
-    def test_an_older_list_does_not_replace_the_newest(self):
-        self.see(store(build_list('entry-2', serial=5), 5, 26, 2))
+    def test_older_list_does_not_replace_the_newest(self):
+        self.handle_stored(store(build_list('entry-2', serial=5), 5, 26, 2))
         self.assertEqual(self.newest, self.get_holders().value)
 
-    def test_the_newest_is_written_again(self):
-        self.see(store(build_list('entry-2', serial=5), 5, 26, 2))
+    def test_newest_list_is_written_again(self):
+        self.handle_stored(store(build_list('entry-2', serial=5), 5, 26, 2))
         write = self.wait(1.0)[0]
         self.assertEqual(5, write.expected_version)
         self.assertEqual(_holders.encode_value(self.newest), write.value)
@@ -86,27 +86,27 @@
         self.assertEqual(6, self.get_holders().version)
         self.assertNotIn(write.value, [each.value for each in self.wait(3.0)])
 
-    def test_another_may_have_written_it(self):
+    def test_list_rewritten_by_another_instance_is_accepted(self):
         older = store(build_list('entry-2', serial=5), 5, 26, 2)
-        self.see(older)
+        self.handle_stored(older)
         self.wait(1.0)
         again = store(self.newest, 6, 30, 2)
         ended = event.WriteEnded(_holders.PATH, CONFLICT, again)
         self.core.handle(self.now, ended)
         self.assertEqual(again.revision, self.get_holders().list_revision)
 
-    def test_one_that_the_copy_lacks_is_written_again(self):
-        self.see(store(None, 8, 26, 2))
+    def test_deleted_list_is_written_again(self):
+        self.handle_stored(store(None, 8, 26, 2))
         write = self.wait(1.0)[0]
         self.assertEqual(0, write.expected_version)
         self.assertEqual(_holders.encode_value(self.newest), write.value)
 
-    def test_a_later_list_counts_whatever_its_version(self):
+    def test_later_list_is_accepted_with_a_lower_version(self):
         later = build_list(NAME, 'entry-3', serial=8)
-        self.see(store(later, 6, 26, 2))
+        self.handle_stored(store(later, 6, 26, 2))
         self.assertEqual(later, self.get_holders().value)
 
-    def test_each_change_has_a_serial_of_its_own(self):
+    def test_each_change_increments_the_serial(self):
         holders = self.get_holders()
         wanted = (_holders.Holder(NAME, 'hall-a', 1),)
         changed = holders.build_replacement(wanted)
@@ -114,7 +114,7 @@
         joint = _holders.HolderList(2, 2, changed)
         self.assertEqual(9, joint.build_completion(frozenset()).serial)
 
-    def test_lists_of_before_there_were_serials_go_by_their_revision(self):
+    def test_lists_without_a_serial_are_ordered_by_revision(self):
         core = samples.make_core(name=NAME)
         first, second = build_list(NAME), build_list(NAME, 'entry-2')
         for found in (store(first, 1, 3, 1), store(second, 2, 4, 1)):
--- a/skylarkfold/tests/requests/test_vote_table.py
+++ b/skylarkfold/tests/requests/test_vote_table.py
@@ -26,14 +26,14 @@
         self.assertEqual((VoteStatus.ACCEPTED, FIRST), self.vote(FIRST))
         self.assertEqual((VoteStatus.TAKEN, FIRST), self.vote(SECOND))
 
-    def test_only_its_owner_takes_a_vote_back(self):
+    def test_only_the_accepted_claim_can_release_a_vote(self):
         self.vote(FIRST)
         self.vote_table.release(KEY, SECOND, None)
         self.assertEqual((VoteStatus.TAKEN, FIRST), self.vote(SECOND))
         self.vote_table.release(KEY, FIRST, None)
         self.assertEqual((VoteStatus.ACCEPTED, SECOND), self.vote(SECOND))
 
-    def test_vote_moves_to_a_successor(self):
+    def test_released_vote_moves_to_the_successor(self):
         self.vote(FIRST)
         successor = _vote_table.ClaimId('e-3', 13, FIRST.number)
         self.vote_table.release(KEY, FIRST, successor)
@@ -49,14 +49,14 @@
             VoteStatus.STALE, self.vote(FIRST, list_revision=5)[0]
         )
 
-    def test_full_register_forgets_nothing(self):
+    def test_full_table_keeps_its_votes(self):
         for number in range(3):
             status, _ = self.vote(FIRST, key=bytes([number]) * 16)
         self.assertEqual(VoteStatus.FULL, status)
         again, _ = self.vote(SECOND, key=bytes([0]) * 16)
         self.assertEqual(VoteStatus.TAKEN, again)
 
-    def test_votes_last_from_the_last_time_that_they_were_asked(self):
+    def test_retention_counts_from_the_last_claim(self):
         retention = self.settings.vote_retention_seconds
         self.vote(FIRST)
         self.vote(SECOND, now=10.0)
@@ -65,7 +65,7 @@
         self.vote_table.expire(retention + 10.0)
         self.assertEqual(0, len(self.vote_table))
 
-    def test_differing_votes_taken_over_make_the_owner_unknown(self):
+    def test_merging_conflicting_votes_makes_the_claim_unknown(self):
         self.vote(FIRST)
         self.vote_table.merge(0.0, [(KEY, FIRST)])
         self.assertEqual((VoteStatus.TAKEN, FIRST), self.vote(SECOND))
@@ -75,6 +75,6 @@
         self.assertEqual(expected, self.vote(third))
         self.assertEqual(expected, self.vote(FIRST))
 
-    def test_closed_register_votes_no_more(self):
+    def test_closed_table_refuses_claims(self):
         self.vote_table.close()
         self.assertEqual(VoteStatus.STALE, self.vote(FIRST)[0])
--- a/skylarkfold/tests/requests/test_vote_transfer.py
+++ b/skylarkfold/tests/requests/test_vote_transfer.py
@@ -47,7 +47,9 @@
         self.context.effects.clear()
         return request
 
-    def tell(self, number, request_number, chunk=0, chunk_count=1, votes=()):
+    def receive_votes(
+        self, number, request_number, chunk=0, chunk_count=1, votes=()
+    ):
         message = _messages.VotesMessage(
             list_revision=self.holders.list_revision,
             request_number=request_number,
@@ -62,49 +64,49 @@
     def list_pending_ranges(self, now=1.0):
         return self.vote_transfer.list_pending_ranges(now)
 
-    def test_asks_all_past_holders(self):
+    def test_requests_votes_of_all_previous_holders(self):
         self.assertEqual(3, len(self.list_sent()))
 
-    def test_majority_is_enough_and_less_is_not(self):
-        self.tell(1, 1)
+    def test_majority_of_previous_holders_completes_a_range(self):
+        self.receive_votes(1, 1)
         self.assertEqual([0, 1, 2, 3], self.list_pending_ranges())
-        self.tell(2, 2)
+        self.receive_votes(2, 2)
         self.assertEqual([], self.list_pending_ranges())
 
-    def test_portions_of_two_tellings_make_no_whole(self):
-        self.tell(1, 1)
-        self.tell(2, 2, chunk=0, chunk_count=3)
-        self.tell(2, 5, chunk=1, chunk_count=2)
+    def test_chunks_of_two_answers_are_not_combined(self):
+        self.receive_votes(1, 1)
+        self.receive_votes(2, 2, chunk=0, chunk_count=3)
+        self.receive_votes(2, 5, chunk=1, chunk_count=2)
         self.assertEqual([0, 1, 2, 3], self.list_pending_ranges())
-        self.tell(2, 5, chunk=0, chunk_count=2)
+        self.receive_votes(2, 5, chunk=0, chunk_count=2)
         self.assertEqual([], self.list_pending_ranges())
 
-    def test_told_votes_are_taken_over(self):
+    def test_received_votes_are_merged(self):
         vote = _messages.TransferredVote(b'k' * 16, *OWNER)
-        self.tell(1, 1, votes=(vote,))
+        self.receive_votes(1, 1, votes=(vote,))
         other = _vote_table.ClaimId('e-8', 88, 808)
         status = self.vote_table.vote(1.0, 2, b'k' * 16, other)
         self.assertEqual((_messages.VoteStatus.TAKEN, OWNER), status)
 
-    def test_silence_is_no_proof_of_death(self):
-        self.tell(1, 1)
+    def test_unreachable_holder_does_not_count_as_gone(self):
+        self.receive_votes(1, 1)
         self.assertEqual(4, len(self.list_pending_ranges(9 * self.retention)))
 
-    def test_ranges_of_the_dead_wait_until_their_keys_are_old(self):
-        self.tell(1, 1)
+    def test_ranges_of_gone_holders_wait_for_the_retention_time(self):
+        self.receive_votes(1, 1)
         self.gone = {'e-2', 'e-3'}
         self.assertEqual(4, len(self.list_pending_ranges(5.0)))
         late = 5.0 + self.retention
         self.assertEqual(4, len(self.list_pending_ranges(late - 0.1)))
         self.assertEqual([], self.list_pending_ranges(late))
 
-    def test_one_dead_of_three_costs_no_wait(self):
+    def test_one_gone_holder_of_three_causes_no_wait(self):
         self.gone = {'e-3'}
-        self.tell(1, 1)
-        self.tell(2, 2)
+        self.receive_votes(1, 1)
+        self.receive_votes(2, 2)
         self.assertEqual([], self.list_pending_ranges())
 
-    def test_past_holder_refuses_older_claims_once_it_has_told(self):
+    def test_previous_holder_refuses_older_claims_after_answering(self):
         request = _messages.VotesRequestMessage(
             list_revision=7,
             request_number=1,
@@ -116,7 +118,7 @@
         status, _ = self.vote_table.vote(1.0, 6, b'k' * 16, OWNER)
         self.assertEqual(_messages.VoteStatus.STALE, status)
 
-    def test_many_votes_are_told_in_portions(self):
+    def test_many_votes_are_sent_in_chunks(self):
         count = 2 * _vote_transfer.CHUNK_SIZE + 1
         for number in range(count):
             key = number.to_bytes(16, 'little')
