--- a/skylarkfold/requests/__init__.py
+++ b/skylarkfold/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: admission, dispatch, retries and a verdict that is true."""
+"""Request handling: admission, dispatch, retries and idempotency keys."""
 
 from skylarkfold.requests._answers import ErrorCode
 from skylarkfold.requests._core import RequestCore
--- a/skylarkfold/requests/_abandoned_claims.py
+++ b/skylarkfold/requests/_abandoned_claims.py
@@ -1,4 +1,4 @@
-"""Claims that were given up before anything ran under them."""
+"""Claims that were abandoned before a request ran under them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AbandonedClaims:
-    """Remembers abandoned claims for as long as a vote may name them.
+    """Numbers of abandoned claims, kept as long as a vote may name them.
 
     :param settings: the request settings.
     """
@@ -24,27 +24,27 @@
         return len(self._expiries)
 
     def add(self, now: float, claim_number: int) -> None:
-        """Remember a claim that was given up.
+        """Add an abandoned claim; at the limit the oldest one is dropped.
 
-        :param now: the time.
-        :param claim: its number.
+        :param now: the current time.
+        :param claim_number: the claim's number.
         """
         self._expiries[claim_number] = now + self._retention_seconds
         if len(self._expiries) > self._maximum:
             self._expiries.popitem(last=False)
 
     def has(self, claim_number: int) -> bool:
-        """Tell whether a claim is known to have been given up.
+        """Return whether a claim is known to be abandoned.
 
-        :param claim: its number.
-        :returns: False also where it was forgotten.
+        :param claim_number: the claim's number.
+        :returns: False also if the entry has expired or was dropped.
         """
         return claim_number in self._expiries
 
     def expire(self, now: float) -> None:
-        """Forget what no vote can name any more.
+        """Drop entries older than the retention time of votes.
 
-        :param now: the time.
+        :param now: the current time.
         """
         while self._expiries:
             claim_number = next(iter(self._expiries))
--- a/skylarkfold/requests/_answers.py
+++ b/skylarkfold/requests/_answers.py
@@ -1,4 +1,4 @@
-"""Answers that the core itself gives, and checks of upstreams' answers."""
+"""Error answers of the core and validation of upstreams' answers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Why a request was refused or failed; stable for callers."""
+    """Reasons why a request was refused or failed; callers rely on them."""
 
     NO_SERVICE = 'no-service'
     NO_UPSTREAM = 'no-upstream'
@@ -55,12 +55,12 @@
     code: str,
     retry_after_seconds: float | None = None,
 ) -> request_module.Answer:
-    """Make the answer to a request that has no upstream's answer.
+    """Build the answer to a request that no upstream has answered.
 
-    :param verdict: whether it may have run.
-    :param code: why, a :class:`ErrorCode` or a code of the admission queue.
-    :param retry_after_seconds: when to come back.
-    :returns: the answer.
+    :param verdict: whether the request may have run.
+    :param code: an :class:`ErrorCode` or a code of the admission queue.
+    :param retry_after_seconds: the delay that the caller is told to wait.
+    :returns: the answer, with the HTTP status of the code.
     """
     return request_module.Answer(
         verdict=verdict,
@@ -71,19 +71,19 @@
 
 
 def get_error_code(outcome: request_module.Outcome) -> ErrorCode:
-    """Name the code of an attempt that brought no answer.
+    """Return the error code for an attempt that ended without an answer.
 
-    :param outcome: how it ended.
+    :param outcome: how the attempt ended.
     :returns: the code for the caller.
     """
     return _OUTCOME_CODES[outcome]
 
 
 def mark_as_ran(answer: request_module.Answer) -> request_module.Answer:
-    """Mark an upstream's whole answer as such.
+    """Set the verdict of an upstream's complete answer to ``RAN``.
 
-    :param answer: what the upstream answered.
-    :returns: the same with the verdict that the request ran.
+    :param answer: the upstream's answer.
+    :returns: the answer with that verdict.
     """
     ran = verdict_module.Verdict.RAN
     if answer.verdict is ran:
@@ -94,11 +94,11 @@
 def is_complete(
     request: request_module.Request, answer: request_module.Answer | None
 ) -> bool:
-    """Tell whether an answer has all the bytes that it announces.
+    """Return whether an answer's body has its full Content-Length.
 
     :param request: the request that it answers.
     :param answer: the answer, or None.
-    :returns: False where it is missing or shorter than announced.
+    :returns: False if the answer is missing or shorter than its header says.
     """
     if answer is None:
         return False
@@ -114,11 +114,11 @@
 def classify_attempt(
     request: request_module.Request, ended: event.AttemptEnded
 ) -> request_module.Outcome:
-    """Tell how an attempt ended, its answer checked.
+    """Return the outcome of an attempt after a check of its answer.
 
     :param request: the request.
-    :param ended: what was seen of the attempt.
-    :returns: the outcome; broken where the answer is cut off.
+    :param ended: the event that reports the end of the attempt.
+    :returns: the reported outcome, or ``BROKEN`` if the answer is truncated.
     """
     answered = request_module.Outcome.ANSWERED
     if ended.outcome is not answered or is_complete(request, ended.answer):
@@ -127,14 +127,13 @@
 
 
 def can_relay(answer: request_module.Answer) -> bool:
-    """Tell whether an answer for a key is still true when it arrives.
+    """Return whether a peer's answer for a key may be sent to the caller.
 
-    That a request did not run may be outdated by the time a peer is
-    told: another may have run it since. That its key belongs to another
-    request lasts.
+    ``NOT_RUN`` may be outdated on arrival, because another instance may have
+    run the request since. ``KEY_REUSED`` stays true.
 
     :param answer: a peer's answer for a key.
-    :returns: whether it may be passed on.
+    :returns: whether it is valid regardless of its age.
     """
     is_not_run = answer.verdict is verdict_module.Verdict.NOT_RUN
     return not is_not_run or answer.code == ErrorCode.KEY_REUSED
--- a/skylarkfold/requests/_attempts.py
+++ b/skylarkfold/requests/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, at upstreams and at peers."""
+"""Tracking of attempts in flight at upstreams and peers."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class AttemptTracker:
-    """Numbers attempts, starts them and records how each ended.
+    """Registry of attempts: numbers them, starts them and records their end.
 
-    :param context: what the parts of the core share.
-    :param selector: learns what upstreams were given and how it went.
-    :param pass_on: passes an exchange to a peer as the attempt of that
-        number and returns the number of the pass, 0 where the peer can't
-        be told.
+    :param context: shared identity, settings and effects of the core.
+    :param selector: records each dispatch to an upstream and its outcome.
+    :param forward: called with the time, the execution, the peer and the
+        number of the attempt; forwards the request to the peer and returns
+        the forward's ID, or 0 if the peer is unreachable.
     """
 
     __slots__ = (
@@ -51,12 +51,12 @@
         service: service_module.Service,
         choice: selection.Choice,
     ) -> None:
-        """Send an exchange to the upstream that was chosen.
+        """Dispatch a request to the chosen upstream.
 
-        :param now: the time.
-        :param exchange: the exchange, before its deadline.
-        :param service: its service.
-        :param choice: the upstream and why.
+        :param now: the current time.
+        :param execution: the execution of the request, before its deadline.
+        :param service: the request's service.
+        :param choice: the upstream and the reason of its choice.
         """
         self._start(now, execution, choice.upstream.name)
         self._selector.record_dispatch(
@@ -76,13 +76,13 @@
     def forward_to(
         self, now: float, execution: _execution.Execution, peer: str
     ) -> bool:
-        """Let a peer make the next attempt.
+        """Forward a request to a peer, which makes the next attempt.
 
-        :param now: the time.
-        :param exchange: the exchange.
-        :param peer: the peer.
-        :returns: False where the exchange came from a peer itself, is late
-            or the peer can't be told.
+        :param now: the current time.
+        :param execution: the execution of the request.
+        :param peer: the peer's name.
+        :returns: False if the request itself came from a peer, is past its
+            deadline or the peer is unreachable.
         """
         if execution.request.number < 0 or execution.deadline <= now:
             return False
@@ -94,10 +94,10 @@
         return True
 
     def pop(self, number: int) -> _execution.Execution | None:
-        """Take an attempt that has ended by itself.
+        """Remove an attempt that has ended.
 
-        :param number: its number.
-        :returns: its exchange; None where it had been given up.
+        :param number: the attempt's number.
+        :returns: its execution, or None if the attempt was abandoned before.
         """
         return self._running.pop(number, None)
 
@@ -107,11 +107,11 @@
         execution: _execution.Execution,
         outcome: request_module.Outcome,
     ) -> None:
-        """Record how an attempt ended.
+        """Record the outcome of an attempt.
 
-        :param now: the time.
-        :param exchange: its exchange, no longer in flight.
-        :param outcome: how it ended.
+        :param now: the current time.
+        :param execution: the execution whose attempt is no longer in flight.
+        :param outcome: how the attempt ended.
         """
         if execution.upstream:
             self._selector.record_outcome(
@@ -130,11 +130,11 @@
         execution: _execution.Execution,
         outcome: request_module.Outcome,
     ) -> None:
-        """Give up the attempt in flight, which may run all the same.
+        """Cancel the attempt in flight; the upstream may still run it.
 
-        :param now: the time.
-        :param exchange: its exchange.
-        :param outcome: why.
+        :param now: the current time.
+        :param execution: the execution whose attempt is cancelled.
+        :param outcome: the outcome to record.
         """
         self._running.pop(execution.attempt, None)
         if execution.upstream:
--- a/skylarkfold/requests/_claim_client.py
+++ b/skylarkfold/requests/_claim_client.py
@@ -1,4 +1,4 @@
-"""Making claims to keys and giving them up."""
+"""Client side of the vote on keys: makes, renews and abandons claims."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class ClaimClient:
-    """Asks holders for their votes on behalf of this instance.
+    """Client that asks holders for their votes on this instance's claims.
 
-    A claim that is given up is given up for good: nothing runs under its
-    number after that.
+    An abandoned claim is never resumed: no request runs under its number
+    afterwards.
 
-    :param context: what the parts of the core share.
-    :param register: this instance's own votes.
-    :param get_holders: gives the newest list of holders, None for none.
+    :param context: shared identity, settings and effects of the core.
+    :param vote_table: this instance's votes as a holder.
+    :param get_holders: returns the newest list of holders, or None.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the holders are known."""
+        """Return whether a list of holders is known."""
         return self._get_holders() is not None
 
     def claim(self, now: float, record: _key_record.KeyRecord) -> None:
-        """Make a new claim.
+        """Make a new claim to a key.
 
-        :param now: the time.
+        :param now: the current time.
         :param record: the key's record.
         """
         self._claim_count += 1
@@ -64,11 +64,11 @@
         self._submit(now, record)
 
     def renew(self, now: float, record: _key_record.KeyRecord) -> bool:
-        """Make an undecided claim anew under a newer list.
+        """Submit an undecided claim again under a newer list of holders.
 
-        :param now: the time.
+        :param now: the current time.
         :param record: the key's record.
-        :returns: whether it had such a claim.
+        :returns: whether there was a claim under an older list.
         """
         tally = record.tally
         if (
@@ -80,9 +80,9 @@
         return True
 
     def ask_remaining(self, now: float, record: _key_record.KeyRecord) -> None:
-        """Ask all holders that have not answered.
+        """Ask all holders of a key that have not answered yet.
 
-        :param now: the time.
+        :param now: the current time.
         :param record: the key's record.
         """
         for holder in record.tally.list_unanswered():
@@ -90,10 +90,10 @@
         self._ask(now, record, record.tally.choose_unanswered())
 
     def mark_unresponsive(self, now: float, name: str) -> None:
-        """Ask a holder last for a while.
+        """Prefer other holders to an unresponsive one for some seconds.
 
-        :param now: the time.
-        :param name: the holder that did not answer or was lost.
+        :param now: the current time.
+        :param name: the holder that did not answer or lost its connection.
         """
         self._unresponsive_until[name] = now + _UNRESPONSIVE_SECONDS
 
@@ -121,12 +121,12 @@
     def record_vote(
         self, sender: str, vote: _messages.VoteMessage
     ) -> _key_record.KeyRecord | None:
-        """Count a holder's answer.
+        """Record a holder's vote on a claim.
 
-        :param sender: the holder.
-        :param vote: its answer.
-        :returns: the record of the key; None where the claim is over or
-            was asked under another list.
+        :param sender: the holder's name.
+        :param vote: its vote.
+        :returns: the record of the key, or None if the claim is decided or
+            was renewed under another list since.
         """
         self._unresponsive_until.pop(sender, None)
         record = self._by_claim_number.get(vote.claim_number)
@@ -143,7 +143,7 @@
         return record
 
     def stop_counting(self, record: _key_record.KeyRecord) -> None:
-        """Count no more votes for a claim.
+        """Stop counting votes for a claim.
 
         :param record: the key's record.
         """
@@ -151,9 +151,9 @@
         record.tally = None
 
     def abandon(self, now: float, record: _key_record.KeyRecord) -> None:
-        """Give a claim up, won or not, under which nothing ran.
+        """Abandon a claim under which no request ran, whether won or not.
 
-        :param now: the time.
+        :param now: the current time.
         :param record: the key's record.
         """
         if not record.last_claim_number:
@@ -164,10 +164,10 @@
         record.last_claim_number = 0
 
     def has_abandoned(self, claim_number: int) -> bool:
-        """Tell whether a claim is known to have been given up.
+        """Return whether a claim is known to be abandoned.
 
-        :param claim: its number.
-        :returns: False also where that was forgotten.
+        :param claim_number: the claim's number.
+        :returns: False also if the entry has expired.
         """
         return self._abandoned_claims.has(claim_number)
 
@@ -177,11 +177,12 @@
         claim_number: int,
         successor: _holders.Holder | None = None,
     ) -> None:
-        """Ask the holders to take their votes back, or to move them.
+        """Tell the holders to delete their votes for a claim or move them.
 
         :param key: the key's digest.
-        :param claim: the claim that they voted for.
-        :param successor: who answers for the key from now on, or nobody.
+        :param claim_number: the claim that has their votes.
+        :param successor: the holder to which the votes move; None to delete
+            them.
         """
         holders = self._get_holders()
         if holders is None:
@@ -201,9 +202,9 @@
                 self._context.send(name, release)
 
     def expire(self, now: float) -> None:
-        """Forget abandoned claims that no vote can name any more.
+        """Drop expired abandoned claims and marks of unresponsive holders.
 
-        :param now: the time.
+        :param now: the current time.
         """
         self._abandoned_claims.expire(now)
         for name, until in list(self._unresponsive_until.items()):
--- a/skylarkfold/requests/_claim_tally.py
+++ b/skylarkfold/requests/_claim_tally.py
@@ -1,4 +1,4 @@
-"""The tally of one claim to a key."""
+"""Vote count of one claim to a key."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ClaimTally:
-    """Counts votes until the claim is won or lost.
+    """Votes of the key's holders on one claim.
 
-    :param owner: the claim itself.
-    :param holders: the list under which it is made.
+    :param claim_id: the claim.
+    :param holders: the list of holders under which the claim is made.
     :param key: the key's digest.
     """
 
@@ -47,11 +47,12 @@
     def choose_majority(
         self, own_name: str, reachable: frozenset[str]
     ) -> list[_holders.Holder]:
-        """Choose just enough holders to win, to be asked first.
+        """Choose the smallest group of holders whose votes win the claim.
 
-        :param own_name: the claimant's name; its own vote costs nothing.
-        :param reachable: names of the instances that may answer.
-        :returns: a majority of each set.
+        :param own_name: the claimant's name; preferred, because its own vote
+            needs no message.
+        :param reachable: names of the instances that are preferred next.
+        :returns: a majority of each set of holders, marked as asked.
         """
         chosen: dict[_holders.Holder, None] = {}
         for holder_set in self._holder_sets:
@@ -69,7 +70,7 @@
         return self._mark_asked(list(chosen))
 
     def choose_unanswered(self) -> list[_holders.Holder]:
-        """Choose all that have not answered, asked before or not."""
+        """Choose all holders that have not answered, and mark them asked."""
         every = dict.fromkeys(
             each for holder_set in self._holder_sets for each in holder_set
         )
@@ -79,11 +80,11 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Tell whether any that was asked has not answered."""
+        """Return whether a holder that was asked has not answered."""
         return bool(self.list_unanswered())
 
     def list_unanswered(self) -> list[_holders.Holder]:
-        """List those that were asked and have not answered."""
+        """List the holders that were asked and have not answered."""
         return [
             each
             for each in sorted(self._asked, key=lambda each: each.name)
@@ -102,11 +103,11 @@
     def record_vote(
         self, holder: HolderId, accepted: bool, competitor: _vote_table.ClaimId
     ) -> None:
-        """Count a holder's answer.
+        """Record a holder's vote; only its first one counts.
 
-        :param holder: its name and boot.
+        :param holder: the holder's name and boot ID.
         :param accepted: whether it voted for this claim.
-        :param rival: the claim that holds its vote where it did not.
+        :param competitor: if not, the claim that has its vote.
         """
         if holder in self._votes:
             return
@@ -116,7 +117,7 @@
 
     @property
     def is_won(self) -> bool:
-        """Tell whether a majority of each set voted for this claim."""
+        """Return whether a majority of each set voted for this claim."""
         return all(
             self._count_votes(holder_set, True)
             >= _holders.count_majority(holder_set)
@@ -125,7 +126,7 @@
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether refusals make a majority impossible."""
+        """Return whether the refusals rule out a majority in some set."""
         return any(
             len(holder_set) - self._count_votes(holder_set, False)
             < _holders.count_majority(holder_set)
@@ -133,10 +134,10 @@
         )
 
     def can_win(self, reachable: frozenset[str]) -> bool:
-        """Tell whether those that may still answer could make it won.
+        """Return whether the votes that are outstanding can win the claim.
 
-        :param reachable: names of the instances that may answer.
-        :returns: False where too few holders are left.
+        :param reachable: names of the instances that may still answer.
+        :returns: False if fewer than a majority of some set can accept.
         """
         return all(
             self._count_possible_votes(holder_set, reachable)
--- a/skylarkfold/requests/_context.py
+++ b/skylarkfold/requests/_context.py
@@ -1,4 +1,4 @@
-"""What all parts of the request core share."""
+"""State and outputs that all parts of the request core share."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class Requester(NamedTuple):
-    """Who waits for an answer.
+    """The caller or peer that waits for an answer.
 
-    :param peer: the instance that passed the request, empty for a caller
-        of this one.
-    :param boot: that instance's process, 0 for a caller.
-    :param number: the request's number, or the peer's pass.
+    :param peer: the instance that forwarded the request, empty for a caller
+        of this instance.
+    :param boot_id: the boot ID of that instance's process, 0 for a caller.
+    :param number: the request's number, or the forward's ID at the peer.
     """
 
     peer: str
@@ -34,11 +34,11 @@
 
 
 class Context:
-    """Identity, settings and effects of one core.
+    """Identity, settings and pending effects of one request core.
 
-    :param instance: who this instance is.
+    :param instance: the identity of this instance.
     :param settings: the request settings.
-    :param seed: differs between processes.
+    :param seed: seed of the pseudo-random numbers; differs between processes.
     """
 
     def __init__(
@@ -56,27 +56,27 @@
         self.boot_id = self.draw(instance.name)
 
     def draw(self, text: str) -> int:
-        """Draw a number that differs between processes.
+        """Return a pseudo-random number, derived from the seed and a text.
 
-        :param text: what it is for.
+        :param text: identifies the number within this process.
         :returns: a number from 0 to 2**63 - 1.
         """
         seeded = f'{self._seed}|{self.name}|{text}'
         return xxhash.xxh3_64_intdigest(seeded.encode()) & _POSITIVE
 
     def jitter(self, seconds: float, text: str) -> float:
-        """Spread a delay between half and one and a half times itself.
+        """Return a delay with jitter of plus or minus one half.
 
-        :param seconds: the mean.
-        :param text: what the delay is for.
+        :param seconds: the mean delay.
+        :param text: identifies the delay, see :meth:`draw`.
         :returns: the delay in seconds.
         """
         return seconds * (0.5 + self.draw(text) / _SCALE)
 
     def send(self, peer: str, sent: message_module.PeerMessage) -> None:
-        """Send a message to a peer.
+        """Add the effect that sends a message to a peer.
 
-        :param peer: its name.
+        :param peer: the peer's name.
         :param sent: the message.
         """
         self.effects.append(effect.SendToPeer(peer, sent))
@@ -84,9 +84,9 @@
     def reply(
         self, requester: Requester, answer: request_module.Answer
     ) -> None:
-        """Send a final answer to whoever waits for it.
+        """Send a final answer to its requester.
 
-        :param asker: who asked.
+        :param requester: the caller or peer that waits.
         :param answer: the answer.
         """
         if not requester.peer:
@@ -108,11 +108,11 @@
     def refuse(
         self, requester: Requester, verdict: verdict_module.Verdict, code: str
     ) -> None:
-        """Send an answer without an upstream's to whoever waits for it.
+        """Send an error answer to its requester.
 
-        :param asker: who asked.
+        :param requester: the caller or peer that waits.
         :param verdict: whether the request may have run.
-        :param code: why.
+        :param code: the error code.
         """
         answer = _answers.build_refusal(
             verdict, code, self.settings.retry_after_seconds
@@ -122,9 +122,10 @@
     def reply_all(
         self, requesters: dict[Requester, float], answer: request_module.Answer
     ) -> None:
-        """Send a final answer to all who wait, and expect none of them.
+        """Send a final answer to several requesters and clear them.
 
-        :param askers: who asked, each with its deadline; empty afterwards.
+        :param requesters: the requesters with their deadlines; empty
+            afterwards.
         :param answer: the answer.
         """
         for requester in requesters:
@@ -132,10 +133,10 @@
         requesters.clear()
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter.
+        """Increment a metric.
 
-        :param name: the counter.
-        :param amount: how much.
+        :param name: the metric's name.
+        :param amount: the increment.
         """
         self.effects.append(effect.CountMetric(name, amount))
 
@@ -147,13 +148,13 @@
         service: str = '',
         upstream: str = '',
     ) -> None:
-        """Record a decision.
+        """Write a decision to the log.
 
-        :param kind: what was decided.
-        :param subject: about what.
-        :param reason: why.
-        :param service: the service concerned.
-        :param upstream: the upstream or instance chosen.
+        :param kind: the kind of decision.
+        :param subject: the request, key or list that it concerns.
+        :param reason: the reason.
+        :param service: the service's name.
+        :param upstream: the name of the chosen upstream or instance.
         """
         self.effects.append(
             effect.RecordDecision(
--- a/skylarkfold/requests/_core.py
+++ b/skylarkfold/requests/_core.py
@@ -1,4 +1,4 @@
-"""The request core: one instance's decisions about requests."""
+"""The request core: turns events into decisions about requests."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 
 class RequestCore:
-    """Takes events about requests and decides what to do.
+    """Sans-I/O core that maps events about requests to effects.
 
-    :param instance: who this instance is.
+    :param instance: the identity of this instance.
     :param settings: the request settings.
-    :param seed: differs between processes, also between two that bear the
-        same name one after the other.
+    :param seed: differs between processes, also between successive processes
+        of one instance name.
     """
 
     def __init__(
@@ -93,15 +93,16 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Tell whether the instance was asked to stop."""
+        """Return whether the instance was asked to stop."""
         return self._shutdown.has_begun
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether keyed requests can be served, or must not wait.
+        """Return whether the instance may take traffic.
 
-        Without the platform no list of holders may come for long; all
-        other traffic has to be served then.
+        It waits for a list of holders, which keyed requests need, but only
+        for ``ready_seconds``: other traffic must be served while the platform
+        is unavailable.
         """
         return (
             self.holder_manager.holders is not None or self._is_ready_overdue
@@ -109,15 +110,15 @@
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether nothing is left to finish or hand on."""
+        """Return whether the stop is complete."""
         return self._shutdown.is_finished
 
     def handle(self, now: float, received: object) -> list[object]:
-        """Take one event.
+        """Handle one event.
 
         :param now: the time in seconds of a monotonic clock.
-        :param received: an event of :mod:`skylarkfold.event`; others are
-            ignored.
+        :param received: an event of :mod:`skylarkfold.event`; events of
+            other types are ignored.
         :returns: effects of :mod:`skylarkfold.effect`, in order.
         """
         self.router.detect_pause(now)
@@ -173,7 +174,7 @@
     def _handle_message(
         self, now: float, received: event.PeerMessageReceived
     ) -> None:
-        """Hand a message to what decides; those unknown concern slots."""
+        """Dispatch a message to its handler, by default the selector's."""
         handler = self._message_handlers.get(
             type(received.message), self.executor.handle_message
         )
--- a/skylarkfold/requests/_execution.py
+++ b/skylarkfold/requests/_execution.py
@@ -1,4 +1,4 @@
-"""One request on its way through an instance."""
+"""State of one request while an instance runs it."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class ExecutionState(enum.Enum):
-    """Where an exchange stands.
+    """State of an execution.
 
-    ``QUEUED`` and ``WAITING`` exchanges have no attempt in flight; the
-    first kind waits in the admission queue, the second for its retry.
+    ``QUEUED``: in the admission queue. ``RUNNING``: an attempt is in flight.
+    ``WAITING``: between two attempts, until the retry is due. ``ENDED``: the
+    final answer is known.
     """
 
     QUEUED = 'queued'
@@ -23,20 +24,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Execution:
-    """A request with all that is known about its execution.
+    """A request with the state of its attempts.
 
     :param request: the request.
     :param deadline: the caller's deadline by the local clock.
-    :param state: where it stands.
+    :param state: the state of the execution.
     :param attempt: the number of the attempt in flight, 0 for none.
-    :param upstream: the upstream of that attempt, empty where a peer
-        makes it.
-    :param pass_number: the pass to that peer.
-    :param started: when that attempt began.
-    :param attempts: attempts begun so far.
-    :param may_have_run: whether an earlier attempt may have run it.
+    :param upstream: the upstream of that attempt, empty if it was forwarded
+        to a peer.
+    :param forward_id: the ID of that forward.
+    :param started: the time at which that attempt began.
+    :param attempts: the number of attempts so far.
+    :param may_have_run: whether an earlier attempt may have run the request.
     :param failed: upstreams whose attempts ended without an answer.
-    :param retry_at: when a waiting exchange is tried again.
+    :param retry_at: the time at which a waiting request is retried.
     """
 
     request: request_module.Request
--- a/skylarkfold/requests/_executor.py
+++ b/skylarkfold/requests/_executor.py
@@ -1,7 +1,7 @@
-"""Admission, dispatch, retry and judgement of requests.
+"""Execution of requests: admission, dispatch, retries and the verdict.
 
-The state machine of all exchanges on one instance. It knows nothing of
-keys or peers: what began an exchange is told its answer by a callback.
+This is the state machine of all requests that one instance runs. It does not
+know of idempotency keys; a callback delivers each final answer.
 """
 
 from __future__ import annotations
@@ -33,13 +33,12 @@
 
 
 class RequestExecutor:
-    """All exchanges that this instance runs itself.
+    """Executor of all requests that this instance runs.
 
-    :param context: what the parts of the core share.
-    :param ended: called once with each exchange's final answer.
-    :param pass_on: passes an exchange to a peer as the attempt of that
-        number and returns the number of the pass, 0 where the peer can't
-        be told.
+    :param context: shared identity, settings and effects of the core.
+    :param on_ended: called once with each execution and its final answer.
+    :param forward: forwards a request to a peer, see
+        :class:`skylarkfold.requests._attempts.AttemptTracker`.
     """
 
     def __init__(
@@ -77,9 +76,9 @@
         services: dict[str, service_module.Service],
         owners: tuple[str, ...],
     ) -> None:
-        """Take the newest services and owners.
+        """Apply a new configuration or membership.
 
-        :param now: the time.
+        :param now: the current time.
         :param services: all services by name.
         :param owners: the instances that share the upstreams' slots.
         """
@@ -93,20 +92,20 @@
             self._fail_if_unservable(now, execution)
 
     def record_load(self, now: float, reported: event.LoadReported) -> None:
-        """Take what an upstream says of itself.
+        """Record an upstream's report of its health and load.
 
-        :param now: the time.
-        :param reported: its health and load, both maybe wrong.
+        :param now: the current time.
+        :param reported: the report, which may be wrong.
         """
         self._selector.record_load(now, reported)
 
     def begin(
         self, now: float, request: request_module.Request, deadline: float
     ) -> None:
-        """Admit a request, or end it at once.
+        """Admit a request or refuse it.
 
-        :param now: the time.
-        :param request: the request, its number not in use here.
+        :param now: the current time.
+        :param request: the request; its number must be unused.
         :param deadline: the caller's deadline by the local clock.
         """
         execution = _execution.Execution(request=request, deadline=deadline)
@@ -122,9 +121,9 @@
         self.dispatch_waiting(now, request.service)
 
     def cancel(self, now: float, number: int) -> None:
-        """Give up an exchange whose caller has gone.
+        """Cancel a request whose caller has disconnected.
 
-        :param now: the time.
+        :param now: the current time.
         :param number: the request's number.
         """
         execution = self._executions.get(number)
@@ -136,9 +135,9 @@
         self.dispatch_waiting(now, execution.request.service)
 
     def cancel_unless_running(self, now: float, number: int) -> None:
-        """Give an exchange up unless an attempt is in flight.
+        """Cancel a request unless an attempt is in flight.
 
-        :param now: the time.
+        :param now: the current time.
         :param number: the request's number.
         """
         execution = self._executions.get(number)
@@ -149,11 +148,10 @@
             self._fail(now, execution, ErrorCode.CANCELLED)
 
     def end_attempt(self, now: float, ended: event.AttemptEnded) -> None:
-        """Judge an attempt.
+        """Handle the end of an attempt.
 
-        :param now: the time.
-        :param ended: how it ended; an attempt that was given up is
-            unknown here and its answer goes to nobody.
+        :param now: the current time.
+        :param ended: its outcome; dropped if the attempt was abandoned.
         """
         execution = self._attempts.pop(ended.attempt)
         if execution is None:
@@ -172,9 +170,9 @@
         self.dispatch_waiting(now, execution.request.service)
 
     def tick(self, now: float) -> None:
-        """End what is past its deadline and retry what is due.
+        """Fail requests past their deadline and dispatch retries.
 
-        :param now: the time.
+        :param now: the current time.
         """
         self._needs_flush = True
         self._context.effects += self._selector.tick(now)
@@ -189,10 +187,10 @@
     def handle_message(
         self, now: float, sender: str, received: message_module.PeerMessage
     ) -> None:
-        """Take a peer's message about slots.
+        """Pass a peer's message about slots to the selector.
 
-        :param now: the time.
-        :param sender: the peer.
+        :param now: the current time.
+        :param sender: the peer's name.
         :param received: one of the selector's messages.
         """
         self._needs_flush = True
@@ -202,18 +200,18 @@
             self.dispatch_waiting(now, service_name)
 
     def handle_peer_lost(self, now: float, peer: str) -> None:
-        """Take the loss of a peer.
+        """Report the lost connection of a peer to the selector.
 
-        :param now: the time.
-        :param peer: its name.
+        :param now: the current time.
+        :param peer: the peer's name.
         """
         self._needs_flush = True
         self._context.effects += self._selector.handle_peer_lost(now, peer)
 
     def flush(self, now: float) -> None:
-        """Send what the selector has gathered during an event.
+        """Send the messages that the selector gathered during an event.
 
-        :param now: the time.
+        :param now: the current time.
         """
         if not self._needs_flush:
             return
@@ -226,9 +224,9 @@
             self._context.effects += self._selector.flush(now)
 
     def dispatch_waiting(self, now: float, service_name: str) -> None:
-        """Dispatch what a service has room for.
+        """Dispatch retries and queued requests while there are free slots.
 
-        :param now: the time.
+        :param now: the current time.
         :param service_name: the service.
         """
         self._needs_flush = True
--- a/skylarkfold/requests/_forwarder.py
+++ b/skylarkfold/requests/_forwarder.py
@@ -1,8 +1,8 @@
-"""Requests on their way to another instance and back.
+"""Forwarding of requests to other instances.
 
-A request that the receiver will run goes out only once the receiver has
-issued a ticket for it. A pass that was delayed for long or doubled on its
-way finds its ticket expired or used, and runs nothing.
+A request that the receiver will run is sent only after the receiver has
+issued a single-use ticket for it. If the message is delayed or duplicated on
+its way, its ticket has expired or is used, and the request does not run.
 """
 
 from __future__ import annotations
@@ -32,15 +32,15 @@
 
 @dataclasses.dataclass(slots=True)
 class ForwardedRequest:
-    """A request that is to be passed.
+    """A request that is forwarded to a peer.
 
-    :param peer: the instance that gets it.
-    :param boot: its process.
-    :param kind: what is asked of it.
+    :param peer: the name of the peer.
+    :param boot_id: the boot ID of the peer's process.
+    :param kind: what the peer is asked to do.
     :param request: the request.
     :param deadline: the caller's deadline by the local clock.
-    :param ended: called once with the end of the pass.
-    :param claim: for ``RECALL``, the claim to answer for.
+    :param on_ended: called once with the time, the status and the answer.
+    :param claim_number: for ``RECALL``, the peer's claim to the key.
     :param is_sent: whether the request has left this instance.
     """
 
@@ -55,9 +55,9 @@
 
 
 class RequestForwarder:
-    """Matches passed requests with their answers.
+    """Sender of forwarded requests, and issuer of tickets to peers.
 
-    :param context: what the parts of the core share.
+    :param context: shared identity, settings and effects of the core.
     """
 
     def __init__(self, context: _context.Context) -> None:
@@ -71,11 +71,11 @@
         return len(self._outgoing)
 
     def send(self, now: float, forwarded: ForwardedRequest) -> int:
-        """Pass a request to a peer.
+        """Forward a request to a peer.
 
-        :param now: the time.
-        :param passed: the request and where it goes.
-        :returns: the number of the pass.
+        :param now: the current time.
+        :param forwarded: the request and its destination.
+        :returns: the ID of the forward.
         """
         self._last_number += 1
         number = self._last_number
@@ -100,9 +100,9 @@
         return number
 
     def discard(self, number: int) -> None:
-        """Wait for the end of a pass no longer.
+        """Stop waiting for the answer to a forwarded request.
 
-        :param number: the pass.
+        :param number: the ID of the forward.
         """
         self._outgoing.pop(number, None)
 
@@ -112,11 +112,11 @@
         sender: str,
         ticket_request: _messages.TicketRequestMessage,
     ) -> None:
-        """Issue a ticket for one pass.
+        """Issue a ticket for one forwarded request.
 
-        :param now: the time.
-        :param sender: the peer that asks.
-        :param asked: its question.
+        :param now: the current time.
+        :param sender: the name of the peer that asks for it.
+        :param ticket_request: its request.
         """
         is_full = len(self._tickets) >= _MAXIMUM_TICKETS
         if ticket_request.target_boot_id != self._context.boot_id or is_full:
@@ -134,11 +134,11 @@
     def use_ticket(
         self, now: float, sender: str, ticket_message: _messages.TicketMessage
     ) -> None:
-        """Send the request that a ticket was issued for.
+        """Send the request for which a peer has issued a ticket.
 
-        :param now: the time.
-        :param sender: the peer that issued it.
-        :param issued: the ticket.
+        :param now: the current time.
+        :param sender: the name of the peer that issued it.
+        :param ticket_message: the ticket.
         """
         forwarded = self._find(
             sender, ticket_message.target_boot_id, ticket_message.number
@@ -152,11 +152,12 @@
     def redeem_ticket(
         self, now: float, forwarded: _messages.ForwardMessage
     ) -> bool:
-        """Tell whether a peer's request is to be taken.
+        """Invalidate a forwarded request's ticket and check its validity.
 
-        :param now: the time.
-        :param passed: the peer's message.
-        :returns: False for a copy, or one that was long on its way.
+        :param now: the current time.
+        :param forwarded: the peer's message.
+        :returns: False if the ticket is used or expired; True for
+            ``RECALL``, which needs none.
         """
         if forwarded.kind is ForwardKind.RECALL:
             return True
@@ -166,11 +167,11 @@
     def end(
         self, now: float, sender: str, ended: _messages.ForwardEndedMessage
     ) -> None:
-        """Take the end of a pass.
+        """Handle the answer to a forwarded request.
 
-        :param now: the time.
-        :param sender: the peer that sent it.
-        :param ended: the message; one that fits no pass is dropped.
+        :param now: the current time.
+        :param sender: the name of the peer that sent it.
+        :param ended: the message; dropped if nothing waits for it.
         """
         forwarded = self._find(sender, ended.target_boot_id, ended.number)
         if forwarded is None or not forwarded.is_sent:
@@ -180,9 +181,9 @@
         forwarded.on_ended(now, ended.status, _read_answer(ended))
 
     def end_all_to(self, now: float, peer: str) -> None:
-        """End all passes to a peer that was lost.
+        """End all requests forwarded to a peer whose connection was lost.
 
-        :param now: the time.
+        :param now: the current time.
         :param peer: the peer's name.
         """
         lost = [
@@ -194,9 +195,9 @@
             self._end_as_lost(now, number)
 
     def tick(self, now: float) -> None:
-        """End passes past their deadline and let tickets expire.
+        """End forwarded requests past their deadline; expire tickets.
 
-        :param now: the time.
+        :param now: the current time.
         """
         expired = [
             number
@@ -255,10 +256,10 @@
 def read_request(
     forwarded: _messages.ForwardMessage, number: int
 ) -> request_module.Request:
-    """Read the request from a pass.
+    """Return the request that a peer has forwarded.
 
-    :param passed: the message.
-    :param number: the number that the request gets here.
+    :param forwarded: the message.
+    :param number: the number of the request on this instance.
     :returns: the request.
     """
     return request_module.Request(
@@ -278,12 +279,12 @@
 def get_outcome(
     status: ForwardStatus, answer: request_module.Answer | None
 ) -> request_module.Outcome:
-    """Judge a pass as an attempt.
+    """Return the outcome of a forwarded request as an attempt.
 
-    :param status: how it ended.
+    :param status: how the forward ended.
     :param answer: the peer's answer.
-    :returns: the outcome; not run only where the request was not sent or
-        the peer said so itself.
+    :returns: the outcome; its verdict is ``NOT_RUN`` only if the request was
+        not sent or the peer itself answered so.
     """
     if status is ForwardStatus.UNSENT:
         return request_module.Outcome.UNREACHABLE
--- a/skylarkfold/requests/_holder_manager.py
+++ b/skylarkfold/requests/_holder_manager.py
@@ -1,8 +1,8 @@
-"""Keeping the list of holders in step with the membership.
+"""Updates of the list of holders after changes of the membership.
 
-One instance at a time writes it, the first by name of those alive; where
-views differ several try, and the platform's conditional write lets one
-of them win.
+One instance, the coordinator, writes the list: the first by name of those
+alive. If instances disagree about who that is, several may write, and the
+platform's conditional write lets one of them succeed.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 
 class HolderManager:
-    """Knows the newest list of holders and has it changed where needed.
+    """Holder of the newest list, and its writer while coordinator.
 
-    :param context: what the parts of the core share.
-    :param register: this instance's votes.
+    :param context: shared identity, settings and effects of the core.
+    :param vote_table: this instance's votes as a holder.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         self._declared_gone: frozenset[str] = frozenset()
         self._write_blocked_until = 0.0
         self._list_changed_at = 0.0
-        # Whether the store has an older list, or none.
+        # Whether the store was restored with an older list than the newest.
         self._is_rolled_back = False
         self.holders: _holders.HolderList | None = None
         self.is_stopping = False
 
     @property
     def is_unlisted(self) -> bool:
-        """Tell whether nobody counts on this instance's votes."""
+        """Return whether the list no longer names this process."""
         if self.holders is None:
             return True
         own = (self._context.name, self._context.boot_id)
@@ -70,13 +70,13 @@
     def update_list(
         self, now: float, revision: int, version: int, value: bytes | None
     ) -> bool:
-        """Take the stored list.
+        """Accept a list from the store or a peer if it is newer.
 
-        :param now: the time.
+        :param now: the current time.
         :param revision: the store's revision of the object.
         :param version: the object's version.
-        :param value: the object; None where it was deleted.
-        :returns: whether it is newer than the list known so far.
+        :param value: the object, None if it was deleted.
+        :returns: whether it replaced the list known so far.
         """
         if self.holders is not None and revision <= self.holders.list_revision:
             return False
@@ -109,17 +109,18 @@
         return True
 
     def _has_newer_than(self, other: _holders.HolderList) -> bool:
-        """Tell whether the list that is known is later than another."""
+        """Return whether the known list has a higher serial than another."""
         if self.holders is None:
             return False
         return other.value.serial < self.holders.value.serial
 
     def _record_rollback(self, version: int) -> None:
-        """Note that the store has come back without the newest list.
+        """Record that the store was restored without the newest list.
 
-        Votes were given by it, so that nobody goes back to an older one.
+        The newest list stays in force, because holders have voted under it.
+        The coordinator writes it again.
 
-        :param version: what the store has; the next write expects it.
+        :param version: the version in the store, which that write expects.
         """
         if self.holders is None:
             return
@@ -128,11 +129,11 @@
         self._context.count(metric.REQUESTS_HOLDERS_LOST)
 
     def update_declared_gone(self, value: bytes | None) -> None:
-        """Take the names that operators declare gone for good.
+        """Update the names that operators declare gone for good.
 
-        An instance that finds its own name there votes no more.
+        An instance that finds its own name among them stops voting.
 
-        :param value: the stored list; None where it was deleted.
+        :param value: the stored list of names, None if it was deleted.
         """
         try:
             self._declared_gone = _holders.decode_gone(value or b'[]')
@@ -143,9 +144,9 @@
             self._vote_table.close()
 
     def update_membership(self, membership: member_module.Membership) -> None:
-        """Take the newest membership.
+        """Update the membership.
 
-        :param membership: all members as seen here.
+        :param membership: all members as seen by this instance.
         """
         self._membership = membership
         for known in (self._reports, self._unconfirmed):
@@ -154,15 +155,15 @@
                     del known[name]
 
     def end_write(self, now: float, ended: event.WriteEnded) -> bool:
-        """Take the outcome of a write of the list.
+        """Handle the outcome of a write of the list.
 
-        :param now: the time.
+        :param now: the current time.
         :param ended: the outcome.
         :returns: whether a newer list became known.
         """
         if ended.path != _holders.PATH:
             return False
-        # A conflict without an object is over once the watch brings it.
+        # After a conflict without an object, the watch delivers the list.
         self._write_blocked_until = (
             now + self._context.settings.change_delay_seconds
         )
@@ -176,15 +177,14 @@
     def record_report(
         self, now: float, sender: str, report: _messages.ReportMessage
     ) -> None:
-        """Take a member's report.
+        """Record a member's report.
 
-        A process that is new under its name counts only once it has
-        reported for a while: a report of the process before it may have
-        lain unread.
+        A report with a new boot ID counts only if the member repeats it for
+        some time, because it may be a delayed one of a former process.
 
-        :param now: the time.
-        :param sender: the member.
-        :param report: which process it is and what it has to take over.
+        :param now: the current time.
+        :param sender: the member's name.
+        :param report: its process and the ranges it has yet to take over.
         """
         if report.is_ending:
             self._ended_processes.add((sender, report.boot_id))
@@ -201,7 +201,7 @@
             self._reports[sender] = report
 
     def announce_end(self) -> None:
-        """Tell all holders that this process never votes again."""
+        """Tell all holders that this process will not vote again."""
         self._vote_table.close()
         if self.holders is None:
             return
@@ -217,29 +217,29 @@
     def send_votes(
         self, now: float, sender: str, request: _messages.VotesRequestMessage
     ) -> None:
-        """Tell this instance's votes to a holder that takes them over.
+        """Send this instance's votes to a new holder of some ranges.
 
-        :param now: the time.
-        :param sender: the holder.
-        :param asked: its question.
+        :param now: the current time.
+        :param sender: the new holder's name.
+        :param request: its request.
         """
         self._vote_transfer.send_votes(sender, request)
 
     def record_votes(
         self, now: float, sender: str, message: _messages.VotesMessage
     ) -> None:
-        """Take a previous holder's votes over.
+        """Record the votes that a former holder transfers.
 
-        :param now: the time.
-        :param sender: the holder.
-        :param told: a portion of its votes.
+        :param now: the current time.
+        :param sender: the former holder's name.
+        :param message: a chunk of its votes.
         """
         self._vote_transfer.record_votes(now, sender, message)
 
     def tick(self, now: float) -> None:
-        """Go on with what the newest list and membership ask for.
+        """Continue the vote transfer; write the list or report, if due.
 
-        :param now: the time.
+        :param now: the current time.
         """
         self._vote_transfer.tick(now)
         if now < self._next_check_at:
@@ -341,10 +341,10 @@
         self._complete_ranges(now)
 
     def _retains_majority(self, desired: _holders.HolderSet) -> bool:
-        """Tell whether most of those in force that may live are kept.
+        """Return whether a change keeps most holders that may be alive.
 
-        Of two sides that are cut off from each other at most one may
-        write: else they would take turns in locking each other out.
+        During a network partition this lets at most one side write. Otherwise
+        both sides would keep replacing each other's holders.
         """
         current = self.holders.value.current
         kept = [each for each in current if each in desired]
@@ -366,7 +366,10 @@
         return is_followed or self._is_gone(holder)
 
     def _complete_ranges(self, now: float) -> None:
-        """Let ranges go on without their past holders, best all at once."""
+        """Drop the former holders of ranges whose votes are transferred.
+
+        Waits for all pending ranges for some seconds, to save writes.
+        """
         pending = self.holders.list_pending()
         completed = frozenset(
             each for each in pending if self._is_range_complete(each)
--- a/skylarkfold/requests/_holders.py
+++ b/skylarkfold/requests/_holders.py
@@ -1,9 +1,11 @@
-"""Which instances vote on a key: one list that the platform orders.
-
-The list is one object. Its writes are conditional, so all instances agree
-on one sequence of lists, and the store's revision labels each of them.
-While the holders of a range still take over what those before them know,
-a claim needs a majority of both.
+"""The list of holders: which instances vote on the claims to a key.
+
+Keys are hashed into ranges, and each range has up to three holders, which
+follow from the list by rendezvous hashing. The list is one object of the
+platform's store. Its writes are conditional, so all instances see the same
+sequence of lists, identified by the store's revision. As in joint consensus,
+a claim needs a majority of the previous holders as well until they have
+transferred their votes on the range.
 """
 
 from __future__ import annotations
@@ -23,11 +25,11 @@
 
 
 class Holder(msgspec.Struct, frozen=True, array_like=True):
-    """A process that votes on keys.
+    """A process that votes on claims to keys.
 
     :param name: the instance's name.
     :param zone: its availability zone.
-    :param boot: a number that the process drew at its start.
+    :param boot_id: a number that identifies the process, drawn at its start.
     """
 
     name: str
@@ -36,10 +38,10 @@
 
 
 class PreviousHolders(msgspec.Struct, frozen=True, array_like=True):
-    """Holders of the past that some ranges still depend on.
+    """Former holders whose votes some ranges still depend on.
 
     :param holders: the holders, sorted by name.
-    :param ranges: the ranges, sorted; each is in one generation at most.
+    :param ranges: the ranges, sorted; no range is in two such groups.
     """
 
     holders: tuple[Holder, ...]
@@ -49,10 +51,11 @@
 class HolderValue(msgspec.Struct, frozen=True):
     """The stored form of the list.
 
-    :param current: the holders in force, sorted by name.
-    :param previous: those before them, for ranges not taken over yet.
-    :param serial: how often the list has been changed; 0 in lists that were
-        written before there was one.
+    :param current: the present holders, sorted by name.
+    :param previous: former holders, for ranges whose votes are not
+        transferred yet.
+    :param serial: the number of changes so far; 0 in lists that were written
+        before this field existed.
     """
 
     current: tuple[Holder, ...]
@@ -67,12 +70,13 @@
 
 
 class HolderList:
-    """A version of the list.
+    """One version of the list, with the holders of each range.
 
-    :param label: the store's revision of the object; rises.
+    :param list_revision: the store's revision of the object; increases.
     :param version: the object's own version, for a conditional write.
     :param value: the holders.
-    :param before: the list known so far, whose sets are used again.
+    :param known: the list known so far; cached sets that the change leaves
+        as they are get copied from it.
     """
 
     __slots__ = (
@@ -109,22 +113,22 @@
 
     @property
     def is_joint(self) -> bool:
-        """Tell whether a claim still needs a majority of two sets."""
+        """Return whether claims to some ranges need two majorities."""
         return bool(self.value.previous)
 
     def get_current(self, range_number: int) -> HolderSet:
-        """Get the holders in force for a range of keys.
+        """Return the present holders of a range of keys.
 
-        :param number: the range.
+        :param range_number: the range.
         :returns: its holders.
         """
         return self._get_holders(self.value.current, range_number)
 
     def get_previous(self, range_number: int) -> HolderSet:
-        """Get the holders that a range of keys still depends on.
+        """Return the former holders that a range still depends on.
 
-        :param number: the range.
-        :returns: its holders before; none where all is taken over.
+        :param range_number: the range.
+        :returns: the holders; none if their votes are transferred.
         """
         holders = self._previous_by_range.get(range_number)
         return (
@@ -132,10 +136,10 @@
         )
 
     def list_sets(self, range_number: int) -> tuple[HolderSet, ...]:
-        """List the sets of which a claim needs a majority each.
+        """List the sets of holders of which a claim needs a majority each.
 
-        :param number: the range of the key.
-        :returns: one set or two.
+        :param range_number: the range of the key.
+        :returns: the present holders and, where needed, the former ones.
         """
         current = self.get_current(range_number)
         if range_number not in self._previous_by_range:
@@ -143,11 +147,11 @@
         return (current, self.get_previous(range_number))
 
     def list_pending(self) -> list[int]:
-        """List the ranges that are not taken over yet."""
+        """List the ranges whose votes are not transferred yet."""
         return sorted(self._previous_by_range)
 
     def list_processes(self) -> set[tuple[str, int]]:
-        """List all processes that anything depends on, name and boot."""
+        """List the name and boot ID of all present and former holders."""
         listed = {(each.name, each.boot_id) for each in self.value.current}
         for generation in self.value.previous:
             listed.update(
@@ -156,11 +160,11 @@
         return listed
 
     def build_replacement(self, holders: HolderSet) -> HolderValue:
-        """Make the value that brings other holders in force.
+        """Build the next value of the list with other holders.
 
-        :param wanted: the holders, sorted by name.
-        :returns: the value; ranges that move depend on their holders of
-            now, or on those that they depended on already.
+        :param holders: the new holders, sorted by name.
+        :returns: the value. A range that moves depends on its holders of
+            this list, or on the former ones if it already does.
         """
         after = HolderList(0, 0, HolderValue(holders), self)
         kept = (
@@ -187,10 +191,10 @@
         return HolderValue(holders, previous, self.value.serial + 1)
 
     def build_completion(self, numbers: frozenset[int]) -> HolderValue:
-        """Make the value in which ranges depend on no past holders.
+        """Build the next value of the list after votes were transferred.
 
-        :param numbers: ranges that are taken over.
-        :returns: the value.
+        :param numbers: the ranges whose votes are transferred.
+        :returns: the value, in which they depend on no former holders.
         """
         kept = (
             PreviousHolders(
@@ -219,7 +223,7 @@
         )
 
     def find(self, name: str) -> Holder | None:
-        """Find the holder in force under a name.
+        """Return the present holder of a name.
 
         :param name: the instance's name.
         :returns: the holder, or None.
@@ -228,7 +232,7 @@
 
 
 def compute_range(key: bytes) -> int:
-    """Find the range of a key.
+    """Return the range of a key.
 
     :param key: the key's digest.
     :returns: a number from 0 to ``RANGES - 1``.
@@ -237,10 +241,10 @@
 
 
 def count_majority(holders: HolderSet) -> int:
-    """Count the votes that a claim needs in a set.
+    """Return the number of votes that a claim needs in a set of holders.
 
     :param holders: the set.
-    :returns: more than half of it.
+    :returns: the smallest majority.
     """
     return len(holders) // 2 + 1
 
@@ -248,12 +252,12 @@
 def decode_list(
     changed: platform_api.StoredObject, known: HolderList | None = None
 ) -> HolderList:
-    """Read the stored list.
+    """Decode the stored list.
 
     :param changed: the object, not deleted.
-    :param before: the list known so far.
+    :param known: the list known so far, see :class:`HolderList`.
     :returns: the list.
-    :raises DecodeError: if the value is no list of holders.
+    :raises DecodeError: if the value is not a list of holders.
     """
     try:
         value = _decoder.decode(changed.value)
@@ -263,11 +267,11 @@
 
 
 def decode_gone(value: bytes) -> frozenset[str]:
-    """Read the names that operators declare gone for good.
+    """Decode the names of instances that operators declare gone for good.
 
     :param value: a JSON list of instances' names.
     :returns: the names.
-    :raises DecodeError: if the value is no list of names.
+    :raises DecodeError: if the value is not a list of names.
     """
     try:
         return _gone_decoder.decode(value)
@@ -276,21 +280,21 @@
 
 
 def encode_value(value: HolderValue) -> bytes:
-    """Give the stored form of a list.
+    """Encode a list for the store.
 
-    :param value: the holders.
-    :returns: its bytes.
+    :param value: the list.
+    :returns: its JSON form.
     """
     return _encoder.encode(value)
 
 
 def choose_holders(holders: Iterable[Holder], range_number: int) -> HolderSet:
-    """Choose the holders of a range by rendezvous hash, zones apart.
+    """Choose the holders of a range by rendezvous hashing.
 
     :param holders: all holders.
-    :param number: the range.
-    :returns: at most ``COPIES`` of them; of one zone only where there
-        are too few zones.
+    :param range_number: the range.
+    :returns: at most ``HOLDERS_PER_RANGE`` of them, from different zones as
+        far as there are enough zones.
     """
     ranked = sorted(
         holders,
@@ -319,7 +323,7 @@
 def _keep_unchanged_sets(
     cache: dict[int, HolderSet], before: HolderSet, after: HolderSet
 ) -> dict[int, HolderSet]:
-    """Keep the sets that a change of the holders leaves as they are."""
+    """Return the cached sets that a change of the holders does not affect."""
     removed = set(before).difference(after)
     added = [each for each in after if each not in set(before)]
     known_zones = {each.zone for each in before}
--- a/skylarkfold/requests/_key_handover.py
+++ b/skylarkfold/requests/_key_handover.py
@@ -1,4 +1,4 @@
-"""Finished keys on their way from an instance that stops to another one."""
+"""Transfer of finished keys from a stopping instance to another one."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class KeyHandover:
-    """Hands finished keys on, and takes over those of others.
+    """Sender and receiver of finished keys' records.
 
-    :param context: what the parts of the core share.
-    :param claimant: tells the holders who answers for a key.
+    :param context: shared identity, settings and effects of the core.
+    :param claim_client: moves the holders' votes to the receiver.
     :param memory: the keys that this instance answers for.
     """
 
@@ -36,24 +36,24 @@
 
     @property
     def is_over(self) -> bool:
-        """Tell whether all finished keys were handed on."""
+        """Return whether all finished keys were handed over."""
         if self._waiting is None:
             return not len(self._memory)
         return not self._waiting
 
     def record_ended(self, record: _key_record.KeyRecord) -> None:
-        """Note a key that has ended while others are handed on.
+        """Queue a key that was finished after the handover began.
 
-        :param record: the key.
+        :param record: the key's record.
         """
         if self._waiting is not None:
             self._waiting.append(record)
 
     def hand_over(self, successor: _holders.Holder, limit: int) -> None:
-        """Hand finished keys on, a portion at a time.
+        """Send the next batch of finished keys to their new owner.
 
-        :param successor: the instance that answers for them from then on.
-        :param limit: how many at most.
+        :param successor: the instance that answers for the keys afterwards.
+        :param limit: the size of the batch.
         """
         if self._waiting is None:
             self._waiting = collections.deque(self._memory.list_ended())
@@ -63,9 +63,9 @@
     def accept_handover(
         self, now: float, handed: _messages.KeyHandoverMessage
     ) -> None:
-        """Answer for a finished key of another instance from now on.
+        """Store a finished key that another instance hands over.
 
-        :param now: the time.
+        :param now: the current time.
         :param handed: the key's record.
         """
         if (
--- a/skylarkfold/requests/_key_memory.py
+++ b/skylarkfold/requests/_key_memory.py
@@ -1,4 +1,4 @@
-"""Final answers by key, bounded by count, bytes and age."""
+"""Key records with final answers, limited by count, bytes and age."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class KeyMemory:
     """All key records of an instance.
 
-    A record is forgotten by age only; of those that have ended, the
-    oldest lose their answers' bodies when too many bytes are kept.
+    Records with a final answer are deleted by age only. When their answers
+    exceed ``maximum_answer_bytes``, the oldest lose their bodies.
 
     :param settings: the request settings.
     """
@@ -38,11 +38,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Tell whether no further key can be remembered."""
+        """Return whether the limit of records is reached."""
         return len(self) >= self._settings.maximum_keys
 
     def has_room(self, request: request_module.Request) -> bool:
-        """Tell whether a request can wait here for its key's answer.
+        """Return whether the limits allow a record for a request.
 
         :param request: the request.
         """
@@ -51,7 +51,7 @@
         return is_small and not self.is_full
 
     def find(self, key: bytes) -> _key_record.KeyRecord | None:
-        """Find a key's record.
+        """Return a key's record.
 
         :param key: the key's digest.
         :returns: the record, or None.
@@ -59,7 +59,7 @@
         return self._active.get(key) or self._ended.get(key)
 
     def add(self, record: _key_record.KeyRecord) -> None:
-        """Add a record whose answer is not known yet.
+        """Add a record that has no final answer yet.
 
         :param record: the record.
         """
@@ -67,9 +67,9 @@
         self._active_bytes += len(record.request.body)
 
     def drop(self, record: _key_record.KeyRecord) -> None:
-        """Forget a key that has no final answer.
+        """Remove a record that has no final answer.
 
-        :param record: its record.
+        :param record: the record.
         """
         if self._active.pop(record.key, None) is not None:
             self._active_bytes -= len(record.request.body)
@@ -80,10 +80,10 @@
         record: _key_record.KeyRecord,
         answer: request_module.Answer,
     ) -> None:
-        """Keep a key's final answer.
+        """Store a key's final answer.
 
-        :param now: the time.
-        :param record: its record.
+        :param now: the current time.
+        :param record: the key's record.
         :param answer: the answer.
         """
         self.drop(record)
@@ -99,7 +99,7 @@
             self._drop_body(self._records_with_body.popleft())
 
     def list_active(self) -> list[_key_record.KeyRecord]:
-        """List the records whose answer is not known yet."""
+        """List the records that have no final answer yet."""
         return list(self._active.values())
 
     def list_ended(self) -> Iterator[_key_record.KeyRecord]:
@@ -107,9 +107,9 @@
         yield from self._ended.values()
 
     def expire(self, now: float) -> None:
-        """Forget the keys whose time is over.
+        """Delete records past their expiry time.
 
-        :param now: the time.
+        :param now: the current time.
         """
         while self._ended:
             record = next(iter(self._ended.values()))
--- a/skylarkfold/requests/_key_record.py
+++ b/skylarkfold/requests/_key_record.py
@@ -1,4 +1,4 @@
-"""What an instance knows of one key that it claims or answers for."""
+"""The record of a key that an instance claims or answers for."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 
 class KeyState(enum.Enum):
-    """Where a key stands on this instance.
+    """State of a key on this instance.
 
-    ``CLAIMING``: its claim is undecided. ``ASKING``: another instance
-    answers for it and has been asked. ``OWNED``: its request is queued or
-    runs here. ``ENDED``: its final answer is known.
+    ``CLAIMING``: its claim is undecided. ``ASKING``: another instance owns
+    the key and was asked for the answer. ``OWNED``: this instance owns the
+    key, and its request is queued or running. ``ENDED``: its final answer is
+    known.
     """
 
     CLAIMING = 'claiming'
@@ -30,21 +31,21 @@
 
 @dataclasses.dataclass(slots=True)
 class KeyRecord:
-    """A key with its request, its claim and those who wait.
+    """A key with its request, its claim and its requesters.
 
     :param key: the key's digest.
     :param fingerprint: the digest of the request.
-    :param request: the request as it came first; None once ended.
-    :param state: where it stands.
-    :param askers: who waits, each with its deadline.
-    :param give_up_at: when a claim without a majority is given up.
-    :param claim: the claim in progress.
-    :param claim_number: the number of the last claim.
-    :param retry_at: when the silent are asked again or, without a claim,
-        when a new one is made.
-    :param pass_number: the pass that asks the owner, 0 for none.
+    :param request: the first request with this key, None once it has ended.
+    :param state: the state of the key.
+    :param requesters: those who wait for the answer, with their deadlines.
+    :param claim_deadline: when a claim without a majority is abandoned.
+    :param tally: the votes on the undecided claim, None if there is none.
+    :param last_claim_number: the number of the last claim, 0 for none.
+    :param retry_at: when the remaining holders are asked again or, without
+        an undecided claim, when a new one is made.
+    :param forward_id: the forward that asks the owner, 0 for none.
     :param answer: the final answer.
-    :param expires: when an ended key may be forgotten.
+    :param expires_at: when the record of an ended key may be deleted.
     """
 
     key: bytes
@@ -64,15 +65,15 @@
 
     @property
     def answer_bytes(self) -> int:
-        """The size of the answer's body."""
+        """Return the size of the answer's body."""
         return len(self.answer.body) if self.answer is not None else 0
 
 
 def digest_key(request: request_module.Request) -> bytes:
-    """Digest a request's key, alike on every instance.
+    """Return the digest of a request's service and idempotency key.
 
     :param request: the request.
-    :returns: 16 bytes that nobody can make collide.
+    :returns: a cryptographic hash of 16 bytes, the same on all instances.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     _update(digest, request.service.encode())
@@ -81,10 +82,10 @@
 
 
 def digest_request(request: request_module.Request) -> int:
-    """Digest what a key may be used for: method, target and body.
+    """Return the fingerprint that all requests with one key must share.
 
     :param request: the request.
-    :returns: a number of 64 bits.
+    :returns: a hash of method, target and body, 64 bits.
     """
     digest = hashlib.blake2b(digest_size=_FINGERPRINT_BYTES)
     _update(digest, request.method.encode())
--- a/skylarkfold/requests/_key_resolver.py
+++ b/skylarkfold/requests/_key_resolver.py
@@ -1,4 +1,4 @@
-"""Which instance owns a key: this one, or one that is asked."""
+"""Claims to keys, from the first vote to the answer of the key's owner."""
 
 from __future__ import annotations
 
@@ -24,13 +24,17 @@
 
 
 class KeyResolver:
-    """Takes a key from its claim to its owner.
+    """Resolver of a key's owner: this instance or another one.
 
-    :param context: what the parts of the core share.
-    :param claimant: makes the claims.
-    :param passes: carries questions to other instances.
-    :param memory: the keys that this instance knows.
-    :param won: called with each key that this instance owns from then on.
+    If a claim is lost, the instance that owns the key is asked for the
+    answer.
+
+    :param context: shared identity, settings and effects of the core.
+    :param claim_client: makes the claims.
+    :param forwarder: forwards requests to the owners of their keys.
+    :param memory: the key records of this instance.
+    :param on_won: called with the time and the record of each key that this
+        instance has won.
     """
 
     __slots__ = (
@@ -60,8 +64,8 @@
     def claim(self, now: float, record: _key_record.KeyRecord) -> None:
         """Claim a key.
 
-        :param now: the time.
-        :param record: the key.
+        :param now: the current time.
+        :param record: the key's record.
         """
         record.state = KeyState.CLAIMING
         self._claim_client.claim(now, record)
@@ -70,30 +74,30 @@
     def record_vote(
         self, now: float, sender: str, vote: _messages.VoteMessage
     ) -> None:
-        """Count a holder's answer to a claim.
+        """Record a holder's vote on a claim.
 
-        :param now: the time.
-        :param sender: the holder.
-        :param vote: its answer; one to another claim is ignored.
+        :param now: the current time.
+        :param sender: the holder's name.
+        :param vote: its vote; ignored unless the claim is undecided.
         """
         record = self._claim_client.record_vote(sender, vote)
         if record is not None:
             self._evaluate(now, record)
 
     def renew(self, now: float, record: _key_record.KeyRecord) -> None:
-        """Make an undecided claim anew under a newer list of holders.
+        """Submit an undecided claim again under a newer list of holders.
 
-        :param now: the time.
-        :param record: the key.
+        :param now: the current time.
+        :param record: the key's record.
         """
         if self._claim_client.renew(now, record):
             self._evaluate(now, record)
 
     def retry(self, now: float, record: _key_record.KeyRecord) -> None:
-        """Ask the silent again, claim anew or give up, where that is due.
+        """Ask the remaining holders, claim again or give up, if due.
 
-        :param now: the time.
-        :param record: a key whose claim is undecided.
+        :param now: the current time.
+        :param record: the record of a key in state ``CLAIMING``.
         """
         if now >= record.claim_deadline:
             self._fail(now, record, ErrorCode.KEY_UNVERIFIED)
--- a/skylarkfold/requests/_keyed_requests.py
+++ b/skylarkfold/requests/_keyed_requests.py
@@ -1,8 +1,8 @@
-"""At most one run for each key, whichever instances it is sent to.
+"""At-most-once execution of requests with an idempotency key.
 
-An instance runs a keyed request only once a majority of the key's holders
-have voted for its claim. Holders vote once for each key, so at most one
-claim wins; whoever loses asks the winner, which alone knows the outcome.
+An instance runs a keyed request only after a majority of the key's holders
+have voted for its claim. A holder votes for one claim per key, so at most one
+claim wins. An instance that loses asks the winner for the answer.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Runner(Protocol):
-    """Runs the requests whose keys were won."""
+    """Interface of what runs the requests whose keys were won."""
 
     def begin(
         self, now: float, request: request_module.Request, deadline: float
@@ -41,16 +41,16 @@
         """Admit a request."""
 
     def cancel_unless_running(self, now: float, number: int) -> None:
-        """Give a request up unless an attempt is in flight."""
+        """Cancel a request unless an attempt is in flight."""
 
 
 class KeyedRequests:
-    """Claims keys, answers for those won, asks about those lost.
+    """Handler of all requests that have an idempotency key.
 
-    :param context: what the parts of the core share.
-    :param claimant: makes the claims.
+    :param context: shared identity, settings and effects of the core.
+    :param claim_client: makes the claims.
     :param runner: runs the requests whose keys were won.
-    :param passes: carries questions to other instances.
+    :param forwarder: forwards requests to the owners of their keys.
     """
 
     def __init__(
@@ -79,12 +79,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nobody waits for a key's answer."""
+        """Return whether no key is without its final answer."""
         return not self._memory.list_active()
 
     @property
     def is_handed_over(self) -> bool:
-        """Tell whether all finished keys were handed on."""
+        """Return whether all finished keys were handed over."""
         return self._handover.is_over
 
     def receive(
@@ -94,12 +94,12 @@
         requester: _context.Requester,
         deadline: float,
     ) -> None:
-        """Take a keyed request that may run only once.
+        """Handle a keyed request that may run only once.
 
-        :param now: the time.
+        :param now: the current time.
         :param request: the request.
-        :param asker: who waits for its answer.
-        :param deadline: until when, by the local clock.
+        :param requester: the caller or peer that waits for its answer.
+        :param deadline: its deadline by the local clock.
         """
         key = _key_record.digest_key(request)
         fingerprint = _key_record.digest_request(request)
@@ -131,15 +131,15 @@
         deadline: float,
         claim_number: int,
     ) -> ForwardStatus | None:
-        """Answer another instance for a key that this one claimed.
-
-        :param now: the time.
-        :param request: the request as it came to the other instance.
-        :param asker: the other instance's pass.
-        :param deadline: until when it waits.
-        :param claim: the claim that it was told of.
-        :returns: why there is no answer; None where the answer has been
-            sent or will be.
+        """Answer another instance's question for a key of this instance.
+
+        :param now: the current time.
+        :param request: the request as the other instance received it.
+        :param requester: the other instance.
+        :param deadline: its deadline by the local clock.
+        :param claim_number: the claim that has the holders' votes.
+        :returns: the reason why there is no answer, or None if the answer is
+            sent now or later.
         """
         key = _key_record.digest_key(request)
         if self._claim_client.has_abandoned(claim_number):
@@ -156,23 +156,23 @@
     def record_vote(
         self, now: float, sender: str, vote: _messages.VoteMessage
     ) -> None:
-        """Count a holder's answer to a claim.
+        """Record a holder's vote on a claim.
 
-        :param now: the time.
-        :param sender: the holder.
-        :param vote: its answer; one to another claim is ignored.
+        :param now: the current time.
+        :param sender: the holder's name.
+        :param vote: its vote; ignored unless the claim is undecided.
         """
         self._key_resolver.record_vote(now, sender, vote)
 
     def end_execution(
         self, now: float, number: int, answer: request_module.Answer
     ) -> bool:
-        """Take the final answer of a request whose key was won.
+        """Store and send the final answer of a request whose key was won.
 
-        :param now: the time.
+        :param now: the current time.
         :param number: the request's number.
         :param answer: its answer.
-        :returns: False where the request has no key here.
+        :returns: False if the request has no key owned by this instance.
         """
         record = self._by_number.pop(number, None)
         if record is None:
@@ -187,12 +187,13 @@
         return True
 
     def cancel(self, now: float, requester: _context.Requester) -> bool:
-        """Wait no longer on behalf of a caller that has gone.
+        """Drop a caller that has disconnected from the requesters of a key.
 
-        A request that runs is left to end, for the caller's next try.
+        A running request is not cancelled, so that a retry of the caller
+        finds its answer.
 
-        :param now: the time.
-        :param asker: the caller.
+        :param now: the current time.
+        :param requester: the caller.
         :returns: whether it waited for a key.
         """
         for record in self._memory.list_active():
@@ -202,17 +203,17 @@
         return False
 
     def handle_peer_lost(self, now: float, peer: str) -> None:
-        """Count on others before a peer that was lost.
+        """Mark a peer whose connection was lost as unresponsive.
 
-        :param now: the time.
-        :param peer: its name.
+        :param now: the current time.
+        :param peer: the peer's name.
         """
         self._claim_client.mark_unresponsive(now, peer)
 
     def tick(self, now: float) -> None:
-        """Ask the silent again and end what is past its deadline.
+        """Retry undecided claims, and expire requesters and records.
 
-        :param now: the time.
+        :param now: the current time.
         """
         for record in self._memory.list_active():
             self._expire_requesters(now, record)
@@ -222,28 +223,28 @@
         self._claim_client.expire(now)
 
     def renew_claims(self, now: float) -> None:
-        """Make undecided claims anew under a newer list of holders.
+        """Submit undecided claims again under a newer list of holders.
 
-        :param now: the time.
+        :param now: the current time.
         """
         for record in self._memory.list_active():
             self._key_resolver.renew(now, record)
 
     def hand_over(self, successor: _holders.Holder, limit: int) -> None:
-        """Hand finished keys on to another instance, a portion at a time.
+        """Send the next batch of finished keys to their new owner.
 
-        :param successor: the instance.
-        :param limit: how many at most.
+        :param successor: the instance that answers for the keys afterwards.
+        :param limit: the size of the batch.
         """
         self._handover.hand_over(successor, limit)
 
     def accept_handover(
         self, now: float, sender: str, handed: _messages.KeyHandoverMessage
     ) -> None:
-        """Answer for a finished key from now on.
+        """Store a finished key that another instance hands over.
 
-        :param now: the time.
-        :param sender: the instance that answered before.
+        :param now: the current time.
+        :param sender: the former owner's name.
         :param handed: the key's record.
         """
         self._handover.accept_handover(now, handed)
--- a/skylarkfold/requests/_messages.py
+++ b/skylarkfold/requests/_messages.py
@@ -1,7 +1,7 @@
 """Messages between the request cores of two instances.
 
-Processes are told apart by their boot number, which each draws at its
-start: a message for one that has gone is not taken by its successor.
+Each process draws a boot ID at its start. A message to a former process of
+the same name is thereby recognised and dropped.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class VoteStatus(enum.IntEnum):
-    """How a holder answers a claim.
+    """A holder's answer to a claim.
 
-    ``TAKEN``: it voted for another claim. ``STALE``: the claim was made
-    under an older list. ``FULL``: it can't remember more keys.
+    ``TAKEN``: it has voted for another claim. ``STALE``: the claim was made
+    under an older list. ``FULL``: its table of votes is full.
     """
 
     ACCEPTED = 0
@@ -28,13 +28,13 @@
 
 
 class ClaimMessage(message.PeerMessage, tag=20):
-    """Asks a holder for its vote.
+    """Request to a holder to vote for a claim.
 
-    :param label: the list of holders under which the claim is made.
-    :param target_boot: the holder's process.
+    :param list_revision: the list of holders under which the claim is made.
+    :param target_boot_id: the boot ID of the holder.
     :param key: the key's digest.
-    :param boot: the claimant's process.
-    :param claim: the claim's number.
+    :param boot_id: the boot ID of the claimant.
+    :param claim_number: the claim's number.
     """
 
     list_revision: int
@@ -47,14 +47,14 @@
 class VoteMessage(message.PeerMessage, tag=21):
     """A holder's answer to a claim.
 
-    :param label: the label that the claim bore.
-    :param target_boot: the claimant's process.
-    :param claim: the claim's number.
-    :param boot: the holder's process.
-    :param ballot: the answer.
-    :param owner: the claimant that holds the vote, where another does.
-    :param owner_boot: its process.
-    :param owner_claim: its claim.
+    :param list_revision: the list of holders that the claim named.
+    :param target_boot_id: the boot ID of the claimant.
+    :param claim_number: the claim's number.
+    :param boot_id: the boot ID of the holder.
+    :param status: the answer.
+    :param competitor: for ``TAKEN``, the claimant that has the vote.
+    :param competitor_boot_id: the boot ID of that claimant.
+    :param competitor_claim_number: the number of its claim.
     """
 
     list_revision: int
@@ -68,15 +68,17 @@
 
 
 class ReleaseMessage(message.PeerMessage, tag=22):
-    """Gives a claim up: its request did not run and never will.
+    """Request to a holder to delete its vote for a claim or to move it.
 
-    With a successor, the record of the key has been handed on to it.
+    Without a successor, the claim's request did not run and never will. With
+    one, the record of the key was handed over to it.
 
     :param key: the key's digest.
-    :param boot: the claimant's process.
-    :param claim: the claim.
-    :param successor: who answers for the key from now on, or nobody.
-    :param successor_boot: its process.
+    :param boot_id: the boot ID of the claimant.
+    :param claim_number: the claim's number.
+    :param successor: the instance that owns the key from now on, empty for
+        none.
+    :param successor_boot_id: the boot ID of that instance.
     """
 
     key: bytes
@@ -87,10 +89,10 @@
 
 
 class ForwardKind(enum.IntEnum):
-    """What a passed request asks for.
+    """What the receiver of a forwarded request has to do.
 
-    ``RUN``: run it, the sender vouches for its key. ``RECEIVE``: treat it
-    as a caller's own. ``RECALL``: answer from the record of its key.
+    ``RUN``: run it; the sender has checked its key. ``RECEIVE``: handle it
+    like a caller's request. ``RECALL``: answer from the record of its key.
     """
 
     RUN = 0
@@ -99,14 +101,14 @@
 
 
 class ForwardMessage(message.PeerMessage, tag=23):
-    """Passes a request to another instance.
-
-    :param kind: what is asked for.
-    :param target_boot: the receiver's process.
-    :param boot: the sender's process.
-    :param number: the pass, unique for the sender's process; rises.
-    :param ticket: for the other kinds, the receiver's ticket.
-    :param claim: for ``RECALL``, the claim that the receiver made.
+    """A request that is forwarded to another instance.
+
+    :param kind: what the receiver has to do.
+    :param target_boot_id: the boot ID of the receiver.
+    :param boot_id: the boot ID of the sender.
+    :param number: the ID of the forward, increasing in the sender's process.
+    :param ticket: the receiver's ticket, 0 for ``RECALL``.
+    :param claim_number: for ``RECALL``, the receiver's claim to the key.
     :param timeout_ms: the time left to the caller's deadline.
     :param service: see :class:`skylarkfold.request.Request`, also for
         the others.
@@ -130,12 +132,11 @@
 
 
 class ForwardStatus(enum.IntEnum):
-    """How a pass ended.
+    """How a forward ended.
 
-    ``ABANDONED``: the claim was given up before anything ran.
-    ``UNKNOWN``: the receiver has no record of the claim.
-    ``UNSENT``: the request never left the sender. ``LOST``: nothing is
-    known.
+    ``ABANDONED``: the claim was abandoned before a request ran under it.
+    ``UNKNOWN``: the receiver has no record of the claim. ``UNSENT``: the
+    request was not sent. ``LOST``: it was sent and no answer arrived.
     """
 
     ANSWERED = 0
@@ -146,11 +147,11 @@
 
 
 class ForwardEndedMessage(message.PeerMessage, tag=24):
-    """The end of a pass.
+    """The result of a forwarded request.
 
-    :param target_boot: the process that passed the request.
-    :param number: the pass.
-    :param status: how it ended.
+    :param target_boot_id: the boot ID of the process that forwarded it.
+    :param number: the ID of the forward.
+    :param status: how the forward ended.
     :param verdict: see :class:`skylarkfold.request.Answer`, also for the
         others.
     """
@@ -167,13 +168,15 @@
 
 
 class VotesRequestMessage(message.PeerMessage, tag=25):
-    """Asks a previous holder to refuse older claims and tell its votes.
+    """Request to a former holder to send its votes.
+
+    The receiver refuses claims under older lists from then on.
 
-    :param label: the list of holders that moved the ranges.
-    :param question: numbers the sender's questions.
-    :param target_boot: the previous holder's process.
-    :param boot: the sender's process.
-    :param ranges: ranges of keys.
+    :param list_revision: the list of holders that moved the ranges.
+    :param request_number: a number that the answer repeats.
+    :param target_boot_id: the boot ID of the former holder.
+    :param boot_id: the boot ID of the sender.
+    :param ranges: the ranges of keys.
     """
 
     list_revision: int
@@ -184,7 +187,7 @@
 
 
 class TransferredVote(message.PeerMessage):
-    """A vote as it is handed on."""
+    """One vote of a former holder."""
 
     key: bytes
     claimant: str
@@ -193,14 +196,14 @@
 
 
 class VotesMessage(message.PeerMessage, tag=26):
-    """A portion of a previous holder's votes.
-
-    :param label: the label asked for.
-    :param question: the question that is answered.
-    :param target_boot: the process that asked.
-    :param boot: the previous holder's process.
-    :param portion: counts from 0.
-    :param portions: how many there are.
+    """A chunk of a former holder's votes.
+
+    :param list_revision: the list of holders that the request named.
+    :param request_number: the number of the request.
+    :param target_boot_id: the boot ID of the process that sent the request.
+    :param boot_id: the boot ID of the former holder.
+    :param chunk: the index of this chunk, from 0.
+    :param chunk_count: the number of chunks.
     :param votes: the votes.
     """
 
@@ -214,12 +217,12 @@
 
 
 class ReportMessage(message.PeerMessage, tag=27):
-    """Tells the writer of the list which process the sender is.
+    """A member's report to the coordinator of the list of holders.
 
-    :param boot: the process.
-    :param label: the list that it knows, 0 for none.
-    :param missing: ranges that it has still to take over.
-    :param is_ending: whether the process ends and never votes again.
+    :param boot_id: the boot ID of the sender.
+    :param list_revision: the newest list that it knows, 0 for none.
+    :param pending_ranges: ranges whose votes it has yet to receive.
+    :param is_ending: whether the process ends and will not vote again.
     """
 
     boot_id: int
@@ -229,12 +232,12 @@
 
 
 class KeyHandoverMessage(message.PeerMessage, tag=28):
-    """Hands the record of a finished key on.
+    """The record of a finished key, handed over to its new owner.
 
-    :param target_boot: the receiver's process.
+    :param target_boot_id: the boot ID of the receiver.
     :param key: the key's digest.
     :param fingerprint: the digest of the request.
-    :param claim: the claim under which it ran.
+    :param claim_number: the claim under which the request ran.
     :param verdict: the answer's verdict, as for :class:`PassEndedMessage`.
     """
 
@@ -250,7 +253,7 @@
 
 
 class HoldersMessage(message.PeerMessage, tag=29):
-    """Tells a newer list of holders than the receiver knows.
+    """A list of holders that is newer than the receiver's.
 
     :param revision: the store's revision of the object.
     :param version: the object's version.
@@ -263,11 +266,11 @@
 
 
 class TicketRequestMessage(message.PeerMessage, tag=38):
-    """Asks for a ticket to pass a request that will run.
+    """Request for a ticket to forward a request that the receiver will run.
 
-    :param target_boot: the receiver's process.
-    :param boot: the sender's process.
-    :param number: the pass.
+    :param target_boot_id: the boot ID of the receiver.
+    :param boot_id: the boot ID of the sender.
+    :param number: the ID of the forward.
     """
 
     target_boot_id: int
@@ -276,12 +279,13 @@
 
 
 class TicketMessage(message.PeerMessage, tag=39):
-    """A ticket; it is good for one pass and a short time.
+    """A single-use, short-lived ticket for a forwarded request.
 
-    It proves to its issuer that the pass is fresh and no copy.
+    It proves to its issuer that the request is neither delayed nor a
+    duplicate.
 
-    :param target_boot: the process that asked.
-    :param number: the pass.
+    :param target_boot_id: the boot ID of the process that asked for it.
+    :param number: the ID of the forward.
     :param ticket: the ticket.
     """
 
--- a/skylarkfold/requests/_retry_budget.py
+++ b/skylarkfold/requests/_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget that bounds retries to a share of first attempts."""
+"""Limit of retries to a share of first attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RetryBudget:
-    """Earns a share of a retry with each first attempt.
+    """Token bucket that each first attempt fills by ``retry_share``.
 
     :param settings: the request settings.
     """
@@ -19,13 +19,13 @@
         self._tokens = settings.retry_burst
 
     def earn(self) -> None:
-        """Count a first attempt."""
+        """Add the tokens for a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Take one retry.
+        """Take the token for one retry.
 
-        :returns: whether the budget allowed it.
+        :returns: whether there was one.
         """
         if self._tokens < 1:
             return False
--- a/skylarkfold/requests/_retry_scheduler.py
+++ b/skylarkfold/requests/_retry_scheduler.py
@@ -1,4 +1,4 @@
-"""Whether and when an attempt is followed by another, and who waits."""
+"""Scheduling of retries after failed attempts."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class RetryScheduler:
-    """Allows retries that are safe, useful and within the budget.
+    """Scheduler of retries that are safe and within the budget.
 
-    :param context: what the parts of the core share.
+    :param context: shared identity, settings and effects of the core.
     """
 
     __slots__ = ('_budget', '_context', '_settings', '_waiting')
@@ -26,27 +26,27 @@
         return len(self._waiting)
 
     def record_attempt(self, execution: _execution.Execution) -> None:
-        """Count an attempt that has begun; its exchange waits no more.
+        """Record the start of an attempt; removes the pending retry.
 
-        :param exchange: the exchange.
+        :param execution: the execution of the request.
         """
         self.discard(execution.request.number)
         if execution.attempts == 1:
             self._budget.earn()
 
     def discard(self, number: int) -> None:
-        """Try an exchange no more.
+        """Remove the pending retry of a request, if there is one.
 
-        :param number: its request's number.
+        :param number: the request's number.
         """
         self._waiting.pop(number, None)
 
     def list_due(
         self, now: float, service_name: str
     ) -> list[_execution.Execution]:
-        """List the exchanges of a service that may be tried again.
+        """List the executions of a service whose retry is due.
 
-        :param now: the time.
+        :param now: the current time.
         :param service_name: the service.
         """
         return [
@@ -56,7 +56,7 @@
         ]
 
     def list_services(self) -> set[str]:
-        """List the services for which an exchange waits."""
+        """List the services that have pending retries."""
         return {each.request.service for each in self._waiting.values()}
 
     def schedule(
@@ -65,12 +65,12 @@
         execution: _execution.Execution,
         service: service_module.Service | None,
     ) -> bool:
-        """Let an exchange wait for a retry, taken from the budget.
+        """Schedule a retry if one is allowed, and charge the budget.
 
-        :param now: the time.
-        :param exchange: the exchange whose attempt has just failed.
-        :param service: its service, None where it is no longer known.
-        :returns: False where it must not be tried again.
+        :param now: the current time.
+        :param execution: the execution whose attempt has just failed.
+        :param service: its service, None if it is no longer configured.
+        :returns: whether a retry was scheduled.
         """
         retry_at = self._compute_retry_time(now, execution, service)
         if retry_at is None:
@@ -107,10 +107,10 @@
 def has_other_upstream(
     execution: _execution.Execution, service: service_module.Service | None
 ) -> bool:
-    """Tell whether an upstream is left that has not failed an exchange.
+    """Return whether there is an upstream that was not tried yet.
 
-    :param exchange: the exchange.
-    :param service: its service, None where it is no longer known.
+    :param execution: the execution of the request.
+    :param service: its service, None if it is no longer configured.
     """
     if service is None:
         return False
--- a/skylarkfold/requests/_router.py
+++ b/skylarkfold/requests/_router.py
@@ -1,4 +1,4 @@
-"""Where a request goes that a caller sent or a peer passed."""
+"""Routing of received requests to the part of the core that handles them."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 
 class RequestRouter:
-    """Runs a request, has its key claimed first, or turns it away.
+    """Entry point of requests from callers and of those peers forward.
 
-    :param context: what the parts of the core share.
-    :param lifecycle: runs requests.
-    :param keys: runs those that may run only once.
-    :param passes: knows which passes are taken.
-    :param stop: turns requests away once the instance stops.
+    :param context: shared identity, settings and effects of the core.
+    :param executor: runs requests without a key.
+    :param keyed_requests: handles requests that may run only once.
+    :param forwarder: checks the tickets of forwarded requests.
+    :param shutdown: refuses or forwards requests during the stop.
     """
 
     __slots__ = (
@@ -60,9 +60,12 @@
         self._resumed_until = 0.0
 
     def detect_pause(self, now: float) -> None:
-        """Distrust the age of what arrives right after a pause.
+        """Detect a pause of the process by the time since the last event.
 
-        :param now: the time, of every event.
+        Keyed requests that arrive right after it may have waited for long, so
+        they are refused for ``woken_seconds``.
+
+        :param now: the time of the event.
         """
         settings = self._context.settings
         last, self._last_event_at = self._last_event_at, now
@@ -76,11 +79,11 @@
         request: request_module.Request,
         requester: _context.Requester,
     ) -> None:
-        """Take a request of a caller, or one that a peer received.
+        """Handle a request of a caller or one that a peer received.
 
-        :param now: the time.
+        :param now: the current time.
         :param request: the request.
-        :param asker: who waits for its answer.
+        :param requester: the caller or peer that waits for its answer.
         """
         deadline = now + self._limit_timeout(request)
         is_keyed = bool(request.key) and not request.idempotent
@@ -96,10 +99,10 @@
             self._run(now, request, requester, deadline)
 
     def cancel(self, now: float, number: int) -> None:
-        """Forget a caller that went away.
+        """Cancel the request of a caller that has disconnected.
 
-        :param now: the time.
-        :param number: its request's number.
+        :param now: the current time.
+        :param number: the request's number.
         """
         requester = _context.Requester('', 0, number)
         if not self._keyed_requests.cancel(now, requester):
@@ -108,11 +111,11 @@
     def handle_forward(
         self, now: float, sender: str, forwarded: _messages.ForwardMessage
     ) -> None:
-        """Take a request that a peer passed.
+        """Handle a request that a peer forwarded.
 
-        :param now: the time.
-        :param sender: the peer.
-        :param passed: the request.
+        :param now: the current time.
+        :param sender: the peer's name.
+        :param forwarded: the message with the request.
         """
         requester = _context.Requester(
             sender, forwarded.boot_id, forwarded.number
@@ -140,7 +143,7 @@
             self._run(now, request, requester, deadline)
 
     def send_answer(self, number: int, answer: request_module.Answer) -> None:
-        """Send the answer of a request without a key to who waits for it.
+        """Send the answer of an unkeyed request to its requester.
 
         :param number: the request's number.
         :param answer: its answer.
--- a/skylarkfold/requests/_settings.py
+++ b/skylarkfold/requests/_settings.py
@@ -11,38 +11,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestSettings:
-    """How requests are bounded, repeated and remembered.
+    """Limits and delays of request handling.
 
-    :param maximum_timeout_seconds: the longest deadline; a request that
-        asks for more is given this.
-    :param maximum_attempts: attempts of one request, the first included.
+    :param maximum_timeout_seconds: the longest deadline; a longer one that a
+        request asks for is reduced to it.
+    :param maximum_attempts: attempts of one request, including the first.
     :param retry_share: retries allowed for each first attempt.
-    :param retry_burst: retries that may be saved up.
+    :param retry_burst: unused retries that can accumulate.
     :param retry_delay_seconds: mean delay before a retry; the actual one
-        lies between half and one and a half times that.
-    :param retry_after_seconds: the advice in a refusal that knows no
-        better.
-    :param key_memory_seconds: how long after its first sending a key may
-        be sent again; at least the longest deadline.
-    :param maximum_keys: keys that one instance answers for.
-    :param maximum_waiting_bytes: bodies of requests that wait for the
-        answer of their key, from the claim to the end.
-    :param maximum_answer_bytes: bodies kept for keys that are sent again.
+        is between half and one and a half times that.
+    :param retry_after_seconds: the default ``Retry-After`` of a refusal.
+    :param key_memory_seconds: how long after its first use a key may be sent
+        again; at least ``maximum_timeout_seconds``.
+    :param maximum_keys: keys that one instance keeps records of.
+    :param maximum_waiting_bytes: total size of the bodies of keyed requests
+        that have no final answer yet.
+    :param maximum_answer_bytes: total size of the answers' bodies that are
+        kept for replay.
     :param maximum_votes: keys that one instance votes on.
-    :param claim_retry_seconds: when a silent holder is asked again.
-    :param claim_patience_seconds: when a claim without a majority is
-        given up.
-    :param change_delay_seconds: how long a changed membership must last
-        before the list of holders follows it.
-    :param hand_on_seconds: the longest that a stop waits for others to
-        take this instance's votes over.
-    :param pause_seconds: an instance that has handled nothing for so long
-        was paused; what reaches it next may be as old.
-    :param woken_seconds: how long it then refuses keyed requests.
-    :param ready_seconds: the longest that the instance counts as not ready
-        because no list of holders has come.
-    :param selection: how an upstream is chosen.
-    :param admission: how requests wait.
+    :param claim_retry_seconds: the delay before holders that have not
+        answered are asked again.
+    :param claim_patience_seconds: the time after which a claim without a
+        majority is abandoned.
+    :param change_delay_seconds: how long a changed membership must be stable
+        before the list of holders is changed.
+    :param hand_on_seconds: the longest time that a stop waits for the
+        transfer of this instance's votes to other holders.
+    :param pause_seconds: a gap between events after which the process counts
+        as having been paused; requests that arrive next may be as old.
+    :param woken_seconds: how long keyed requests are refused after a pause.
+    :param ready_seconds: the longest time that the instance reports not
+        ready while it has no list of holders.
+    :param selection: settings of the choice of upstreams.
+    :param admission: settings of the admission queue.
     """
 
     maximum_timeout_seconds: float = 60.0
@@ -82,10 +83,10 @@
 
     @property
     def vote_retention_seconds(self) -> float:
-        """How long a holder remembers a vote after it was last asked.
+        """Return how long a holder keeps a vote after the last claim.
 
-        The last sending may lie unread through a pause, and its claim may
-        take the patience and the longest deadline.
+        A key's last request may be delayed by a pause, and then take the
+        time of a claim and the longest deadline.
         """
         return (
             self.key_memory_seconds
--- a/skylarkfold/requests/_shutdown.py
+++ b/skylarkfold/requests/_shutdown.py
@@ -1,4 +1,4 @@
-"""A planned stop: finish what runs, hand on what is known, leave."""
+"""Graceful shutdown: finish requests, hand over keys, then leave."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 
 class Shutdown:
-    """Takes no new work once asked to, and knows when all is done.
+    """State machine of a graceful shutdown.
 
-    :param context: what the parts of the core share.
-    :param lifecycle: the requests that run here.
-    :param keys: the keys that this instance answers for.
-    :param passes: the requests passed on.
-    :param succession: the list of holders.
+    :param context: shared identity, settings and effects of the core.
+    :param executor: the requests that this instance runs.
+    :param keyed_requests: the keys that this instance answers for.
+    :param forwarder: the requests forwarded to other instances.
+    :param holder_manager: the list of holders.
     """
 
     def __init__(
@@ -53,13 +53,13 @@
 
     @property
     def has_begun(self) -> bool:
-        """Tell whether the instance was asked to stop."""
+        """Return whether the instance was asked to stop."""
         return self._begun_at is not None
 
     def begin(self, now: float) -> None:
-        """Take no new work from now on.
+        """Begin the shutdown; new requests are refused or forwarded.
 
-        :param now: the time.
+        :param now: the current time.
         """
         if self._begun_at is None:
             self._begun_at = now
@@ -67,9 +67,9 @@
             self._holder_manager.is_stopping = True
 
     def update_membership(self, membership: member_module.Membership) -> None:
-        """Take the newest membership.
+        """Update the membership.
 
-        :param membership: all members as seen here.
+        :param membership: all members as seen by this instance.
         """
         self._membership = membership
 
@@ -80,14 +80,15 @@
         requester: _context.Requester,
         deadline: float,
     ) -> None:
-        """Refuse a request, or pass it on where a refusal can't be true.
+        """Refuse an unkeyed or idempotent request, forward a keyed one.
 
-        Only the holders of its key can tell whether it ran before.
+        Whether a keyed request has run before is known to the holders of its
+        key, so this instance can't refuse it as not run.
 
-        :param now: the time.
+        :param now: the current time.
         :param request: the request.
-        :param asker: who waits for its answer.
-        :param deadline: until when, by the local clock.
+        :param requester: the caller or peer that waits for its answer.
+        :param deadline: its deadline by the local clock.
         """
         if not request.key or request.idempotent:
             self._context.refuse(
@@ -113,11 +114,12 @@
         self._forwarder.send(now, forwarded)
 
     def advance(self, now: float) -> None:
-        """Hand on, and leave once nothing runs any more.
+        """Hand over keys, and finish once no request is left.
 
-        The process stays while others count on its votes, for a while.
+        The process stays up to ``hand_on_seconds`` while the list of holders
+        names it, so that its votes can be transferred.
 
-        :param now: the time.
+        :param now: the current time.
         """
         if (
             self._begun_at is None
@@ -138,7 +140,7 @@
     def _can_hand_over(
         self, now: float, successor: _holders.Holder | None
     ) -> bool:
-        """Tell whether the votes on the keys have found their place."""
+        """Return whether the votes are transferred or the time is over."""
         is_late = now - self._begun_at > self._context.settings.hand_on_seconds
         return successor is None or self._holder_manager.is_unlisted or is_late
 
--- a/skylarkfold/requests/_vote_table.py
+++ b/skylarkfold/requests/_vote_table.py
@@ -1,4 +1,4 @@
-"""A holder's votes: for each key, the one claim that it voted for."""
+"""A holder's votes: for each key, the one claim that it accepted."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ClaimId(NamedTuple):
-    """A claim to a key.
+    """Identity of a claim to a key.
 
-    :param name: the instance that claims it.
-    :param boot: the process under that name.
-    :param claim: the claim's number, unique in the system.
+    :param name: the name of the claimant's instance.
+    :param boot_id: the boot ID of the claimant's process.
+    :param number: the claim's number, unique in the system.
     """
 
     name: str
@@ -37,7 +37,7 @@
 
 
 class VoteTable:
-    """Remembers which claim to each key got this holder's vote.
+    """Table of the claims that have this holder's vote, by key.
 
     :param settings: the request settings.
     """
@@ -57,13 +57,13 @@
     def vote(
         self, now: float, list_revision: int, key: bytes, claim_id: ClaimId
     ) -> tuple[VoteStatus, ClaimId]:
-        """Answer a claim.
+        """Vote on a claim.
 
-        :param now: the time.
-        :param label: the list under which it is made.
+        :param now: the current time.
+        :param list_revision: the list under which the claim is made.
         :param key: the key's digest.
-        :param owner: the claim.
-        :returns: the ballot, and the claim that holds the vote.
+        :param claim_id: the claim.
+        :returns: the result, and the claim that has the vote.
         """
         if list_revision < self.minimum_revision or self._is_closed:
             return VoteStatus.STALE, UNKNOWN_CLAIM
@@ -81,24 +81,24 @@
         return VoteStatus.ACCEPTED, claim_id
 
     def fence(self, list_revision: int) -> None:
-        """Refuse claims that are made under a list before this one.
+        """Refuse claims that are made under older lists from now on.
 
-        :param label: the list's label.
+        :param list_revision: the revision of the oldest list to accept.
         """
         self.minimum_revision = max(self.minimum_revision, list_revision)
 
     def close(self) -> None:
-        """Never vote again: others have been told that this process left."""
+        """Refuse all claims, since others count this process as gone."""
         self._is_closed = True
 
     def release(
         self, key: bytes, claim_id: ClaimId, successor: ClaimId | None
     ) -> None:
-        """Take a vote back, or move it, at the word of its owner.
+        """Delete the vote for a claim or move it to another claim.
 
         :param key: the key's digest.
-        :param owner: the claim that its claimant gave up.
-        :param successor: the claim that follows it, None for none.
+        :param claim_id: the claim that its claimant released.
+        :param successor: the claim that gets the vote, None to delete it.
         """
         vote = self._votes.get(key)
         if vote is None or vote.claim_id != claim_id:
@@ -111,10 +111,10 @@
     def apply_release(
         self, claimant: str, release: _messages.ReleaseMessage
     ) -> None:
-        """Take a vote back, or move it, at the word of its claimant.
+        """Apply a release message of a claimant.
 
-        :param claimant: the instance that made the claim.
-        :param released: the claim, and who follows it.
+        :param claimant: the name of the claimant's instance.
+        :param release: the claim and its successor, if any.
         """
         claim_id = ClaimId(claimant, release.boot_id, release.claim_number)
         successor = None
@@ -132,7 +132,7 @@
         """List the votes in some ranges of keys.
 
         :param ranges: the ranges.
-        :returns: keys with the claim that got the vote.
+        :returns: keys with the claim that has the vote.
         """
         for key, vote in self._votes.items():
             if _holders.compute_range(key) in ranges:
@@ -141,14 +141,14 @@
     def merge(
         self, now: float, votes: Iterable[tuple[bytes, ClaimId]]
     ) -> None:
-        """Take over another holder's votes.
+        """Merge another holder's votes into this table.
 
-        Where the two differ either may have been decided, so the key's
-        owner counts as unknown. No limit applies: a vote that is left out
+        If two votes on a key differ, either claim may have won, so the claim
+        becomes unknown. ``maximum_votes`` does not apply: an omitted vote
         could let a request run twice.
 
-        :param now: the time.
-        :param votes: keys with the claim that got the vote.
+        :param now: the current time.
+        :param votes: keys with the claim that has the vote.
         """
         for key, claim_id in votes:
             vote = self._votes.get(key)
@@ -158,9 +158,9 @@
                 vote.claim_id = UNKNOWN_CLAIM
 
     def expire(self, now: float) -> None:
-        """Forget votes on keys that nobody may send again.
+        """Delete votes older than the retention time.
 
-        :param now: the time.
+        :param now: the current time.
         """
         oldest = now - self._retention_seconds
         while self._votes:
--- a/skylarkfold/requests/_vote_transfer.py
+++ b/skylarkfold/requests/_vote_transfer.py
@@ -1,4 +1,4 @@
-"""Taking over votes when the holders of ranges of keys change."""
+"""Transfer of votes from former to new holders of ranges of keys."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 
 class VoteTransfer:
-    """Collects the votes of the ranges that this instance now holds.
+    """Sender and receiver of votes when the holders of ranges change.
 
-    A range is taken over once a majority of its previous holders have
-    told their votes and refuse older claims. Where too many of them are
-    provably gone, nobody can know what they voted for: the range is
-    taken over only when every key of that time may be forgotten.
+    A range is transferred once a majority of its former holders have sent
+    their votes and refuse claims under older lists. If too many of them are
+    gone to form a majority, their votes are unknown, and the range counts as
+    transferred only after the retention time of votes.
 
-    :param context: what the parts of the core share.
-    :param register: this instance's votes.
-    :param is_gone: tells whether a holder's process has provably ended.
+    :param context: shared identity, settings and effects of the core.
+    :param vote_table: this instance's votes as a holder.
+    :param is_gone: returns whether a holder's process has provably ended.
     """
 
     def __init__(
@@ -51,11 +51,11 @@
         self._next_request_at = 0.0
 
     def start(self, now: float, holders: _holders.HolderList) -> None:
-        """Begin under a newer list of holders.
+        """Start the transfer under a newer list of holders.
 
-        What was told since the present holders came in force still holds.
+        Votes received before stay valid if the present holders are the same.
 
-        :param now: the time.
+        :param now: the current time.
         :param holders: the list.
         """
         before = self._holders
@@ -81,9 +81,9 @@
             )
 
     def tick(self, now: float) -> None:
-        """Ask the previous holders that have not told their votes.
+        """Request votes from former holders that have not sent them.
 
-        :param now: the time.
+        :param now: the current time.
         """
         pending_ranges = self.list_pending_ranges(now)
         if pending_ranges and now >= self._next_request_at:
@@ -91,9 +91,9 @@
             self._request_votes(pending_ranges)
 
     def list_pending_ranges(self, now: float) -> list[int]:
-        """List the ranges that this instance has not taken over.
+        """List the ranges whose votes this instance still has to receive.
 
-        :param now: the time.
+        :param now: the current time.
         :returns: the ranges, sorted.
         """
         self._pending_ranges = [
@@ -106,10 +106,10 @@
     def send_votes(
         self, sender: str, request: _messages.VotesRequestMessage
     ) -> None:
-        """Refuse older claims from now on and tell the votes.
+        """Send this instance's votes and refuse claims under older lists.
 
-        :param sender: the instance that asks.
-        :param asked: for which ranges.
+        :param sender: the new holder's name.
+        :param request: the ranges and the revision of the newer list.
         """
         if request.target_boot_id != self._context.boot_id:
             return
@@ -137,11 +137,11 @@
     def record_votes(
         self, now: float, sender: str, message: _messages.VotesMessage
     ) -> None:
-        """Take a previous holder's votes over.
+        """Merge a former holder's votes into this instance's table.
 
-        :param now: the time.
-        :param sender: the holder.
-        :param told: a portion of its votes.
+        :param now: the current time.
+        :param sender: the former holder's name.
+        :param message: a chunk of its votes.
         """
         is_ours = message.target_boot_id == self._context.boot_id
         if not is_ours or self._holders is None:
--- a/skylarkfold/requests/_voter.py
+++ b/skylarkfold/requests/_voter.py
@@ -1,4 +1,4 @@
-"""This instance as a holder: its votes on others' claims."""
+"""Server side of the vote on keys: answers other instances' claims."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class Voter:
-    """Answers claims by the register of votes.
+    """Handler of the messages that this instance gets as a holder.
 
-    :param context: what the parts of the core share.
-    :param register: this instance's votes.
-    :param get_holders: gives the newest list of holders, None for none.
+    :param context: shared identity, settings and effects of the core.
+    :param vote_table: this instance's votes.
+    :param get_holders: returns the newest list of holders, or None.
     """
 
     __slots__ = ('_context', '_get_holders', '_vote_table')
@@ -35,11 +35,11 @@
     def handle_claim(
         self, now: float, sender: str, message: _messages.ClaimMessage
     ) -> None:
-        """Answer a peer's claim to a key.
+        """Vote on a peer's claim to a key.
 
-        :param now: the time.
-        :param sender: the claimant.
-        :param claim: the claim.
+        :param now: the current time.
+        :param sender: the claimant's name.
+        :param message: the claim.
         """
         if message.target_boot_id != self._context.boot_id:
             return
@@ -70,11 +70,11 @@
     def handle_release(
         self, now: float, sender: str, release: _messages.ReleaseMessage
     ) -> None:
-        """Take a vote back at the word of the claim's maker.
+        """Delete or move a vote because its claimant released it.
 
-        :param now: the time.
-        :param sender: the claimant.
-        :param released: the claim, and who follows it.
+        :param now: the current time.
+        :param sender: the claimant's name.
+        :param release: the claim and its successor, if any.
         """
         self._vote_table.apply_release(sender, release)
 
