--- a/skylarkfold/requests/_abandoned_claims.py
+++ b/skylarkfold/requests/_abandoned_claims.py
@@ -14,7 +14,7 @@
     """
 
     def __init__(self, settings: _settings.RequestSettings) -> None:
-        self._maximum = settings.maximum_votes
+        self._maximum_entries = settings.maximum_votes
         self._retention_seconds = settings.vote_retention_seconds
         self._expiries: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
@@ -30,10 +30,10 @@
         :param claim_number: the claim's number.
         """
         self._expiries[claim_number] = now + self._retention_seconds
-        if len(self._expiries) > self._maximum:
+        if len(self._expiries) > self._maximum_entries:
             self._expiries.popitem(last=False)
 
-    def has(self, claim_number: int) -> bool:
+    def contains(self, claim_number: int) -> bool:
         """Return whether a claim is known to be abandoned.
 
         :param claim_number: the claim's number.
--- a/skylarkfold/requests/_answers.py
+++ b/skylarkfold/requests/_answers.py
@@ -59,7 +59,8 @@
 
     :param verdict: whether the request may have run.
     :param code: an :class:`ErrorCode` or a code of the admission queue.
-    :param retry_after_seconds: the delay that the caller is told to wait.
+    :param retry_after_seconds: how long the caller should wait before it
+        tries again.
     :returns: the answer, with the HTTP status of the code.
     """
     return request_module.Answer(
@@ -105,10 +106,10 @@
     if request.method == 'HEAD' or answer.status == _NOT_MODIFIED:
         return True
     headers = dict(answer.headers)
-    announced = headers.get('content-length', '')
-    if 'content-encoding' in headers or not announced.isdecimal():
+    content_length = headers.get('content-length', '')
+    if 'content-encoding' in headers or not content_length.isdecimal():
         return True
-    return len(answer.body) >= int(announced)
+    return len(answer.body) >= int(content_length)
 
 
 def classify_attempt(
--- a/skylarkfold/requests/_claim_client.py
+++ b/skylarkfold/requests/_claim_client.py
@@ -109,14 +109,14 @@
             if holder.name == self._context.name:
                 self._ask_self(now, record, holder)
                 continue
-            asked = _messages.ClaimMessage(
+            message = _messages.ClaimMessage(
                 list_revision=tally.list_revision,
                 target_boot_id=holder.boot_id,
                 key=record.key,
                 boot_id=self._context.boot_id,
                 claim_number=record.last_claim_number,
             )
-            self._context.send(holder.name, asked)
+            self._context.send(holder.name, message)
 
     def record_vote(
         self, sender: str, vote: _messages.VoteMessage
@@ -169,7 +169,7 @@
         :param claim_number: the claim's number.
         :returns: False also if the entry has expired.
         """
-        return self._abandoned_claims.has(claim_number)
+        return self._abandoned_claims.contains(claim_number)
 
     def release(
         self,
--- a/skylarkfold/requests/_claim_tally.py
+++ b/skylarkfold/requests/_claim_tally.py
@@ -71,11 +71,11 @@
 
     def choose_unanswered(self) -> list[_holders.Holder]:
         """Choose all holders that have not answered, and mark them asked."""
-        every = dict.fromkeys(
+        holders = dict.fromkeys(
             each for holder_set in self._holder_sets for each in holder_set
         )
         return self._mark_asked(
-            [each for each in every if not self._has_answered(each)]
+            [each for each in holders if not self._has_answered(each)]
         )
 
     @property
--- a/skylarkfold/requests/_context.py
+++ b/skylarkfold/requests/_context.py
@@ -61,8 +61,8 @@
         :param text: identifies the number within this process.
         :returns: a number from 0 to 2**63 - 1.
         """
-        seeded = f'{self._seed}|{self.name}|{text}'
-        return xxhash.xxh3_64_intdigest(seeded.encode()) & _POSITIVE
+        seeded_text = f'{self._seed}|{self.name}|{text}'
+        return xxhash.xxh3_64_intdigest(seeded_text.encode()) & _POSITIVE
 
     def jitter(self, seconds: float, text: str) -> float:
         """Return a delay with jitter of plus or minus one half.
@@ -73,13 +73,13 @@
         """
         return seconds * (0.5 + self.draw(text) / _SCALE)
 
-    def send(self, peer: str, sent: message_module.PeerMessage) -> None:
+    def send(self, peer: str, message: message_module.PeerMessage) -> None:
         """Add the effect that sends a message to a peer.
 
         :param peer: the peer's name.
-        :param sent: the message.
+        :param message: the message.
         """
-        self.effects.append(effect.SendToPeer(peer, sent))
+        self.effects.append(effect.SendToPeer(peer, message))
 
     def reply(
         self, requester: Requester, answer: request_module.Answer
@@ -92,7 +92,7 @@
         if not requester.peer:
             self.effects.append(effect.SendAnswer(requester.number, answer))
             return
-        ended = _messages.ForwardEndedMessage(
+        message = _messages.ForwardEndedMessage(
             target_boot_id=requester.boot_id,
             number=requester.number,
             status=_messages.ForwardStatus.ANSWERED,
@@ -103,7 +103,7 @@
             code=answer.code,
             retry_after_seconds=answer.retry_after_seconds,
         )
-        self.send(requester.peer, ended)
+        self.send(requester.peer, message)
 
     def refuse(
         self, requester: Requester, verdict: verdict_module.Verdict, code: str
--- a/skylarkfold/requests/_core.py
+++ b/skylarkfold/requests/_core.py
@@ -165,8 +165,8 @@
 
     def _receive(self, now: float, received: event.RequestReceived) -> None:
         request = received.request
-        own = _context.Requester('', 0, request.number)
-        self.router.receive(now, request, own)
+        requester = _context.Requester('', 0, request.number)
+        self.router.receive(now, request, requester)
 
     def _cancel(self, now: float, cancelled: event.RequestCancelled) -> None:
         self.router.cancel(now, cancelled.request)
--- a/skylarkfold/requests/_executor.py
+++ b/skylarkfold/requests/_executor.py
@@ -355,8 +355,13 @@
         service = self._services.get(execution.request.service)
         if self._retry_scheduler.schedule(now, execution, service):
             return
-        advice = answer.retry_after_seconds if answer else None
-        self._fail(now, execution, _answers.get_error_code(outcome), advice)
+        retry_after_seconds = answer.retry_after_seconds if answer else None
+        self._fail(
+            now,
+            execution,
+            _answers.get_error_code(outcome),
+            retry_after_seconds,
+        )
 
     def _fail_refused(
         self, now: float, number: int, code: str, retry_after_seconds: float
--- a/skylarkfold/requests/_forwarder.py
+++ b/skylarkfold/requests/_forwarder.py
@@ -233,7 +233,7 @@
     ) -> None:
         request = forwarded.request
         forwarded.is_sent = True
-        sent = _messages.ForwardMessage(
+        message = _messages.ForwardMessage(
             kind=forwarded.kind,
             target_boot_id=forwarded.boot_id,
             boot_id=self._context.boot_id,
@@ -250,7 +250,7 @@
             idempotent=request.idempotent,
             priority=request.priority,
         )
-        self._context.send(forwarded.peer, sent)
+        self._context.send(forwarded.peer, message)
 
 
 def read_request(
--- a/skylarkfold/requests/_holder_manager.py
+++ b/skylarkfold/requests/_holder_manager.py
@@ -29,7 +29,7 @@
 
 
 class HolderManager:
-    """Holder of the newest list, and its writer while coordinator.
+    """Keeper of the newest list of holders, and its writer as coordinator.
 
     :param context: shared identity, settings and effects of the core.
     :param vote_table: this instance's votes as a holder.
@@ -149,10 +149,10 @@
         :param membership: all members as seen by this instance.
         """
         self._membership = membership
-        for known in (self._reports, self._unconfirmed):
-            for name in list(known):
+        for by_name in (self._reports, self._unconfirmed):
+            for name in list(by_name):
                 if name not in membership.members:
-                    del known[name]
+                    del by_name[name]
 
     def end_write(self, now: float, ended: event.WriteEnded) -> bool:
         """Handle the outcome of a write of the list.
@@ -362,8 +362,8 @@
     def _is_gone_or_replaced(
         self, holder: _holders.Holder, desired: _holders.HolderSet
     ) -> bool:
-        is_followed = any(each.name == holder.name for each in desired)
-        return is_followed or self._is_gone(holder)
+        is_replaced = any(each.name == holder.name for each in desired)
+        return is_replaced or self._is_gone(holder)
 
     def _complete_ranges(self, now: float) -> None:
         """Drop the former holders of ranges whose votes are transferred.
@@ -378,18 +378,22 @@
         if completed and (is_late or len(completed) == len(pending)):
             self._write(now, self.holders.build_completion(completed))
 
-    def _is_range_complete(self, number: int) -> bool:
-        current = self.holders.get_current(number)
-        completed = sum(self._has_completed(each, number) for each in current)
+    def _is_range_complete(self, range_number: int) -> bool:
+        current = self.holders.get_current(range_number)
+        completed = sum(
+            self._has_completed(each, range_number) for each in current
+        )
         return completed >= _holders.count_majority(current)
 
-    def _has_completed(self, holder: _holders.Holder, number: int) -> bool:
+    def _has_completed(
+        self, holder: _holders.Holder, range_number: int
+    ) -> bool:
         report = self._reports.get(holder.name)
         return (
             report is not None
             and report.boot_id == holder.boot_id
             and report.list_revision == self.holders.list_revision
-            and number not in report.pending_ranges
+            and range_number not in report.pending_ranges
         )
 
     def _write(self, now: float, value: _holders.HolderValue) -> None:
--- a/skylarkfold/requests/_key_handover.py
+++ b/skylarkfold/requests/_key_handover.py
@@ -21,7 +21,7 @@
     :param memory: the keys that this instance answers for.
     """
 
-    __slots__ = ('_claim_client', '_context', '_memory', '_waiting')
+    __slots__ = ('_claim_client', '_context', '_memory', '_pending')
 
     def __init__(
         self,
@@ -32,22 +32,22 @@
         self._context = context
         self._claim_client = claim_client
         self._memory = memory
-        self._waiting: collections.deque[_key_record.KeyRecord] | None = None
+        self._pending: collections.deque[_key_record.KeyRecord] | None = None
 
     @property
     def is_over(self) -> bool:
         """Return whether all finished keys were handed over."""
-        if self._waiting is None:
+        if self._pending is None:
             return not len(self._memory)
-        return not self._waiting
+        return not self._pending
 
     def record_ended(self, record: _key_record.KeyRecord) -> None:
         """Queue a key that was finished after the handover began.
 
         :param record: the key's record.
         """
-        if self._waiting is not None:
-            self._waiting.append(record)
+        if self._pending is not None:
+            self._pending.append(record)
 
     def hand_over(self, successor: _holders.Holder, limit: int) -> None:
         """Send the next batch of finished keys to their new owner.
@@ -55,34 +55,34 @@
         :param successor: the instance that answers for the keys afterwards.
         :param limit: the size of the batch.
         """
-        if self._waiting is None:
-            self._waiting = collections.deque(self._memory.list_ended())
-        for _ in range(min(limit, len(self._waiting))):
-            self._send(self._waiting.popleft(), successor)
+        if self._pending is None:
+            self._pending = collections.deque(self._memory.list_ended())
+        for _ in range(min(limit, len(self._pending))):
+            self._send(self._pending.popleft(), successor)
 
     def accept_handover(
-        self, now: float, handed: _messages.KeyHandoverMessage
+        self, now: float, message: _messages.KeyHandoverMessage
     ) -> None:
         """Store a finished key that another instance hands over.
 
         :param now: the current time.
-        :param handed: the key's record.
+        :param message: the key's record.
         """
         if (
-            handed.target_boot_id != self._context.boot_id
+            message.target_boot_id != self._context.boot_id
             or self._memory.is_full
         ):
             return
-        if self._memory.find(handed.key) is not None:
+        if self._memory.find(message.key) is not None:
             return
-        record = _key_record.KeyRecord(handed.key, handed.fingerprint, None)
-        record.last_claim_number = handed.claim_number
+        record = _key_record.KeyRecord(message.key, message.fingerprint, None)
+        record.last_claim_number = message.claim_number
         answer = request_module.Answer(
-            verdict=handed.verdict,
-            status=handed.answer_status,
-            headers=handed.headers,
-            body=handed.body,
-            code=handed.code,
+            verdict=message.verdict,
+            status=message.answer_status,
+            headers=message.headers,
+            body=message.body,
+            code=message.code,
         )
         self._memory.store_answer(now, record, answer)
 
@@ -92,7 +92,7 @@
         answer = record.answer
         if answer is None:
             return
-        sent = _messages.KeyHandoverMessage(
+        message = _messages.KeyHandoverMessage(
             target_boot_id=successor.boot_id,
             key=record.key,
             fingerprint=record.fingerprint,
@@ -103,7 +103,7 @@
             body=answer.body,
             code=answer.code,
         )
-        self._context.send(successor.name, sent)
+        self._context.send(successor.name, message)
         self._claim_client.release(
             record.key, record.last_claim_number, successor
         )
--- a/skylarkfold/requests/_key_resolver.py
+++ b/skylarkfold/requests/_key_resolver.py
@@ -184,7 +184,7 @@
         is_ours = competitor.boot_id == self._context.boot_id
         if is_ours and self._claim_client.has_abandoned(competitor.number):
             self._claim_client.release(record.key, competitor.number)
-            self._claim_later(now, record)
+            self._schedule_claim(now, record)
             return
         self._fail(now, record, ErrorCode.KEY_OWNER_LOST)
 
@@ -202,11 +202,13 @@
             self._memory.drop(record)
             self._context.reply_all(record.requesters, answer)
         elif status in (ForwardStatus.ABANDONED, ForwardStatus.ANSWERED):
-            self._claim_later(now, record)
+            self._schedule_claim(now, record)
         else:
             self._fail(now, record, ErrorCode.KEY_OWNER_LOST)
 
-    def _claim_later(self, now: float, record: _key_record.KeyRecord) -> None:
+    def _schedule_claim(
+        self, now: float, record: _key_record.KeyRecord
+    ) -> None:
         timeout = self._settings.claim_patience_seconds
         record.state = KeyState.CLAIMING
         record.claim_deadline = now + timeout
--- a/skylarkfold/requests/_keyed_requests.py
+++ b/skylarkfold/requests/_keyed_requests.py
@@ -79,7 +79,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no key is without its final answer."""
+        """Return whether all keys have their final answer."""
         return not self._memory.list_active()
 
     @property
@@ -105,7 +105,7 @@
         fingerprint = _key_record.digest_request(request)
         record = self._memory.find(key)
         if record is not None:
-            self._join(record, fingerprint, requester, deadline)
+            self._add_requester(record, fingerprint, requester, deadline)
             return
         if not self._claim_client.is_ready:
             self._context.refuse(
@@ -148,7 +148,7 @@
         record = self._memory.find(key)
         if record is None or record.last_claim_number != claim_number:
             return ForwardStatus.UNKNOWN
-        self._join(
+        self._add_requester(
             record, _key_record.digest_request(request), requester, deadline
         )
         return None
@@ -239,17 +239,17 @@
         self._handover.hand_over(successor, limit)
 
     def accept_handover(
-        self, now: float, sender: str, handed: _messages.KeyHandoverMessage
+        self, now: float, sender: str, message: _messages.KeyHandoverMessage
     ) -> None:
         """Store a finished key that another instance hands over.
 
         :param now: the current time.
         :param sender: the former owner's name.
-        :param handed: the key's record.
+        :param message: the key's record.
         """
-        self._handover.accept_handover(now, handed)
+        self._handover.accept_handover(now, message)
 
-    def _join(
+    def _add_requester(
         self,
         record: _key_record.KeyRecord,
         fingerprint: int,
--- a/skylarkfold/requests/_retry_scheduler.py
+++ b/skylarkfold/requests/_retry_scheduler.py
@@ -14,16 +14,16 @@
     :param context: shared identity, settings and effects of the core.
     """
 
-    __slots__ = ('_budget', '_context', '_settings', '_waiting')
+    __slots__ = ('_budget', '_context', '_pending', '_settings')
 
     def __init__(self, context: _context.Context) -> None:
         self._context = context
         self._settings = context.settings
         self._budget = _retry_budget.RetryBudget(context.settings)
-        self._waiting: dict[int, _execution.Execution] = {}
+        self._pending: dict[int, _execution.Execution] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def record_attempt(self, execution: _execution.Execution) -> None:
         """Record the start of an attempt; removes the pending retry.
@@ -39,7 +39,7 @@
 
         :param number: the request's number.
         """
-        self._waiting.pop(number, None)
+        self._pending.pop(number, None)
 
     def list_due(
         self, now: float, service_name: str
@@ -51,13 +51,13 @@
         """
         return [
             each
-            for each in self._waiting.values()
+            for each in self._pending.values()
             if each.request.service == service_name and each.retry_at <= now
         ]
 
     def list_services(self) -> set[str]:
         """List the services that have pending retries."""
-        return {each.request.service for each in self._waiting.values()}
+        return {each.request.service for each in self._pending.values()}
 
     def schedule(
         self,
@@ -77,7 +77,7 @@
             return False
         execution.state = _execution.ExecutionState.WAITING
         execution.retry_at = retry_at
-        self._waiting[execution.request.number] = execution
+        self._pending[execution.request.number] = execution
         return True
 
     def _compute_retry_time(
--- a/skylarkfold/requests/_router.py
+++ b/skylarkfold/requests/_router.py
@@ -148,8 +148,10 @@
         :param number: the request's number.
         :param answer: its answer.
         """
-        own = _context.Requester('', 0, number)
-        self._context.reply(self._remote_requesters.pop(number, own), answer)
+        caller = _context.Requester('', 0, number)
+        self._context.reply(
+            self._remote_requesters.pop(number, caller), answer
+        )
 
     def _run(
         self,
@@ -179,12 +181,12 @@
     def _send_forward_ended(
         self, requester: _context.Requester, status: ForwardStatus
     ) -> None:
-        ended = _messages.ForwardEndedMessage(
+        message = _messages.ForwardEndedMessage(
             target_boot_id=requester.boot_id,
             number=requester.number,
             status=status,
         )
-        self._context.send(requester.peer, ended)
+        self._context.send(requester.peer, message)
 
     def _limit_timeout(self, request: request_module.Request) -> float:
         return min(
--- a/skylarkfold/requests/_vote_table.py
+++ b/skylarkfold/requests/_vote_table.py
@@ -43,7 +43,7 @@
     """
 
     def __init__(self, settings: _settings.RequestSettings) -> None:
-        self._maximum = settings.maximum_votes
+        self._maximum_votes = settings.maximum_votes
         self._retention_seconds = settings.vote_retention_seconds
         self._votes: collections.OrderedDict[bytes, _Vote] = (
             collections.OrderedDict()
@@ -75,7 +75,7 @@
             if vote.claim_id == claim_id:
                 return VoteStatus.ACCEPTED, claim_id
             return VoteStatus.TAKEN, vote.claim_id
-        if len(self._votes) >= self._maximum:
+        if len(self._votes) >= self._maximum_votes:
             return VoteStatus.FULL, UNKNOWN_CLAIM
         self._votes[key] = _Vote(claim_id, now)
         return VoteStatus.ACCEPTED, claim_id
--- a/skylarkfold/requests/_vote_transfer.py
+++ b/skylarkfold/requests/_vote_transfer.py
@@ -66,13 +66,14 @@
         self._received_chunks = {}
         self._holders = holders
         self._pending_ranges = [
-            number
-            for number in holders.list_pending()
-            if self._includes_self(holders.get_current(number))
+            range_number
+            for range_number in holders.list_pending()
+            if self._includes_self(holders.get_current(range_number))
         ]
         self._next_request_at = now
         past = (
-            holders.get_previous(number) for number in self._pending_ranges
+            holders.get_previous(range_number)
+            for range_number in self._pending_ranges
         )
         if any(self._includes_self(each) for each in past):
             self._vote_table.fence(self._effective_revision)
@@ -173,18 +174,18 @@
             for each in holders
         )
 
-    def _is_transferred(self, now: float, number: int) -> bool:
-        previous = self._holders.get_previous(number)
-        message = [each for each in previous if self._has_received(each)]
-        if len(message) >= _holders.count_majority(previous):
+    def _is_transferred(self, now: float, range_number: int) -> bool:
+        previous = self._holders.get_previous(range_number)
+        received = [each for each in previous if self._has_received(each)]
+        if len(received) >= _holders.count_majority(previous):
             return True
         rest = (each for each in previous if not self._has_received(each))
         if not all(self._is_gone(each) for each in rest):
-            self._unrecoverable.pop(number, None)
+            self._unrecoverable.pop(range_number, None)
             return False
-        known, since = self._unrecoverable.get(number, ((), now))
-        if known != previous:
-            self._unrecoverable[number] = (previous, now)
+        recorded, since = self._unrecoverable.get(range_number, ((), now))
+        if recorded != previous:
+            self._unrecoverable[range_number] = (previous, now)
             return False
         retention = self._context.settings.vote_retention_seconds
         return now - since >= retention
@@ -208,9 +209,9 @@
         self, pending_ranges: list[int]
     ) -> Iterator[tuple[_holders.Holder, list[int]]]:
         by_holder: dict[_holders.Holder, list[int]] = {}
-        for number in sorted(pending_ranges):
-            for holder in self._holders.get_previous(number):
-                by_holder.setdefault(holder, []).append(number)
+        for range_number in sorted(pending_ranges):
+            for holder in self._holders.get_previous(range_number):
+                by_holder.setdefault(holder, []).append(range_number)
         for holder, ranges in by_holder.items():
             is_reachable = holder.name in self._context.reachable
             if is_reachable and not self._has_received(holder):
--- a/skylarkfold/tests/requests/chaos.py
+++ b/skylarkfold/tests/requests/chaos.py
@@ -1,4 +1,4 @@
-"""Faults and work in any order, for the state machine and for fuzzing."""
+"""Random requests and faults, for the state machine test and for fuzzing."""
 
 from skylarkfold import request as request_module
 from skylarkfold import requests
@@ -16,12 +16,12 @@
 
 
 def choose(options, number):
-    """Choose by a number that may be any."""
+    """Return the option that an arbitrary number selects."""
     return options[number % len(options)]
 
 
 class Chaos:
-    """Each method is one step; numbers say which of the possible ones."""
+    """Steps of a random test; the numbers a, b and c select the details."""
 
     def __init__(self, size=5, core_type=requests.RequestCore, **options):
         self.fleet = fleet.Fleet(size, core_type, **options)
@@ -197,7 +197,7 @@
             self.fleet.stop(choose(running, a))
 
 
-STEPS = tuple(
+STEP_NAMES = tuple(
     name
     for name in vars(Chaos)
     if not name.startswith('_') and name != 'list_names'
@@ -213,7 +213,7 @@
 
 
 def count_answers(chaos):
-    """Count answers by verdict."""
+    """Return the number of answers by verdict."""
     answers = [
         answer
         for sent in chaos.fleet.sent_requests.values()
--- a/skylarkfold/tests/requests/fleet.py
+++ b/skylarkfold/tests/requests/fleet.py
@@ -1,7 +1,7 @@
-"""Several request cores with a network, a platform and upstreams.
+"""Simulated request cores with a network, a platform and upstreams.
 
-Every step is taken by the test: what is sent waits until it is
-delivered, dropped or doubled. The judge knows what ran.
+The test takes every step: a message stays in flight until the test delivers,
+drops or duplicates it. The checker records what ran and checks the answers.
 """
 
 import dataclasses
@@ -31,7 +31,7 @@
 
 
 class InvariantViolation(AssertionError):
-    """A promise was broken."""
+    """An execution or answer violates the at-most-once guarantee."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -75,12 +75,12 @@
 
 
 def identify(request):
-    """What may run once: a key, or a keyless request by its body."""
+    """Return the key and body; requests without a key differ by body."""
     return request.key, request.body
 
 
 class Checker:
-    """Knows what ran and checks what callers are told."""
+    """Recorder of executions that checks the answers against them."""
 
     def __init__(self):
         self.runs = {}
@@ -156,7 +156,7 @@
             self.start(name)
 
     def provide_holders(self):
-        """Let the platform hold a settled list of all processes."""
+        """Store a list of holders with all processes and deliver it."""
         holders = tuple(
             _holders.Holder(each.name, each.zone, each.core.context.boot_id)
             for each in self.processes.values()
@@ -170,7 +170,7 @@
             self.deliver_objects(each)
 
     def declare_gone(self, *names):
-        """Let operators say that instances are gone for good."""
+        """Store the names of instances that operators declare gone."""
         self.revision += 1
         value = ('["' + '","'.join(names) + '"]').encode()
         self.objects[_holders.GONE_PATH] = platform_api.StoredObject(
@@ -178,7 +178,7 @@
         )
 
     def start(self, name, is_known=True):
-        """Start a process under a name that no living one bears."""
+        """Start a process under a name that no running process has."""
         self.last_seed += 1
         zone = ZONES[int(name.rpartition('-')[2]) % len(ZONES)]
         settings = instance.InstanceSettings(
@@ -206,12 +206,12 @@
             self.set_member_state(name, State.DEAD)
 
     def set_member_state(self, name, state):
-        """Let all living processes see a member in a state."""
+        """Set a member's state in the views of all running processes."""
         for each in self.list_alive():
             self.set_view(each, name, state)
 
     def set_view(self, process, name, state):
-        """Let one process see a member in a state."""
+        """Set a member's state in one process's view."""
         if name == process.name and state is not State.ALIVE:
             return
         process.views[name] = state
@@ -229,7 +229,7 @@
         self.feed(process, event.MembershipChanged(membership))
 
     def cancel(self, sent):
-        """Let a caller go away."""
+        """Disconnect the caller of a request."""
         number = sent.request.number
         self.feed(sent.process, event.RequestCancelled(number))
 
@@ -268,7 +268,7 @@
     def send_request(
         self, name, key='', body=b'x', idempotent=False, timeout=5.0
     ):
-        """Let a caller send a request to an instance."""
+        """Send a caller's request to an instance."""
         self.last_number += 1
         process = self.processes[name]
         made = samples.make_request(
@@ -287,14 +287,14 @@
         return frozenset((one, other)) in self.broken_links
 
     def isolate_zone(self, zone):
-        """Cut a zone off from the others."""
+        """Break all links between a zone and the others."""
         for one in self.processes.values():
             for other in self.processes.values():
                 if (one.zone == zone) != (other.zone == zone):
                     self.broken_links.add(frozenset((one.name, other.name)))
 
     def deliver(self, envelope, keep=False):
-        """Deliver a letter unless the two are cut off."""
+        """Deliver a message unless the link is broken."""
         if self.is_link_broken(envelope.source.name, envelope.target):
             return
         if not keep:
@@ -308,7 +308,7 @@
         self.feed(target, received)
 
     def lose_stream(self, one, other):
-        """Drop what is on its way between two and tell both."""
+        """Drop the messages between two processes and report the loss."""
         pair = {one, other}
         self.envelopes = [
             each
@@ -319,7 +319,7 @@
         self.feed(self.processes[other], event.PeerLost(one))
 
     def write(self, process, write, is_answered=True):
-        """Let the platform take a conditional write."""
+        """Perform a conditional write on the platform."""
         self.writes.remove((process, write))
         known = self.objects.get(write.path)
         version = known.version if known else 0
@@ -339,13 +339,13 @@
         self.feed(process, ended)
 
     def deliver_objects(self, process):
-        """Let a process learn the newest objects."""
+        """Deliver the newest objects of the platform to a process."""
         process.seen_revision = self.revision
         for known in self.objects.values():
             self.feed(process, event.ObjectChanged(known))
 
     def run(self, attempt):
-        """Let an upstream begin, unless its deadline has passed."""
+        """Run an attempt, or refuse it if its deadline has passed."""
         if not self._can_start(attempt):
             self.end(attempt, Outcome.REFUSED)
             return
@@ -353,7 +353,7 @@
         self.checker.run(attempt)
 
     def answer(self, attempt, is_whole=True):
-        """Let an upstream that ran answer."""
+        """Answer an attempt that has run."""
         body = attempt.dispatch.request.body + END
         headers = (('content-length', str(len(body))),)
         sent = body if is_whole else body[:-1]
@@ -376,14 +376,14 @@
         return [each for each in both if self._can_start(each)]
 
     def run_abandoned(self, attempt):
-        """Let an upstream run what its instance has given up."""
+        """Run an attempt that its instance has abandoned."""
         self.abandoned_attempts.remove(attempt)
         if self._can_start(attempt):
             attempt.has_run = True
             self.checker.run(attempt)
 
     def advance(self, seconds):
-        """Let time pass and tick everywhere, never rarely."""
+        """Advance the clock in limited steps and tick all processes."""
         until = self.now + seconds
         while self.now < until:
             self.now = min(until, self.now + LONGEST_STEP_SECONDS)
@@ -409,7 +409,7 @@
         self.feed(process, event.StopRequested())
 
     def settle(self, seconds=1.0, runs=True):
-        """Let everything that can happen happen in order for a while."""
+        """Alternate deliveries, attempts and ticks for some seconds."""
         until = self.now + seconds
         while self.now < until:
             self.exchange()
@@ -420,7 +420,7 @@
         self.exchange()
 
     def exchange(self):
-        """Deliver letters, platform writes and news until none is left."""
+        """Deliver messages, writes and objects until none is pending."""
         for _ in range(40):
             due = [
                 each
@@ -442,7 +442,7 @@
                 return
 
     def serve(self):
-        """Let every upstream run and answer what it got."""
+        """Run and answer all pending attempts."""
         for attempt in list(self.attempts):
             if not attempt.has_run:
                 self.run(attempt)
--- a/skylarkfold/tests/requests/samples.py
+++ b/skylarkfold/tests/requests/samples.py
@@ -1,4 +1,4 @@
-"""Samples that the tests of requests share."""
+"""Sample values for the tests of requests."""
 
 from skylarkfold import configuration
 from skylarkfold import effect
--- a/skylarkfold/tests/requests/test_executor.py
+++ b/skylarkfold/tests/requests/test_executor.py
@@ -12,7 +12,7 @@
 
 
 class RequestExecutorTest(testtools.TestCase):
-    """One instance's requests from admission to answer."""
+    """Requests of one instance, from admission to the answer."""
 
     def begin(self, core, number=1, now=1.0, **options):
         made = samples.make_request(number, **options)
--- a/skylarkfold/tests/requests/test_holders.py
+++ b/skylarkfold/tests/requests/test_holders.py
@@ -20,7 +20,7 @@
 
 
 class HoldersTest(testtools.TestCase):
-    """The list of holders and the sets that follow from it."""
+    """The list of holders and the holders of each range."""
 
     def test_holders_of_a_range_are_in_different_zones(self):
         holders = make_list(range(12))
@@ -77,7 +77,7 @@
 
 
 class ChangeTest(testtools.TestCase):
-    """Ranges on their way from one set of holders to another."""
+    """Changes of the list and the previous holders of moved ranges."""
 
     def replace(self, before, numbers, revision):
         wanted = tuple(make_holder(each) for each in sorted(numbers))
--- a/skylarkfold/tests/requests/test_key_memory.py
+++ b/skylarkfold/tests/requests/test_key_memory.py
@@ -10,7 +10,7 @@
 
 
 class KeyMemoryTest(testtools.TestCase):
-    """Records of keys within their bounds."""
+    """Key records and their limits."""
 
     def setUp(self):
         super().setUp()
--- a/skylarkfold/tests/requests/test_keys.py
+++ b/skylarkfold/tests/requests/test_keys.py
@@ -9,7 +9,7 @@
 
 
 class KeysTest(testtools.TestCase):
-    """Keyed requests over several instances."""
+    """Keyed requests to several instances."""
 
     def setUp(self):
         super().setUp()
--- a/skylarkfold/tests/requests/test_state_machine.py
+++ b/skylarkfold/tests/requests/test_state_machine.py
@@ -13,7 +13,9 @@
 
 NUMBERS = strategies.integers(0, 255)
 WEIGHTED = [
-    name for name in chaos.STEPS for _ in range(chaos.WEIGHTS.get(name, 1))
+    name
+    for name in chaos.STEP_NAMES
+    for _ in range(chaos.WEIGHTS.get(name, 1))
 ]
 SETTINGS = hypothesis.settings(
     max_examples=60,
@@ -29,14 +31,14 @@
 
 
 class AcceptingVoteTable(_vote_table.VoteTable):
-    """Votes for every claim."""
+    """Table with the fault that it accepts every claim."""
 
     def vote(self, now, list_revision, key, claim_id):
         return _messages.VoteStatus.ACCEPTED, claim_id
 
 
 class RepeatingExecutor(_executor.RequestExecutor):
-    """Takes a broken attempt for one that did not run."""
+    """Executor with the fault that it retries what may have run."""
 
     def _handle_failure(self, now, execution, outcome, answer):
         refused = _executor.Outcome.REFUSED
@@ -56,7 +58,7 @@
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """Work and faults in any order; the judge raises a violation."""
+    """Requests and faults in any order; the checker raises a violation."""
 
     core_type = requests.RequestCore
 
@@ -83,7 +85,7 @@
 
 
 class MachineTest(testtools.TestCase):
-    """The promises under any order of work and faults."""
+    """At-most-once execution under any order of requests and faults."""
 
     def setUp(self):
         super().setUp()
--- a/skylarkfold/tests/requests/test_store_rollback.py
+++ b/skylarkfold/tests/requests/test_store_rollback.py
@@ -1,9 +1,7 @@
-"""The store comes back from a copy that has an older list of holders.
+"""The store is restored from a backup with an older list of holders.
 
-Found while each place that compares what the store counts was listed; no run
-has shown it. An instance took the older list for the newest: votes on keys
-that the holders since have given would count no more, so that a request that
-runs once at most could be let run again.
+Guards against an instance that accepts the older list: votes given under the
+newer one would be lost, and a keyed request could run twice.
 """
 
 import testtools
@@ -29,7 +27,7 @@
 
 
 def store(value, version, number, era):
-    """Give a list as the store has it."""
+    """Return a list as an object of the store."""
     revision = int(revisions.Revision(number, era))
     written = None if value is None else _holders.encode_value(value)
     return platform_api.StoredObject(_holders.PATH, version, revision, written)
@@ -44,13 +42,13 @@
         self.handle_stored(store(self.newest, 7, 38, 1))
 
     def handle_stored(self, found):
-        """Learn what the store has; give the writes that follow."""
+        """Deliver a stored object and return the writes that follow."""
         return self.list_writes(
             self.core.handle(self.now, event.ObjectChanged(found))
         )
 
     def wait(self, seconds):
-        """Let time pass; give the writes that follow."""
+        """Advance the clock and return the writes that follow."""
         writes = []
         for _ in range(int(seconds * 4)):
             self.now += 0.25
--- a/skylarkfold/tests/requests/test_vote_transfer.py
+++ b/skylarkfold/tests/requests/test_vote_transfer.py
@@ -16,7 +16,7 @@
 
 
 class VoteTransferTest(testtools.TestCase):
-    """One holder that takes ranges over."""
+    """Transfer of votes to one new holder."""
 
     def setUp(self):
         super().setUp()
