--- a/skylarkfold/requests/_attempts.py
+++ b/skylarkfold/requests/_attempts.py
@@ -86,11 +86,11 @@
         """
         if execution.request.number < 0 or execution.deadline <= now:
             return False
-        number = self._forward(now, execution, peer, self._last_number + 1)
-        if not number:
+        forward_id = self._forward(now, execution, peer, self._last_number + 1)
+        if not forward_id:
             return False
         self._start(now, execution, '')
-        execution.forward_id = number
+        execution.forward_id = forward_id
         return True
 
     def pop(self, number: int) -> _execution.Execution | None:
--- a/skylarkfold/requests/_context.py
+++ b/skylarkfold/requests/_context.py
@@ -94,7 +94,7 @@
             return
         message = _messages.ForwardEndedMessage(
             target_boot_id=requester.boot_id,
-            number=requester.number,
+            forward_id=requester.number,
             status=_messages.ForwardStatus.ANSWERED,
             verdict=answer.verdict,
             answer_status=answer.status,
--- a/skylarkfold/requests/_executor.py
+++ b/skylarkfold/requests/_executor.py
@@ -176,7 +176,7 @@
         """
         self._needs_flush = True
         self._context.effects += self._selector.tick(now)
-        self._end_expired(now)
+        self._fail_expired(now)
         for execution in list(self._list_expired(now)):
             if execution.state is ExecutionState.RUNNING:
                 self._attempts.abandon(now, execution, Outcome.TIMED_OUT)
@@ -254,10 +254,10 @@
             choice = self._selector.choose(now, service_name, no_exclusions)
             if choice.upstream is None and choice.pass_to is None:
                 return
-            before = len(self._queue)
+            length_before = len(self._queue)
             queued = self._queue.take(now, service_name)
-            if before - len(self._queue) != 1 or queued is None:
-                self._end_expired(now)
+            if length_before - len(self._queue) != 1 or queued is None:
+                self._fail_expired(now)
             if queued is None:
                 return
             execution = self._executions[queued.request.number]
@@ -268,9 +268,9 @@
             else:
                 self._fail(now, execution, ErrorCode.UPSTREAM_UNREACHABLE)
 
-    def _end_expired(self, now: float) -> None:
+    def _fail_expired(self, now: float) -> None:
         for expired in self._queue.expire(now):
-            self._fail_refused(
+            self._fail_by_number(
                 now,
                 expired.request.number,
                 expired.code,
@@ -303,7 +303,7 @@
     def _enqueue(self, now: float, execution: _execution.Execution) -> None:
         offered = self._queue.offer(now, execution.request, execution.deadline)
         if isinstance(offered, admission.Refusal):
-            self._fail_refused(
+            self._fail_by_number(
                 now,
                 execution.request.number,
                 offered.code,
@@ -311,7 +311,7 @@
             )
             return
         for evicted in offered.evicted:
-            self._fail_refused(
+            self._fail_by_number(
                 now,
                 evicted.request.number,
                 evicted.code,
@@ -363,7 +363,7 @@
             retry_after_seconds,
         )
 
-    def _fail_refused(
+    def _fail_by_number(
         self, now: float, number: int, code: str, retry_after_seconds: float
     ) -> None:
         execution = self._executions.get(number)
--- a/skylarkfold/requests/_forwarder.py
+++ b/skylarkfold/requests/_forwarder.py
@@ -63,8 +63,8 @@
     def __init__(self, context: _context.Context) -> None:
         self._context = context
         self._outgoing: dict[int, ForwardedRequest] = {}
-        self._tickets: dict[int, float] = {}
-        self._last_number = 0
+        self._ticket_expiries: dict[int, float] = {}
+        self._last_forward_id = 0
         self._tickets_issued = 0
 
     def __len__(self) -> int:
@@ -77,9 +77,9 @@
         :param forwarded: the request and its destination.
         :returns: the ID of the forward.
         """
-        self._last_number += 1
-        number = self._last_number
-        self._outgoing[number] = forwarded
+        self._last_forward_id += 1
+        forward_id = self._last_forward_id
+        self._outgoing[forward_id] = forwarded
         request = forwarded.request
         self._context.log(
             'pass',
@@ -89,22 +89,22 @@
             forwarded.peer,
         )
         if forwarded.kind is ForwardKind.RECALL:
-            self._send_request(now, number, forwarded, 0)
-            return number
+            self._send_request(now, forward_id, forwarded, 0)
+            return forward_id
         ticket_request = _messages.TicketRequestMessage(
             target_boot_id=forwarded.boot_id,
             boot_id=self._context.boot_id,
-            number=number,
+            forward_id=forward_id,
         )
         self._context.send(forwarded.peer, ticket_request)
-        return number
+        return forward_id
 
-    def discard(self, number: int) -> None:
+    def discard(self, forward_id: int) -> None:
         """Stop waiting for the answer to a forwarded request.
 
-        :param number: the ID of the forward.
+        :param forward_id: the ID of the forward.
         """
-        self._outgoing.pop(number, None)
+        self._outgoing.pop(forward_id, None)
 
     def issue_ticket(
         self,
@@ -118,15 +118,17 @@
         :param sender: the name of the peer that asks for it.
         :param ticket_request: its request.
         """
-        is_full = len(self._tickets) >= _MAXIMUM_TICKETS
+        is_full = len(self._ticket_expiries) >= _MAXIMUM_TICKETS
         if ticket_request.target_boot_id != self._context.boot_id or is_full:
             return
         self._tickets_issued += 1
         ticket = self._context.draw(f'ticket|{self._tickets_issued}')
-        self._tickets[ticket] = now + self._context.settings.pause_seconds
+        self._ticket_expiries[ticket] = (
+            now + self._context.settings.pause_seconds
+        )
         ticket_message = _messages.TicketMessage(
             target_boot_id=ticket_request.boot_id,
-            number=ticket_request.number,
+            forward_id=ticket_request.forward_id,
             ticket=ticket,
         )
         self._context.send(sender, ticket_message)
@@ -141,12 +143,12 @@
         :param ticket_message: the ticket.
         """
         forwarded = self._find(
-            sender, ticket_message.target_boot_id, ticket_message.number
+            sender, ticket_message.target_boot_id, ticket_message.forward_id
         )
         if forwarded is None or forwarded.is_sent or forwarded.deadline <= now:
             return
         self._send_request(
-            now, ticket_message.number, forwarded, ticket_message.ticket
+            now, ticket_message.forward_id, forwarded, ticket_message.ticket
         )
 
     def redeem_ticket(
@@ -161,8 +163,8 @@
         """
         if forwarded.kind is ForwardKind.RECALL:
             return True
-        expires = self._tickets.pop(forwarded.ticket, None)
-        return expires is not None and now < expires
+        expires_at = self._ticket_expiries.pop(forwarded.ticket, None)
+        return expires_at is not None and now < expires_at
 
     def end(
         self, now: float, sender: str, ended: _messages.ForwardEndedMessage
@@ -173,11 +175,11 @@
         :param sender: the name of the peer that sent it.
         :param ended: the message; dropped if nothing waits for it.
         """
-        forwarded = self._find(sender, ended.target_boot_id, ended.number)
+        forwarded = self._find(sender, ended.target_boot_id, ended.forward_id)
         if forwarded is None or not forwarded.is_sent:
             self._context.count(metric.REQUESTS_LATE_ANSWERS)
             return
-        del self._outgoing[ended.number]
+        del self._outgoing[ended.forward_id]
         forwarded.on_ended(now, ended.status, _read_answer(ended))
 
     def end_all_to(self, now: float, peer: str) -> None:
@@ -187,12 +189,12 @@
         :param peer: the peer's name.
         """
         lost = [
-            number
-            for number, forwarded in self._outgoing.items()
+            forward_id
+            for forward_id, forwarded in self._outgoing.items()
             if forwarded.peer == peer
         ]
-        for number in lost:
-            self._end_as_lost(now, number)
+        for forward_id in lost:
+            self._end_as_lost(now, forward_id)
 
     def tick(self, now: float) -> None:
         """End forwarded requests past their deadline; expire tickets.
@@ -200,27 +202,27 @@
         :param now: the current time.
         """
         expired = [
-            number
-            for number, forwarded in self._outgoing.items()
+            forward_id
+            for forward_id, forwarded in self._outgoing.items()
             if forwarded.deadline <= now
         ]
-        for number in expired:
-            self._end_as_lost(now, number)
-        for ticket, expires in list(self._tickets.items()):
-            if expires > now:
+        for forward_id in expired:
+            self._end_as_lost(now, forward_id)
+        for ticket, expires_at in list(self._ticket_expiries.items()):
+            if expires_at > now:
                 break
-            del self._tickets[ticket]
+            del self._ticket_expiries[ticket]
 
     def _find(
-        self, sender: str, boot_id: int, number: int
+        self, sender: str, boot_id: int, forward_id: int
     ) -> ForwardedRequest | None:
-        forwarded = self._outgoing.get(number)
+        forwarded = self._outgoing.get(forward_id)
         if forwarded is None or forwarded.peer != sender:
             return None
         return forwarded if boot_id == self._context.boot_id else None
 
-    def _end_as_lost(self, now: float, number: int) -> None:
-        forwarded = self._outgoing.pop(number, None)
+    def _end_as_lost(self, now: float, forward_id: int) -> None:
+        forwarded = self._outgoing.pop(forward_id, None)
         if forwarded is None:
             return
         status = (
@@ -229,7 +231,11 @@
         forwarded.on_ended(now, status, None)
 
     def _send_request(
-        self, now: float, number: int, forwarded: ForwardedRequest, ticket: int
+        self,
+        now: float,
+        forward_id: int,
+        forwarded: ForwardedRequest,
+        ticket: int,
     ) -> None:
         request = forwarded.request
         forwarded.is_sent = True
@@ -237,7 +243,7 @@
             kind=forwarded.kind,
             target_boot_id=forwarded.boot_id,
             boot_id=self._context.boot_id,
-            number=number,
+            forward_id=forward_id,
             ticket=ticket,
             claim_number=forwarded.claim_number,
             timeout_ms=max(0, int((forwarded.deadline - now) * 1000)),
--- a/skylarkfold/requests/_holders.py
+++ b/skylarkfold/requests/_holders.py
@@ -100,9 +100,9 @@
         self.value = value
         self._by_name = {each.name: each for each in value.current}
         self._previous_by_range = {
-            range_number: generation.holders
-            for generation in value.previous
-            for range_number in generation.ranges
+            range_number: former.holders
+            for former in value.previous
+            for range_number in former.ranges
         }
         all_holders = [value.current]
         all_holders += [each.holders for each in value.previous]
@@ -153,9 +153,9 @@
     def list_processes(self) -> set[tuple[str, int]]:
         """List the name and boot ID of all present and former holders."""
         listed = {(each.name, each.boot_id) for each in self.value.current}
-        for generation in self.value.previous:
+        for former in self.value.previous:
             listed.update(
-                (one.name, one.boot_id) for one in generation.holders
+                (holder.name, holder.boot_id) for holder in former.holders
             )
         return listed
 
@@ -190,16 +190,20 @@
         previous = _drop_empty((*kept, added))
         return HolderValue(holders, previous, self.value.serial + 1)
 
-    def build_completion(self, numbers: frozenset[int]) -> HolderValue:
+    def build_completion(self, transferred: frozenset[int]) -> HolderValue:
         """Build the next value of the list after votes were transferred.
 
-        :param numbers: the ranges whose votes are transferred.
+        :param transferred: the ranges whose votes are transferred.
         :returns: the value, in which they depend on no former holders.
         """
         kept = (
             PreviousHolders(
                 each.holders,
-                tuple(one for one in each.ranges if one not in numbers),
+                tuple(
+                    range_number
+                    for range_number in each.ranges
+                    if range_number not in transferred
+                ),
             )
             for each in self.value.previous
         )
@@ -315,9 +319,9 @@
 
 
 def _drop_empty(
-    generations: Iterable[PreviousHolders],
+    groups: Iterable[PreviousHolders],
 ) -> tuple[PreviousHolders, ...]:
-    return tuple(each for each in generations if each.ranges)
+    return tuple(each for each in groups if each.ranges)
 
 
 def _keep_unchanged_sets(
--- a/skylarkfold/requests/_messages.py
+++ b/skylarkfold/requests/_messages.py
@@ -106,7 +106,7 @@
     :param kind: what the receiver has to do.
     :param target_boot_id: the boot ID of the receiver.
     :param boot_id: the boot ID of the sender.
-    :param number: the ID of the forward, increasing in the sender's process.
+    :param forward_id: the ID of the forward; increases within a process.
     :param ticket: the receiver's ticket, 0 for ``RECALL``.
     :param claim_number: for ``RECALL``, the receiver's claim to the key.
     :param timeout_ms: the time left to the caller's deadline.
@@ -117,7 +117,7 @@
     kind: ForwardKind
     target_boot_id: int
     boot_id: int
-    number: int
+    forward_id: int
     ticket: int
     claim_number: int
     timeout_ms: int
@@ -150,14 +150,14 @@
     """The result of a forwarded request.
 
     :param target_boot_id: the boot ID of the process that forwarded it.
-    :param number: the ID of the forward.
+    :param forward_id: the ID of the forward.
     :param status: how the forward ended.
     :param verdict: see :class:`skylarkfold.request.Answer`, also for the
         others.
     """
 
     target_boot_id: int
-    number: int
+    forward_id: int
     status: ForwardStatus
     verdict: verdict_module.Verdict = verdict_module.Verdict.MAY_HAVE_RUN
     answer_status: int = 0
@@ -270,12 +270,12 @@
 
     :param target_boot_id: the boot ID of the receiver.
     :param boot_id: the boot ID of the sender.
-    :param number: the ID of the forward.
+    :param forward_id: the ID of the forward.
     """
 
     target_boot_id: int
     boot_id: int
-    number: int
+    forward_id: int
 
 
 class TicketMessage(message.PeerMessage, tag=39):
@@ -285,12 +285,12 @@
     duplicate.
 
     :param target_boot_id: the boot ID of the process that asked for it.
-    :param number: the ID of the forward.
+    :param forward_id: the ID of the forward.
     :param ticket: the ticket.
     """
 
     target_boot_id: int
-    number: int
+    forward_id: int
     ticket: int
 
 
--- a/skylarkfold/requests/_router.py
+++ b/skylarkfold/requests/_router.py
@@ -118,7 +118,7 @@
         :param forwarded: the message with the request.
         """
         requester = _context.Requester(
-            sender, forwarded.boot_id, forwarded.number
+            sender, forwarded.boot_id, forwarded.forward_id
         )
         if forwarded.target_boot_id != self._context.boot_id:
             self._send_forward_ended(requester, ForwardStatus.UNKNOWN)
@@ -183,7 +183,7 @@
     ) -> None:
         message = _messages.ForwardEndedMessage(
             target_boot_id=requester.boot_id,
-            number=requester.number,
+            forward_id=requester.number,
             status=status,
         )
         self._context.send(requester.peer, message)
--- a/skylarkfold/requests/_vote_transfer.py
+++ b/skylarkfold/requests/_vote_transfer.py
@@ -71,11 +71,11 @@
             if self._includes_self(holders.get_current(range_number))
         ]
         self._next_request_at = now
-        past = (
+        former = (
             holders.get_previous(range_number)
             for range_number in self._pending_ranges
         )
-        if any(self._includes_self(each) for each in past):
+        if any(self._includes_self(each) for each in former):
             self._vote_table.fence(self._effective_revision)
             self._received_from.add(
                 (self._context.name, self._context.boot_id)
--- a/skylarkfold/tests/requests/chaos.py
+++ b/skylarkfold/tests/requests/chaos.py
@@ -83,7 +83,7 @@
             self.fleet.envelopes.remove(choose(self.fleet.envelopes, a))
 
     def exchange(self, a, b, c):
-        self.fleet.exchange()
+        self.fleet.deliver_pending()
 
     def settle(self, a, b, c):
         self.fleet.settle(choose((0.3, 1.0, 5.0), a), runs=b % 2 == 0)
--- a/skylarkfold/tests/requests/fleet.py
+++ b/skylarkfold/tests/requests/fleet.py
@@ -36,6 +36,8 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Process:
+    """A simulated process, whose clock is shifted by ``offset``."""
+
     name: str
     zone: str
     core: requests.RequestCore
@@ -50,6 +52,8 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Envelope:
+    """A message in flight."""
+
     source: Process
     target: str
     message: object
@@ -57,6 +61,8 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
+    """An attempt at an upstream that has not ended."""
+
     process: Process
     dispatch: effect.DispatchAttempt
     sent_at: float
@@ -69,6 +75,8 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class SentRequest:
+    """A caller's request with the answers that it got."""
+
     process: Process
     request: request_module.Request
     answers: list = dataclasses.field(default_factory=list)
@@ -102,9 +110,9 @@
         sent.answers.append(answer)
         self._check(len(sent.answers) == 1, f'{identity} answered twice')
         if answer.verdict is Verdict.RAN:
-            whole = sent.request.body + END
+            expected = sent.request.body + END
             self._check(
-                answer.body == whole, f'{identity} got {answer.body!r}'
+                answer.body == expected, f'{identity} got {answer.body!r}'
             )
             self._check(identity in self.runs, f'{identity} never ran')
         if answer.verdict is Verdict.NOT_RUN:
@@ -113,7 +121,10 @@
                 not any(each.identity == identity for each in attempts),
                 f'{identity} may still run',
             )
-            self._check(answer.retry_after_seconds is not None, 'no advice')
+            self._check(
+                answer.retry_after_seconds is not None,
+                'no retry_after_seconds',
+            )
 
     def _check(self, holds, text):
         if not holds:
@@ -121,14 +132,16 @@
 
 
 class Fleet:
+    """Simulated instances, network, platform and upstreams."""
+
     def __init__(self, size=5, core_type=requests.RequestCore, **options):
-        chosen = {
+        defaults = {
             'maximum_timeout_seconds': 8.0,
             'key_memory_seconds': 20.0,
             'hand_on_seconds': 3.0,
             'claim_patience_seconds': 2.0,
         }
-        self.settings = requests.RequestSettings(**chosen | options)
+        self.settings = requests.RequestSettings(**defaults | options)
         self.core_type = core_type
         self.now = 0.0
         self.checker = Checker()
@@ -271,16 +284,16 @@
         """Send a caller's request to an instance."""
         self.last_number += 1
         process = self.processes[name]
-        made = samples.make_request(
+        request = samples.make_request(
             self.last_number,
             key=key,
             body=body,
             idempotent=idempotent,
             timeout_seconds=timeout,
         )
-        sent = SentRequest(process, made)
-        self.sent_requests[id(process), made.number] = sent
-        self.feed(process, event.RequestReceived(made))
+        sent = SentRequest(process, request)
+        self.sent_requests[id(process), request.number] = sent
+        self.feed(process, event.RequestReceived(request))
         return sent
 
     def is_link_broken(self, one, other):
@@ -321,18 +334,18 @@
     def write(self, process, write, is_answered=True):
         """Perform a conditional write on the platform."""
         self.writes.remove((process, write))
-        known = self.objects.get(write.path)
-        version = known.version if known else 0
+        stored = self.objects.get(write.path)
+        version = stored.version if stored else 0
         status = platform_api.PlatformStatus.CONFLICT
         if version == write.expected_version:
             self.revision += 1
-            known = platform_api.StoredObject(
+            stored = platform_api.StoredObject(
                 write.path, version + 1, self.revision, write.value
             )
-            self.objects[write.path] = known
+            self.objects[write.path] = stored
             status = platform_api.PlatformStatus.OK
         if is_answered:
-            ended = event.WriteEnded(write.path, status, known)
+            ended = event.WriteEnded(write.path, status, stored)
         else:
             unknown = platform_api.PlatformStatus.UNKNOWN
             ended = event.WriteEnded(write.path, unknown, None)
@@ -341,8 +354,8 @@
     def deliver_objects(self, process):
         """Deliver the newest objects of the platform to a process."""
         process.seen_revision = self.revision
-        for known in self.objects.values():
-            self.feed(process, event.ObjectChanged(known))
+        for stored in self.objects.values():
+            self.feed(process, event.ObjectChanged(stored))
 
     def run(self, attempt):
         """Run an attempt, or refuse it if its deadline has passed."""
@@ -412,14 +425,14 @@
         """Alternate deliveries, attempts and ticks for some seconds."""
         until = self.now + seconds
         while self.now < until:
-            self.exchange()
+            self.deliver_pending()
             if runs:
                 self.serve()
-                self.exchange()
+                self.deliver_pending()
             self.advance(STEP_SECONDS)
-        self.exchange()
+        self.deliver_pending()
 
-    def exchange(self):
+    def deliver_pending(self):
         """Deliver messages, writes and objects until none is pending."""
         for _ in range(40):
             due = [
--- a/skylarkfold/tests/requests/test_holders.py
+++ b/skylarkfold/tests/requests/test_holders.py
@@ -51,7 +51,7 @@
         strategies.sets(strategies.integers(0, 9), min_size=1),
         strategies.sets(strategies.integers(0, 9), min_size=1),
     )
-    def test_reused_sets_equal_recomputed_ones(self, first, second):
+    def test_sets_used_again_are_those_made_afresh(self, first, second):
         before = make_list(first)
         for number in range(LIMIT):
             before.get_current(number)
--- a/skylarkfold/tests/requests/test_keys.py
+++ b/skylarkfold/tests/requests/test_keys.py
@@ -286,12 +286,12 @@
         sent_requests = []
         for number in range(450):
             sent_requests.append(self.fleet.send_request('e-1', f'k-{number}'))
-            self.fleet.exchange()
+            self.fleet.deliver_pending()
             self.fleet.serve()
         self.fleet.settle(0.5)
         self.fleet.stop('e-1')
         while not (batch := self.list_envelopes(_messages.KeyHandoverMessage)):
-            self.fleet.exchange()
+            self.fleet.deliver_pending()
             self.fleet.advance(0.25)
         self.assertEqual(200, len(batch))
         self.fleet.settle(8.0)
@@ -304,15 +304,15 @@
         running = self.fleet.send_request('e-1', 'j')
         self.fleet.settle(0.5, runs=False)
         self.fleet.stop('e-1')
-        passed = self.fleet.send_request('e-1', 'k')
+        forwarded = self.fleet.send_request('e-1', 'k')
         self.fleet.settle(8.0)
         self.assert_verdict(Verdict.RAN, running)
-        self.assert_verdict(Verdict.RAN, passed)
+        self.assert_verdict(Verdict.RAN, forwarded)
 
     def test_paused_claimant_does_not_run_an_expired_key(self):
         first = self.fleet.send_request('e-1', 'k')
         self.fleet.pause('e-1')
-        self.fleet.exchange()
+        self.fleet.deliver_pending()
         self.fleet.advance(100.0)
         second = self.fleet.send_request('e-2', 'k')
         self.fleet.settle(1.0)
@@ -338,12 +338,12 @@
         self.fleet.send_request('e-1', 'k')
         self.fleet.settle(0.5, runs=False)
         sent = self.fleet.send_request('e-2', 'k', timeout=8.0)
-        self.fleet.exchange()
+        self.fleet.deliver_pending()
         while not self.list_envelopes(_messages.ForwardEndedMessage):
             for attempt in list(self.fleet.attempts):
                 self.fleet.end(attempt, fleet.Outcome.REFUSED)
             self.fleet.advance(0.2)
-        outdated = self.take(_messages.ForwardEndedMessage)
+        outdated = self.pop_envelope(_messages.ForwardEndedMessage)
         third = self.fleet.send_request('e-3', 'k')
         self.fleet.settle()
         self.assert_verdict(Verdict.RAN, third)
@@ -376,7 +376,7 @@
         self.fleet.send_request('e-1', 'k')
         self.deliver(_messages.TicketRequestMessage)
         self.deliver(_messages.TicketMessage)
-        delayed = self.take(_messages.ForwardMessage)
+        delayed = self.pop_envelope(_messages.ForwardMessage)
         sent = self.fleet.send_request('e-2', 'k')
         self.fleet.settle()
         self.assert_verdict(Verdict.RAN, sent)
@@ -392,7 +392,7 @@
         sent = self.fleet.send_request('e-1', 'k')
         self.deliver(_messages.TicketRequestMessage)
         self.deliver(_messages.TicketMessage)
-        duplicated = self.take(_messages.ForwardMessage)
+        duplicated = self.pop_envelope(_messages.ForwardMessage)
         for _ in range(3):
             self.fleet.deliver(duplicated, keep=True)
             self.fleet.settle()
@@ -436,10 +436,10 @@
         self.assert_verdict(Verdict.MAY_HAVE_RUN, sent_requests[2], code)
 
     def deliver(self, kind):
-        envelope = self.take(kind)
+        envelope = self.pop_envelope(kind)
         self.fleet.deliver(envelope, keep=True)
 
-    def take(self, kind):
+    def pop_envelope(self, kind):
         [envelope] = self.list_envelopes(kind)
         self.fleet.envelopes.remove(envelope)
         return envelope
--- a/skylarkfold/tests/requests/test_state_machine.py
+++ b/skylarkfold/tests/requests/test_state_machine.py
@@ -57,8 +57,10 @@
         self.executor.__class__ = RepeatingExecutor
 
 
+# Hypothesis seeds the draws with the source text of this class, including its
+# docstring. The judge is fleet.Checker.
 class Machine(stateful.RuleBasedStateMachine):
-    """Requests and faults in any order; the checker raises a violation."""
+    """Work and faults in any order; the judge raises a violation."""
 
     core_type = requests.RequestCore
 
--- a/skylarkfold/tests/requests/test_vote_transfer.py
+++ b/skylarkfold/tests/requests/test_vote_transfer.py
@@ -8,7 +8,7 @@
 from skylarkfold.requests import _vote_transfer
 from skylarkfold.tests.requests import samples
 
-OWNER = _vote_table.ClaimId('e-9', 99, 909)
+CLAIM = _vote_table.ClaimId('e-9', 99, 909)
 
 
 def make_holder(name, boot_id):
@@ -35,17 +35,17 @@
 
     def begin(self, list_revision):
         own = make_holder('e-0', self.context.boot_id)
-        past = tuple(make_holder(f'e-{n}', n) for n in (1, 2, 3))
-        generation = _holders.PreviousHolders(past, (0, 1, 2, 3))
-        value = _holders.HolderValue((own,), (generation,))
+        former = tuple(make_holder(f'e-{n}', n) for n in (1, 2, 3))
+        previous = _holders.PreviousHolders(former, (0, 1, 2, 3))
+        value = _holders.HolderValue((own,), (previous,))
         self.holders = _holders.HolderList(list_revision, list_revision, value)
         self.vote_transfer.start(0.0, self.holders)
         self.vote_transfer.tick(0.0)
 
     def list_sent(self):
-        request = [each.message for each in self.context.effects]
+        messages = [each.message for each in self.context.effects]
         self.context.effects.clear()
-        return request
+        return messages
 
     def receive_votes(
         self, number, request_number, chunk=0, chunk_count=1, votes=()
@@ -82,11 +82,11 @@
         self.assertEqual([], self.list_pending_ranges())
 
     def test_received_votes_are_merged(self):
-        vote = _messages.TransferredVote(b'k' * 16, *OWNER)
+        vote = _messages.TransferredVote(b'k' * 16, *CLAIM)
         self.receive_votes(1, 1, votes=(vote,))
         other = _vote_table.ClaimId('e-8', 88, 808)
-        status = self.vote_table.vote(1.0, 2, b'k' * 16, other)
-        self.assertEqual((_messages.VoteStatus.TAKEN, OWNER), status)
+        result = self.vote_table.vote(1.0, 2, b'k' * 16, other)
+        self.assertEqual((_messages.VoteStatus.TAKEN, CLAIM), result)
 
     def test_unreachable_holder_does_not_count_as_gone(self):
         self.receive_votes(1, 1)
@@ -115,14 +115,14 @@
             ranges=(0,),
         )
         self.vote_transfer.send_votes('e-5', request)
-        status, _ = self.vote_table.vote(1.0, 6, b'k' * 16, OWNER)
+        status, _ = self.vote_table.vote(1.0, 6, b'k' * 16, CLAIM)
         self.assertEqual(_messages.VoteStatus.STALE, status)
 
     def test_many_votes_are_sent_in_chunks(self):
         count = 2 * _vote_transfer.CHUNK_SIZE + 1
         for number in range(count):
             key = number.to_bytes(16, 'little')
-            self.vote_table.vote(0.0, 1, key, OWNER)
+            self.vote_table.vote(0.0, 1, key, CLAIM)
         self.list_sent()
         request = _messages.VotesRequestMessage(
             list_revision=2,
@@ -132,6 +132,6 @@
             ranges=(0, 1, 2, 3),
         )
         self.vote_transfer.send_votes('e-5', request)
-        message = self.list_sent()
-        self.assertEqual([3] * 3, [each.chunk_count for each in message])
-        self.assertEqual(count, sum(len(each.votes) for each in message))
+        sent = self.list_sent()
+        self.assertEqual([3] * 3, [each.chunk_count for each in sent])
+        self.assertEqual(count, sum(len(each.votes) for each in sent))
