--- a/skylarkfold/requests/_claim_client.py
+++ b/skylarkfold/requests/_claim_client.py
@@ -195,7 +195,9 @@
             successor_boot_id=successor.boot_id if successor else 0,
         )
         sets = holders.list_sets(_holders.compute_range(key))
-        for name in dict.fromkeys(each.name for one in sets for each in one):
+        for name in dict.fromkeys(
+            each.name for holder_set in sets for each in holder_set
+        ):
             if name == self._context.name:
                 self._vote_table.apply_release(name, release)
             else:
--- a/skylarkfold/requests/_holder_manager.py
+++ b/skylarkfold/requests/_holder_manager.py
@@ -45,7 +45,7 @@
         )
         self._membership = member_module.EMPTY
         self._reports: dict[str, _messages.ReportMessage] = {}
-        self._unconfirmed: dict[str, tuple[int, float]] = {}
+        self._unconfirmed_reports: dict[str, tuple[int, float]] = {}
         self._ended_processes: set[tuple[str, int]] = set()
         self._desired: _holders.HolderSet = ()
         self._desired_since = 0.0
@@ -149,7 +149,7 @@
         :param membership: all members as seen by this instance.
         """
         self._membership = membership
-        for by_name in (self._reports, self._unconfirmed):
+        for by_name in (self._reports, self._unconfirmed_reports):
             for name in list(by_name):
                 if name not in membership.members:
                     del by_name[name]
@@ -193,11 +193,11 @@
         if known is not None and known.boot_id == report.boot_id:
             self._reports[sender] = report
             return
-        boot_id, since = self._unconfirmed.get(sender, (0, now))
+        boot_id, since = self._unconfirmed_reports.get(sender, (0, now))
         if boot_id != report.boot_id:
-            self._unconfirmed[sender] = (report.boot_id, now)
+            self._unconfirmed_reports[sender] = (report.boot_id, now)
         elif now - since >= _CONFIRM_SECONDS:
-            del self._unconfirmed[sender]
+            del self._unconfirmed_reports[sender]
             self._reports[sender] = report
 
     def announce_end(self) -> None:
@@ -215,7 +215,10 @@
                 self._context.send(holder.name, report)
 
     def send_votes(
-        self, now: float, sender: str, request: _messages.VotesRequestMessage
+        self,
+        now: float,
+        sender: str,
+        request: _messages.TransferRequestMessage,
     ) -> None:
         """Send this instance's votes to a new holder of some ranges.
 
@@ -226,7 +229,7 @@
         self._vote_transfer.send_votes(sender, request)
 
     def record_votes(
-        self, now: float, sender: str, message: _messages.VotesMessage
+        self, now: float, sender: str, message: _messages.VoteTransferMessage
     ) -> None:
         """Record the votes that a former holder transfers.
 
@@ -277,7 +280,7 @@
             if each.state is MemberState.ALIVE
             and each.name != self._context.name
         ]
-        if self._can_hold():
+        if self._can_be_holder():
             alive.append(self._context.name)
         listed = [each for each in alive if self._find_listed(each)]
         return min(listed or alive, default='')
@@ -285,13 +288,13 @@
     def _find_listed(self, name: str) -> _holders.Holder | None:
         return self.holders.find(name) if self.holders else None
 
-    def _can_hold(self) -> bool:
+    def _can_be_holder(self) -> bool:
         own = self._membership.members.get(self._context.name)
         return not self.is_stopping and (own is None or own.state.may_own)
 
     def _list_desired(self) -> _holders.HolderSet:
         desired = []
-        if self._can_hold():
+        if self._can_be_holder():
             instance = self._context.instance
             desired.append(
                 _holders.Holder(
--- a/skylarkfold/requests/_key_memory.py
+++ b/skylarkfold/requests/_key_memory.py
@@ -30,8 +30,8 @@
         self._records_with_body: collections.deque[_key_record.KeyRecord] = (
             collections.deque()
         )
-        self._active_bytes = 0
-        self.kept_bytes = 0
+        self._total_request_bytes = 0
+        self.total_answer_bytes = 0
 
     def __len__(self) -> int:
         return len(self._active) + len(self._ended)
@@ -46,7 +46,7 @@
 
         :param request: the request.
         """
-        size = self._active_bytes + len(request.body)
+        size = self._total_request_bytes + len(request.body)
         is_small = size <= self._settings.maximum_waiting_bytes
         return is_small and not self.is_full
 
@@ -64,7 +64,7 @@
         :param record: the record.
         """
         self._active[record.key] = record
-        self._active_bytes += len(record.request.body)
+        self._total_request_bytes += len(record.request.body)
 
     def drop(self, record: _key_record.KeyRecord) -> None:
         """Remove a record that has no final answer.
@@ -72,7 +72,7 @@
         :param record: the record.
         """
         if self._active.pop(record.key, None) is not None:
-            self._active_bytes -= len(record.request.body)
+            self._total_request_bytes -= len(record.request.body)
 
     def store_answer(
         self,
@@ -93,9 +93,9 @@
         record.answer = answer
         record.expires_at = now + self._settings.key_memory_seconds
         self._ended[record.key] = record
-        self.kept_bytes += record.answer_bytes
+        self.total_answer_bytes += record.answer_bytes
         self._records_with_body.append(record)
-        while self.kept_bytes > self._settings.maximum_answer_bytes:
+        while self.total_answer_bytes > self._settings.maximum_answer_bytes:
             self._drop_body(self._records_with_body.popleft())
 
     def list_active(self) -> list[_key_record.KeyRecord]:
@@ -116,7 +116,7 @@
             if record.expires_at > now:
                 return
             del self._ended[record.key]
-            self.kept_bytes -= record.answer_bytes
+            self.total_answer_bytes -= record.answer_bytes
             record.answer = None
             if (
                 self._records_with_body
@@ -127,7 +127,7 @@
     def _drop_body(self, record: _key_record.KeyRecord) -> None:
         if not record.answer_bytes:
             return
-        self.kept_bytes -= record.answer_bytes
+        self.total_answer_bytes -= record.answer_bytes
         record.answer = _answers.build_refusal(
             verdict_module.Verdict.MAY_HAVE_RUN,
             _answers.ErrorCode.ANSWER_FORGOTTEN,
--- a/skylarkfold/requests/_messages.py
+++ b/skylarkfold/requests/_messages.py
@@ -167,7 +167,7 @@
     retry_after_seconds: float | None = None
 
 
-class VotesRequestMessage(message.PeerMessage, tag=25):
+class TransferRequestMessage(message.PeerMessage, tag=25):
     """Request to a former holder to send its votes.
 
     The receiver refuses claims under older lists from then on.
@@ -195,7 +195,7 @@
     claim_number: int
 
 
-class VotesMessage(message.PeerMessage, tag=26):
+class VoteTransferMessage(message.PeerMessage, tag=26):
     """A chunk of a former holder's votes.
 
     :param list_revision: the list of holders that the request named.
@@ -238,7 +238,7 @@
     :param key: the key's digest.
     :param fingerprint: the digest of the request.
     :param claim_number: the claim under which the request ran.
-    :param verdict: the answer's verdict, as for :class:`PassEndedMessage`.
+    :param verdict: the answer's verdict, as for :class:`ForwardEndedMessage`.
     """
 
     target_boot_id: int
@@ -300,8 +300,8 @@
     | ReleaseMessage
     | ForwardMessage
     | ForwardEndedMessage
-    | VotesRequestMessage
-    | VotesMessage
+    | TransferRequestMessage
+    | VoteTransferMessage
     | ReportMessage
     | KeyHandoverMessage
     | HoldersMessage
--- a/skylarkfold/requests/_retry_scheduler.py
+++ b/skylarkfold/requests/_retry_scheduler.py
@@ -107,7 +107,7 @@
 def has_other_upstream(
     execution: _execution.Execution, service: service_module.Service | None
 ) -> bool:
-    """Return whether there is an upstream that was not tried yet.
+    """Return whether an upstream is left that has not failed the request.
 
     :param execution: the execution of the request.
     :param service: its service, None if it is no longer configured.
--- a/skylarkfold/requests/_vote_transfer.py
+++ b/skylarkfold/requests/_vote_transfer.py
@@ -105,7 +105,7 @@
         return self._pending_ranges
 
     def send_votes(
-        self, sender: str, request: _messages.VotesRequestMessage
+        self, sender: str, request: _messages.TransferRequestMessage
     ) -> None:
         """Send this instance's votes and refuse claims under older lists.
 
@@ -124,7 +124,7 @@
         chunk_count = max(1, -(-len(votes) // CHUNK_SIZE))
         for chunk in range(chunk_count):
             begin = chunk * CHUNK_SIZE
-            message = _messages.VotesMessage(
+            message = _messages.VoteTransferMessage(
                 list_revision=request.list_revision,
                 request_number=request.request_number,
                 target_boot_id=request.boot_id,
@@ -136,7 +136,7 @@
             self._context.send(sender, message)
 
     def record_votes(
-        self, now: float, sender: str, message: _messages.VotesMessage
+        self, now: float, sender: str, message: _messages.VoteTransferMessage
     ) -> None:
         """Merge a former holder's votes into this instance's table.
 
@@ -196,7 +196,7 @@
     def _request_votes(self, pending_ranges: list[int]) -> None:
         for holder, ranges in self._list_requests(pending_ranges):
             self._last_request_number += 1
-            request = _messages.VotesRequestMessage(
+            request = _messages.TransferRequestMessage(
                 list_revision=self._holders.list_revision,
                 request_number=self._last_request_number,
                 target_boot_id=holder.boot_id,
--- a/skylarkfold/tests/requests/test_key_memory.py
+++ b/skylarkfold/tests/requests/test_key_memory.py
@@ -55,7 +55,7 @@
         verdicts = [each.answer.verdict for each in records]
         expected = [Verdict.MAY_HAVE_RUN, Verdict.RAN, Verdict.RAN]
         self.assertEqual(expected, verdicts)
-        self.assertEqual(8, self.memory.kept_bytes)
+        self.assertEqual(8, self.memory.total_answer_bytes)
         self.assertIs(records[0], self.memory.find(records[0].key))
 
     def test_keys_expire_by_age(self):
@@ -64,6 +64,8 @@
         seconds = self.settings.key_memory_seconds
         self.memory.expire(seconds + 1.0)
         self.assertEqual([second], list(self.memory.list_ended()))
-        self.assertEqual(4, self.memory.kept_bytes)
+        self.assertEqual(4, self.memory.total_answer_bytes)
         self.memory.expire(seconds + 5.0)
-        self.assertEqual((0, 0), (len(self.memory), self.memory.kept_bytes))
+        self.assertEqual(
+            (0, 0), (len(self.memory), self.memory.total_answer_bytes)
+        )
--- a/skylarkfold/tests/requests/test_vote_transfer.py
+++ b/skylarkfold/tests/requests/test_vote_transfer.py
@@ -50,7 +50,7 @@
     def receive_votes(
         self, number, request_number, chunk=0, chunk_count=1, votes=()
     ):
-        message = _messages.VotesMessage(
+        message = _messages.VoteTransferMessage(
             list_revision=self.holders.list_revision,
             request_number=request_number,
             target_boot_id=self.context.boot_id,
@@ -107,7 +107,7 @@
         self.assertEqual([], self.list_pending_ranges())
 
     def test_previous_holder_refuses_older_claims_after_answering(self):
-        request = _messages.VotesRequestMessage(
+        request = _messages.TransferRequestMessage(
             list_revision=7,
             request_number=1,
             target_boot_id=self.context.boot_id,
@@ -124,7 +124,7 @@
             key = number.to_bytes(16, 'little')
             self.vote_table.vote(0.0, 1, key, CLAIM)
         self.list_sent()
-        request = _messages.VotesRequestMessage(
+        request = _messages.TransferRequestMessage(
             list_revision=2,
             request_number=1,
             target_boot_id=self.context.boot_id,
