--- a/skylarkfold/requests/_attempts.py
+++ b/skylarkfold/requests/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, at upstreams and at peers."""
+"""Tracking of attempts in flight at upstreams and peers."""
 
 from __future__ import annotations
 
@@ -7,156 +7,162 @@
 from skylarkfold import effect
 from skylarkfold import request as request_module
 from skylarkfold.requests import _context
-from skylarkfold.requests import _exchange
+from skylarkfold.requests import _execution
 from skylarkfold import selection
 from skylarkfold import service as service_module
 
-PassOn = Callable[[float, _exchange.Exchange, str, int], int]
+ForwardCallback = Callable[[float, _execution.Execution, str, int], int]
 
 
-class Attempts:
-    """Numbers attempts, starts them and records how each ended.
+class AttemptTracker:
+    """Registry of attempts: numbers them, starts them and records their end.
 
-    :param context: what the parts of the core share.
-    :param selector: learns what upstreams were given and how it went.
-    :param pass_on: passes an exchange to a peer as the attempt of that
-        number and returns the number of the pass, 0 where the peer can't
-        be told.
+    :param context: shared identity, settings and effects of the core.
+    :param selector: records each dispatch to an upstream and its outcome.
+    :param forward: called with the time, the execution, the peer and the
+        number of the attempt; forwards the request to the peer and returns
+        the forward's ID, or 0 if the peer is unreachable.
     """
 
-    __slots__ = ('_context', '_last', '_pass_on', '_running', '_selector')
+    __slots__ = (
+        '_context',
+        '_forward',
+        '_last_number',
+        '_running',
+        '_selector',
+    )
 
     def __init__(
         self,
         context: _context.Context,
         selector: selection.Selector,
-        pass_on: PassOn,
+        forward: ForwardCallback,
     ) -> None:
         self._context = context
         self._selector = selector
-        self._pass_on = pass_on
-        self._running: dict[int, _exchange.Exchange] = {}
-        self._last = 0
+        self._forward = forward
+        self._running: dict[int, _execution.Execution] = {}
+        self._last_number = 0
 
     def dispatch(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         service: service_module.Service,
         choice: selection.Choice,
     ) -> None:
-        """Send an exchange to the upstream that was chosen.
+        """Dispatch a request to the chosen upstream.
 
-        :param now: the time.
-        :param exchange: the exchange, before its deadline.
-        :param service: its service.
-        :param choice: the upstream and why.
+        :param now: the current time.
+        :param execution: the execution of the request, before its deadline.
+        :param service: the request's service.
+        :param choice: the upstream and the reason of its choice.
         """
-        self._start(now, exchange, choice.upstream.name)
+        self._start(now, execution, choice.upstream.name)
         self._selector.record_dispatch(
-            now, exchange.request.service, exchange.upstream
+            now, execution.request.service, execution.upstream
         )
-        self._log(exchange, 'dispatch', choice.reason)
+        self._log(execution, 'dispatch', choice.reason)
         self._context.effects.append(
             effect.DispatchAttempt(
-                attempt=exchange.attempt,
-                request=exchange.request,
+                attempt=execution.attempt,
+                request=execution.request,
                 service=service,
                 upstream=choice.upstream,
-                timeout_seconds=exchange.deadline - now,
+                timeout_seconds=execution.deadline - now,
             )
         )
 
-    def pass_to(
-        self, now: float, exchange: _exchange.Exchange, peer: str
+    def forward_to(
+        self, now: float, execution: _execution.Execution, peer: str
     ) -> bool:
-        """Let a peer make the next attempt.
+        """Forward a request to a peer, which makes the next attempt.
 
-        :param now: the time.
-        :param exchange: the exchange.
-        :param peer: the peer.
-        :returns: False where the exchange came from a peer itself, is late
-            or the peer can't be told.
+        :param now: the current time.
+        :param execution: the execution of the request.
+        :param peer: the peer's name.
+        :returns: False if the request itself came from a peer, is past its
+            deadline or the peer is unreachable.
         """
-        if exchange.request.number < 0 or exchange.deadline <= now:
+        if execution.request.number < 0 or execution.deadline <= now:
             return False
-        number = self._pass_on(now, exchange, peer, self._last + 1)
-        if not number:
+        forward_id = self._forward(now, execution, peer, self._last_number + 1)
+        if not forward_id:
             return False
-        self._start(now, exchange, '')
-        exchange.pass_number = number
+        self._start(now, execution, '')
+        execution.forward_id = forward_id
         return True
 
-    def take(self, number: int) -> _exchange.Exchange | None:
-        """Take an attempt that has ended by itself.
+    def pop(self, number: int) -> _execution.Execution | None:
+        """Remove an attempt that has ended.
 
-        :param number: its number.
-        :returns: its exchange; None where it had been given up.
+        :param number: the attempt's number.
+        :returns: its execution, or None if the attempt was abandoned before.
         """
         return self._running.pop(number, None)
 
-    def end(
+    def record_end(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         outcome: request_module.Outcome,
     ) -> None:
-        """Record how an attempt ended.
+        """Record the outcome of an attempt.
 
-        :param now: the time.
-        :param exchange: its exchange, no longer in flight.
-        :param outcome: how it ended.
+        :param now: the current time.
+        :param execution: the execution whose attempt is no longer in flight.
+        :param outcome: how the attempt ended.
         """
-        if exchange.upstream:
+        if execution.upstream:
             self._selector.record_outcome(
                 now,
-                exchange.request.service,
-                exchange.upstream,
+                execution.request.service,
+                execution.upstream,
                 outcome,
-                now - exchange.started,
+                now - execution.started,
             )
-        self._log(exchange, 'attempt-end', outcome)
-        exchange.attempt = 0
+        self._log(execution, 'attempt-end', outcome)
+        execution.attempt = 0
 
     def abandon(
         self,
         now: float,
-        exchange: _exchange.Exchange,
+        execution: _execution.Execution,
         outcome: request_module.Outcome,
     ) -> None:
-        """Give up the attempt in flight, which may run all the same.
+        """Cancel the attempt in flight; the upstream may still run it.
 
-        :param now: the time.
-        :param exchange: its exchange.
-        :param outcome: why.
+        :param now: the current time.
+        :param execution: the execution whose attempt is cancelled.
+        :param outcome: the outcome to record.
         """
-        self._running.pop(exchange.attempt, None)
-        if exchange.upstream:
-            cancelled = effect.CancelAttempt(exchange.attempt)
+        self._running.pop(execution.attempt, None)
+        if execution.upstream:
+            cancelled = effect.CancelAttempt(execution.attempt)
             self._context.effects.append(cancelled)
-        self.end(now, exchange, outcome)
-        exchange.may_have_run = True
+        self.record_end(now, execution, outcome)
+        execution.may_have_run = True
 
     def _start(
-        self, now: float, exchange: _exchange.Exchange, upstream: str
+        self, now: float, execution: _execution.Execution, upstream: str
     ) -> None:
-        self._last += 1
-        exchange.state = _exchange.State.RUNNING
-        exchange.attempt = self._last
-        exchange.upstream = upstream
-        exchange.pass_number = 0
-        exchange.started = now
-        exchange.attempts += 1
-        self._running[exchange.attempt] = exchange
+        self._last_number += 1
+        execution.state = _execution.ExecutionState.RUNNING
+        execution.attempt = self._last_number
+        execution.upstream = upstream
+        execution.forward_id = 0
+        execution.started = now
+        execution.attempts += 1
+        self._running[execution.attempt] = execution
 
     def _log(
-        self, exchange: _exchange.Exchange, kind: str, reason: str
+        self, execution: _execution.Execution, kind: str, reason: str
     ) -> None:
-        request = exchange.request
+        request = execution.request
         self._context.log(
             kind,
-            f'{request.number}/{exchange.attempt}',
+            f'{request.number}/{execution.attempt}',
             reason,
             request.service,
-            exchange.upstream,
+            execution.upstream,
         )
--- a/skylarkfold/requests/_holders.py
+++ b/skylarkfold/requests/_holders.py
@@ -1,9 +1,11 @@
-"""Which instances vote on a key: one list that the platform orders.
-
-The list is one object. Its writes are conditional, so all instances agree
-on one sequence of lists, and the store's revision labels each of them.
-While the holders of a range still take over what those before them know,
-a claim needs a majority of both.
+"""The list of holders: which instances vote on the claims to a key.
+
+Keys are hashed into ranges, and each range has up to three holders, which
+follow from the list by rendezvous hashing. The list is one object of the
+platform's store. Its writes are conditional, so all instances see the same
+sequence of lists, identified by the store's revision. As in joint consensus,
+a claim needs a majority of the previous holders as well until they have
+transferred their votes on the range.
 """
 
 from __future__ import annotations
@@ -19,27 +21,27 @@
 PATH = '/leases/requests/holders'
 GONE_PATH = '/leases/requests/gone'
 RANGES = 1024
-COPIES = 3
+HOLDERS_PER_RANGE = 3
 
 
 class Holder(msgspec.Struct, frozen=True, array_like=True):
-    """A process that votes on keys.
+    """A process that votes on claims to keys.
 
     :param name: the instance's name.
     :param zone: its availability zone.
-    :param boot: a number that the process drew at its start.
+    :param boot_id: a number that identifies the process, drawn at its start.
     """
 
     name: str
     zone: str
-    boot: int
+    boot_id: int
 
 
-class Generation(msgspec.Struct, frozen=True, array_like=True):
-    """Holders of the past that some ranges still depend on.
+class PreviousHolders(msgspec.Struct, frozen=True, array_like=True):
+    """Former holders whose votes some ranges still depend on.
 
     :param holders: the holders, sorted by name.
-    :param ranges: the ranges, sorted; each is in one generation at most.
+    :param ranges: the ranges, sorted; no range is in two such groups.
     """
 
     holders: tuple[Holder, ...]
@@ -49,14 +51,15 @@
 class HolderValue(msgspec.Struct, frozen=True):
     """The stored form of the list.
 
-    :param current: the holders in force, sorted by name.
-    :param previous: those before them, for ranges not taken over yet.
-    :param serial: how often the list has been changed; 0 in lists that were
-        written before there was one.
+    :param current: the present holders, sorted by name.
+    :param previous: former holders, for ranges whose votes are not
+        transferred yet.
+    :param serial: the number of changes so far; 0 in lists that were written
+        before this field existed.
     """
 
     current: tuple[Holder, ...]
-    previous: tuple[Generation, ...] = ()
+    previous: tuple[PreviousHolders, ...] = ()
     serial: int = 0
 
 
@@ -67,144 +70,164 @@
 
 
 class HolderList:
-    """A version of the list.
+    """One version of the list, with the holders of each range.
 
-    :param label: the store's revision of the object; rises.
+    :param list_revision: the store's revision of the object; increases.
     :param version: the object's own version, for a conditional write.
     :param value: the holders.
-    :param before: the list known so far, whose sets are used again.
+    :param known: the list known so far; cached sets that the change leaves
+        as they are get copied from it.
     """
 
-    __slots__ = ('_bases', '_by_name', '_sets', 'label', 'value', 'version')
+    __slots__ = (
+        '_by_name',
+        '_previous_by_range',
+        '_sets_by_holders',
+        'list_revision',
+        'value',
+        'version',
+    )
 
     def __init__(
         self,
-        label: int,
+        list_revision: int,
         version: int,
         value: HolderValue,
-        before: HolderList | None = None,
+        known: HolderList | None = None,
     ) -> None:
-        self.label = label
+        self.list_revision = list_revision
         self.version = version
         self.value = value
         self._by_name = {each.name: each for each in value.current}
-        self._bases = {
-            number: generation.holders
-            for generation in value.previous
-            for number in generation.ranges
+        self._previous_by_range = {
+            range_number: former.holders
+            for former in value.previous
+            for range_number in former.ranges
         }
         all_holders = [value.current]
         all_holders += [each.holders for each in value.previous]
-        self._sets: dict[HolderSet, dict[int, HolderSet]] = {
-            holders: before._derive(holders) if before is not None else {}
+        self._sets_by_holders: dict[HolderSet, dict[int, HolderSet]] = {
+            holders: known._reuse_sets(holders) if known is not None else {}
             for holders in all_holders
         }
 
     @property
     def is_joint(self) -> bool:
-        """Tell whether a claim still needs a majority of two sets."""
+        """Return whether claims to some ranges need two majorities."""
         return bool(self.value.previous)
 
-    def get_current(self, number: int) -> HolderSet:
-        """Get the holders in force for a range of keys.
+    def get_current(self, range_number: int) -> HolderSet:
+        """Return the present holders of a range of keys.
 
-        :param number: the range.
+        :param range_number: the range.
         :returns: its holders.
         """
-        return self._get(self.value.current, number)
+        return self._get_holders(self.value.current, range_number)
 
-    def get_previous(self, number: int) -> HolderSet:
-        """Get the holders that a range of keys still depends on.
+    def get_previous(self, range_number: int) -> HolderSet:
+        """Return the former holders that a range still depends on.
 
-        :param number: the range.
-        :returns: its holders before; none where all is taken over.
+        :param range_number: the range.
+        :returns: the holders; none if their votes are transferred.
         """
-        holders = self._bases.get(number)
-        return () if holders is None else self._get(holders, number)
+        holders = self._previous_by_range.get(range_number)
+        return (
+            () if holders is None else self._get_holders(holders, range_number)
+        )
 
-    def list_sets(self, number: int) -> tuple[HolderSet, ...]:
-        """List the sets of which a claim needs a majority each.
+    def list_sets(self, range_number: int) -> tuple[HolderSet, ...]:
+        """List the sets of holders of which a claim needs a majority each.
 
-        :param number: the range of the key.
-        :returns: one set or two.
+        :param range_number: the range of the key.
+        :returns: the present holders and, where needed, the former ones.
         """
-        current = self.get_current(number)
-        if number not in self._bases:
+        current = self.get_current(range_number)
+        if range_number not in self._previous_by_range:
             return (current,)
-        return (current, self.get_previous(number))
-
-    def list_moved(self) -> list[int]:
-        """List the ranges that are not taken over yet."""
-        return sorted(self._bases)
-
-    def list_identities(self) -> set[tuple[str, int]]:
-        """List all processes that anything depends on, name and boot."""
-        listed = {(each.name, each.boot) for each in self.value.current}
-        for generation in self.value.previous:
-            listed.update((one.name, one.boot) for one in generation.holders)
+        return (current, self.get_previous(range_number))
+
+    def list_pending(self) -> list[int]:
+        """List the ranges whose votes are not transferred yet."""
+        return sorted(self._previous_by_range)
+
+    def list_processes(self) -> set[tuple[str, int]]:
+        """List the name and boot ID of all present and former holders."""
+        listed = {(each.name, each.boot_id) for each in self.value.current}
+        for former in self.value.previous:
+            listed.update(
+                (holder.name, holder.boot_id) for holder in former.holders
+            )
         return listed
 
-    def change(self, wanted: HolderSet) -> HolderValue:
-        """Make the value that brings other holders in force.
+    def build_replacement(self, holders: HolderSet) -> HolderValue:
+        """Build the next value of the list with other holders.
 
-        :param wanted: the holders, sorted by name.
-        :returns: the value; ranges that move depend on their holders of
-            now, or on those that they depended on already.
+        :param holders: the new holders, sorted by name.
+        :returns: the value. A range that moves depends on its holders of
+            this list, or on the former ones if it already does.
         """
-        after = HolderList(0, 0, HolderValue(wanted), self)
+        after = HolderList(0, 0, HolderValue(holders), self)
         kept = (
-            Generation(
+            PreviousHolders(
                 each.holders,
                 tuple(
-                    number
-                    for number in each.ranges
-                    if self.get_previous(number) != after.get_current(number)
+                    range_number
+                    for range_number in each.ranges
+                    if self.get_previous(range_number)
+                    != after.get_current(range_number)
                 ),
             )
             for each in self.value.previous
         )
-        moved = tuple(
-            number
-            for number in range(RANGES)
-            if number not in self._bases
-            and self.get_current(number) != after.get_current(number)
+        pending = tuple(
+            range_number
+            for range_number in range(RANGES)
+            if range_number not in self._previous_by_range
+            and self.get_current(range_number)
+            != after.get_current(range_number)
         )
-        added = Generation(self.value.current, moved)
+        added = PreviousHolders(self.value.current, pending)
         previous = _drop_empty((*kept, added))
-        return HolderValue(wanted, previous, self.value.serial + 1)
+        return HolderValue(holders, previous, self.value.serial + 1)
 
-    def settle(self, numbers: frozenset[int]) -> HolderValue:
-        """Make the value in which ranges depend on no past holders.
+    def build_completion(self, transferred: frozenset[int]) -> HolderValue:
+        """Build the next value of the list after votes were transferred.
 
-        :param numbers: ranges that are taken over.
-        :returns: the value.
+        :param transferred: the ranges whose votes are transferred.
+        :returns: the value, in which they depend on no former holders.
         """
         kept = (
-            Generation(
+            PreviousHolders(
                 each.holders,
-                tuple(one for one in each.ranges if one not in numbers),
+                tuple(
+                    range_number
+                    for range_number in each.ranges
+                    if range_number not in transferred
+                ),
             )
             for each in self.value.previous
         )
         previous = _drop_empty(kept)
         return HolderValue(self.value.current, previous, self.value.serial + 1)
 
-    def _get(self, holders: HolderSet, number: int) -> HolderSet:
-        cache = self._sets[holders]
-        found = cache.get(number)
+    def _get_holders(self, holders: HolderSet, range_number: int) -> HolderSet:
+        cache = self._sets_by_holders[holders]
+        found = cache.get(range_number)
         if found is None:
-            found = cache[number] = choose_holders(holders, number)
+            found = cache[range_number] = choose_holders(holders, range_number)
         return found
 
-    def _derive(self, holders: HolderSet) -> dict[int, HolderSet]:
-        known = self._sets.get(holders)
+    def _reuse_sets(self, holders: HolderSet) -> dict[int, HolderSet]:
+        known = self._sets_by_holders.get(holders)
         if known is not None:
             return known
         current = self.value.current
-        return _derive(self._sets[current], current, holders)
+        return _keep_unchanged_sets(
+            self._sets_by_holders[current], current, holders
+        )
 
     def find(self, name: str) -> Holder | None:
-        """Find the holder in force under a name.
+        """Return the present holder of a name.
 
         :param name: the instance's name.
         :returns: the holder, or None.
@@ -212,8 +235,8 @@
         return self._by_name.get(name)
 
 
-def find_range(key: bytes) -> int:
-    """Find the range of a key.
+def compute_range(key: bytes) -> int:
+    """Return the range of a key.
 
     :param key: the key's digest.
     :returns: a number from 0 to ``RANGES - 1``.
@@ -222,37 +245,37 @@
 
 
 def count_majority(holders: HolderSet) -> int:
-    """Count the votes that a claim needs in a set.
+    """Return the number of votes that a claim needs in a set of holders.
 
     :param holders: the set.
-    :returns: more than half of it.
+    :returns: the smallest majority.
     """
     return len(holders) // 2 + 1
 
 
-def read_list(
-    changed: platform_api.StoredObject, before: HolderList | None = None
+def decode_list(
+    changed: platform_api.StoredObject, known: HolderList | None = None
 ) -> HolderList:
-    """Read the stored list.
+    """Decode the stored list.
 
     :param changed: the object, not deleted.
-    :param before: the list known so far.
+    :param known: the list known so far, see :class:`HolderList`.
     :returns: the list.
-    :raises DecodeError: if the value is no list of holders.
+    :raises DecodeError: if the value is not a list of holders.
     """
     try:
         value = _decoder.decode(changed.value)
     except msgspec.MsgspecError as error:
         raise errors.DecodeError(str(error)) from error
-    return HolderList(changed.revision, changed.version, value, before)
+    return HolderList(changed.revision, changed.version, value, known)
 
 
-def read_gone(value: bytes) -> frozenset[str]:
-    """Read the names that operators declare gone for good.
+def decode_gone(value: bytes) -> frozenset[str]:
+    """Decode the names of instances that operators declare gone for good.
 
     :param value: a JSON list of instances' names.
     :returns: the names.
-    :raises DecodeError: if the value is no list of names.
+    :raises DecodeError: if the value is not a list of names.
     """
     try:
         return _gone_decoder.decode(value)
@@ -260,26 +283,26 @@
         raise errors.DecodeError(str(error)) from error
 
 
-def write_value(value: HolderValue) -> bytes:
-    """Give the stored form of a list.
+def encode_value(value: HolderValue) -> bytes:
+    """Encode a list for the store.
 
-    :param value: the holders.
-    :returns: its bytes.
+    :param value: the list.
+    :returns: its JSON form.
     """
     return _encoder.encode(value)
 
 
-def choose_holders(holders: Iterable[Holder], number: int) -> HolderSet:
-    """Choose the holders of a range by rendezvous hash, zones apart.
+def choose_holders(holders: Iterable[Holder], range_number: int) -> HolderSet:
+    """Choose the holders of a range by rendezvous hashing.
 
     :param holders: all holders.
-    :param number: the range.
-    :returns: at most ``COPIES`` of them; of one zone only where there
-        are too few zones.
+    :param range_number: the range.
+    :returns: at most ``HOLDERS_PER_RANGE`` of them, from different zones as
+        far as there are enough zones.
     """
     ranked = sorted(
         holders,
-        key=lambda each: _score(number, each),
+        key=lambda each: _score(range_number, each),
         reverse=True,
     )
     zones: set[str] = set()
@@ -288,40 +311,42 @@
     for holder in ranked:
         (rest if holder.zone in zones else first).append(holder)
         zones.add(holder.zone)
-    return tuple((first + rest)[:COPIES])
+    return tuple((first + rest)[:HOLDERS_PER_RANGE])
 
 
-def _score(number: int, holder: Holder) -> int:
-    return xxhash.xxh3_64_intdigest(f'{number}|{holder.name}'.encode())
+def _score(range_number: int, holder: Holder) -> int:
+    return xxhash.xxh3_64_intdigest(f'{range_number}|{holder.name}'.encode())
 
 
 def _drop_empty(
-    generations: Iterable[Generation],
-) -> tuple[Generation, ...]:
-    return tuple(each for each in generations if each.ranges)
+    groups: Iterable[PreviousHolders],
+) -> tuple[PreviousHolders, ...]:
+    return tuple(each for each in groups if each.ranges)
 
 
-def _derive(
+def _keep_unchanged_sets(
     cache: dict[int, HolderSet], before: HolderSet, after: HolderSet
 ) -> dict[int, HolderSet]:
-    """Keep the sets that a change of the holders leaves as they are."""
+    """Return the cached sets that a change of the holders does not affect."""
     removed = set(before).difference(after)
     added = [each for each in after if each not in set(before)]
     known_zones = {each.zone for each in before}
     if any(each.zone not in known_zones for each in added):
         return {}
     return {
-        number: chosen
-        for number, chosen in cache.items()
+        range_number: chosen
+        for range_number, chosen in cache.items()
         if not removed.intersection(chosen)
-        and not _is_displaced(number, chosen, added)
+        and not _is_displaced(range_number, chosen, added)
     }
 
 
-def _is_displaced(number: int, chosen: HolderSet, added: list[Holder]) -> bool:
+def _is_displaced(
+    range_number: int, chosen: HolderSet, added: list[Holder]
+) -> bool:
     if not added:
         return False
-    if len(chosen) < COPIES:
+    if len(chosen) < HOLDERS_PER_RANGE:
         return True
-    least = min(_score(number, each) for each in chosen)
-    return any(_score(number, each) >= least for each in added)
+    lowest_score = min(_score(range_number, each) for each in chosen)
+    return any(_score(range_number, each) >= lowest_score for each in added)
--- a/skylarkfold/tests/requests/fleet.py
+++ b/skylarkfold/tests/requests/fleet.py
@@ -1,7 +1,7 @@
-"""Several request cores with a network, a platform and upstreams.
+"""Simulated request cores with a network, a platform and upstreams.
 
-Every step is taken by the test: what is sent waits until it is
-delivered, dropped or doubled. The judge knows what ran.
+The test takes every step: a message stays in flight until the test delivers,
+drops or duplicates it. The checker records what ran and checks the answers.
 """
 
 import dataclasses
@@ -30,12 +30,14 @@
 CLOCK_STEP_SECONDS = 1000.0
 
 
-class Violation(AssertionError):
-    """A promise was broken."""
+class InvariantViolation(AssertionError):
+    """An execution or answer violates the at-most-once guarantee."""
 
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Process:
+    """A simulated process, whose clock is shifted by ``offset``."""
+
     name: str
     zone: str
     core: requests.RequestCore
@@ -44,12 +46,14 @@
     is_alive: bool = True
     is_paused: bool = False
     is_stopping: bool = False
-    seen: int = 0
+    seen_revision: int = 0
     inbox: list = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Letter:
+class Envelope:
+    """A message in flight."""
+
     source: Process
     target: str
     message: object
@@ -57,10 +61,12 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Attempt:
+    """An attempt at an upstream that has not ended."""
+
     process: Process
     dispatch: effect.DispatchAttempt
     sent_at: float
-    has_ran: bool = False
+    has_run: bool = False
 
     @property
     def identity(self):
@@ -68,19 +74,21 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Ask:
+class SentRequest:
+    """A caller's request with the answers that it got."""
+
     process: Process
     request: request_module.Request
     answers: list = dataclasses.field(default_factory=list)
 
 
 def identify(request):
-    """What may run once: a key, or a keyless request by its body."""
+    """Return the key and body; requests without a key differ by body."""
     return request.key, request.body
 
 
-class Judge:
-    """Knows what ran and checks what callers are told."""
+class Checker:
+    """Recorder of executions that checks the answers against them."""
 
     def __init__(self):
         self.runs = {}
@@ -97,14 +105,14 @@
             body = self.keys.setdefault(request.key, request.body)
             self._check(body == request.body, f'{request.key} ran twice')
 
-    def answer(self, ask, answer, attempts):
-        identity = identify(ask.request)
-        ask.answers.append(answer)
-        self._check(len(ask.answers) == 1, f'{identity} answered twice')
+    def answer(self, sent, answer, attempts):
+        identity = identify(sent.request)
+        sent.answers.append(answer)
+        self._check(len(sent.answers) == 1, f'{identity} answered twice')
         if answer.verdict is Verdict.RAN:
-            whole = ask.request.body + END
+            expected = sent.request.body + END
             self._check(
-                answer.body == whole, f'{identity} got {answer.body!r}'
+                answer.body == expected, f'{identity} got {answer.body!r}'
             )
             self._check(identity in self.runs, f'{identity} never ran')
         if answer.verdict is Verdict.NOT_RUN:
@@ -113,36 +121,41 @@
                 not any(each.identity == identity for each in attempts),
                 f'{identity} may still run',
             )
-            self._check(answer.retry_after_seconds is not None, 'no advice')
+            self._check(
+                answer.retry_after_seconds is not None,
+                'no retry_after_seconds',
+            )
 
     def _check(self, holds, text):
         if not holds:
-            raise Violation(text)
+            raise InvariantViolation(text)
 
 
 class Fleet:
+    """Simulated instances, network, platform and upstreams."""
+
     def __init__(self, size=5, core_type=requests.RequestCore, **options):
-        chosen = {
+        defaults = {
             'maximum_timeout_seconds': 8.0,
             'key_memory_seconds': 20.0,
             'hand_on_seconds': 3.0,
             'claim_patience_seconds': 2.0,
         }
-        self.settings = requests.RequestSettings(**chosen | options)
+        self.settings = requests.RequestSettings(**defaults | options)
         self.core_type = core_type
         self.now = 0.0
-        self.judge = Judge()
-        self.letters = []
+        self.checker = Checker()
+        self.envelopes = []
         self.attempts = []
-        self.strays = []
+        self.abandoned_attempts = []
         self.writes = []
-        self.asks = {}
+        self.sent_requests = {}
         self.objects = {}
         self.revision = 0
         self.is_platform_up = True
-        self.cuts = set()
+        self.broken_links = set()
         self.left = set()
-        self.tells_leaving = True
+        self.announces_leaving = True
         self.processes = {}
         self.last_seed = 0
         self.last_number = 0
@@ -156,21 +169,21 @@
             self.start(name)
 
     def provide_holders(self):
-        """Let the platform hold a settled list of all processes."""
+        """Store a list of holders with all processes and deliver it."""
         holders = tuple(
-            _holders.Holder(each.name, each.zone, each.core.context.boot)
+            _holders.Holder(each.name, each.zone, each.core.context.boot_id)
             for each in self.processes.values()
         )
-        value = _holders.write_value(_holders.HolderValue(holders))
+        value = _holders.encode_value(_holders.HolderValue(holders))
         self.revision += 1
         self.objects[_holders.PATH] = platform_api.StoredObject(
             _holders.PATH, 1, self.revision, value
         )
         for each in self.list_alive():
-            self.inform(each)
+            self.deliver_objects(each)
 
     def declare_gone(self, *names):
-        """Let operators say that instances are gone for good."""
+        """Store the names of instances that operators declare gone."""
         self.revision += 1
         value = ('["' + '","'.join(names) + '"]').encode()
         self.objects[_holders.GONE_PATH] = platform_api.StoredObject(
@@ -178,7 +191,7 @@
         )
 
     def start(self, name, is_known=True):
-        """Start a process under a name that no living one bears."""
+        """Start a process under a name that no running process has."""
         self.last_seed += 1
         zone = ZONES[int(name.rpartition('-')[2]) % len(ZONES)]
         settings = instance.InstanceSettings(
@@ -197,21 +210,21 @@
         self.feed(process, event.ConfigurationChanged(self.configuration))
         for each in self.processes.values():
             if is_known or name not in each.views:
-                self.view(each, name, State.ALIVE)
-            self.view(process, each.name, State.ALIVE)
+                self.set_view(each, name, State.ALIVE)
+            self.set_view(process, each.name, State.ALIVE)
 
     def kill(self, name, is_known=True):
         self.processes[name].is_alive = False
         if is_known:
-            self.see(name, State.DEAD)
+            self.set_member_state(name, State.DEAD)
 
-    def see(self, name, state):
-        """Let all living processes see a member in a state."""
+    def set_member_state(self, name, state):
+        """Set a member's state in the views of all running processes."""
         for each in self.list_alive():
-            self.view(each, name, state)
+            self.set_view(each, name, state)
 
-    def view(self, process, name, state):
-        """Let one process see a member in a state."""
+    def set_view(self, process, name, state):
+        """Set a member's state in one process's view."""
         if name == process.name and state is not State.ALIVE:
             return
         process.views[name] = state
@@ -228,10 +241,10 @@
         membership = member.Membership(len(members), members)
         self.feed(process, event.MembershipChanged(membership))
 
-    def cancel(self, asked):
-        """Let a caller go away."""
-        number = asked.request.number
-        self.feed(asked.process, event.RequestCancelled(number))
+    def cancel(self, sent):
+        """Disconnect the caller of a request."""
+        number = sent.request.number
+        self.feed(sent.process, event.RequestCancelled(number))
 
     def list_alive(self):
         return [each for each in self.processes.values() if each.is_alive]
@@ -248,110 +261,112 @@
         if process.is_stopping and process.core.is_finished:
             process.is_alive = False
             self.left.add(process.name)
-            if self.tells_leaving:
-                self.see(process.name, State.LEFT)
+            if self.announces_leaving:
+                self.set_member_state(process.name, State.LEFT)
 
     def _perform(self, process, produced):
         if isinstance(produced, effect.SendToPeer):
-            letter = Letter(process, produced.peer, produced.message)
-            self.letters.append(letter)
+            envelope = Envelope(process, produced.peer, produced.message)
+            self.envelopes.append(envelope)
         elif isinstance(produced, effect.DispatchAttempt):
             self.attempts.append(Attempt(process, produced, self.now))
         elif isinstance(produced, effect.CancelAttempt):
             pass
         elif isinstance(produced, effect.SendAnswer):
-            ask = self.asks[id(process), produced.request]
-            self.judge.answer(ask, produced.answer, self._list_startable())
+            sent = self.sent_requests[id(process), produced.request]
+            self.checker.answer(sent, produced.answer, self._list_startable())
         elif isinstance(produced, effect.RequestWrite):
             self.writes.append((process, produced.write))
 
-    def ask(self, name, key='', body=b'x', idempotent=False, timeout=5.0):
-        """Let a caller send a request to an instance."""
+    def send_request(
+        self, name, key='', body=b'x', idempotent=False, timeout=5.0
+    ):
+        """Send a caller's request to an instance."""
         self.last_number += 1
         process = self.processes[name]
-        made = samples.make_request(
+        request = samples.make_request(
             self.last_number,
             key=key,
             body=body,
             idempotent=idempotent,
             timeout_seconds=timeout,
         )
-        asked = Ask(process, made)
-        self.asks[id(process), made.number] = asked
-        self.feed(process, event.RequestReceived(made))
-        return asked
+        sent = SentRequest(process, request)
+        self.sent_requests[id(process), request.number] = sent
+        self.feed(process, event.RequestReceived(request))
+        return sent
 
-    def is_cut(self, one, other):
-        return frozenset((one, other)) in self.cuts
+    def is_link_broken(self, one, other):
+        return frozenset((one, other)) in self.broken_links
 
-    def cut_zone(self, zone):
-        """Cut a zone off from the others."""
+    def isolate_zone(self, zone):
+        """Break all links between a zone and the others."""
         for one in self.processes.values():
             for other in self.processes.values():
                 if (one.zone == zone) != (other.zone == zone):
-                    self.cuts.add(frozenset((one.name, other.name)))
+                    self.broken_links.add(frozenset((one.name, other.name)))
 
-    def deliver(self, letter, keep=False):
-        """Deliver a letter unless the two are cut off."""
-        if self.is_cut(letter.source.name, letter.target):
+    def deliver(self, envelope, keep=False):
+        """Deliver a message unless the link is broken."""
+        if self.is_link_broken(envelope.source.name, envelope.target):
             return
         if not keep:
-            self.letters.remove(letter)
-        target = self.processes.get(letter.target)
+            self.envelopes.remove(envelope)
+        target = self.processes.get(envelope.target)
         if target is None:
             return
         decoder = codec.StreamDecoder(requests.MESSAGES)
-        [decoded] = decoder.feed(codec.encode(letter.message))
-        received = event.PeerMessageReceived(letter.source.name, decoded)
+        [decoded] = decoder.feed(codec.encode(envelope.message))
+        received = event.PeerMessageReceived(envelope.source.name, decoded)
         self.feed(target, received)
 
     def lose_stream(self, one, other):
-        """Drop what is on its way between two and tell both."""
+        """Drop the messages between two processes and report the loss."""
         pair = {one, other}
-        self.letters = [
+        self.envelopes = [
             each
-            for each in self.letters
+            for each in self.envelopes
             if {each.source.name, each.target} != pair
         ]
         self.feed(self.processes[one], event.PeerLost(other))
         self.feed(self.processes[other], event.PeerLost(one))
 
     def write(self, process, write, is_answered=True):
-        """Let the platform take a conditional write."""
+        """Perform a conditional write on the platform."""
         self.writes.remove((process, write))
-        known = self.objects.get(write.path)
-        version = known.version if known else 0
+        stored = self.objects.get(write.path)
+        version = stored.version if stored else 0
         status = platform_api.PlatformStatus.CONFLICT
         if version == write.expected_version:
             self.revision += 1
-            known = platform_api.StoredObject(
+            stored = platform_api.StoredObject(
                 write.path, version + 1, self.revision, write.value
             )
-            self.objects[write.path] = known
+            self.objects[write.path] = stored
             status = platform_api.PlatformStatus.OK
         if is_answered:
-            ended = event.WriteEnded(write.path, status, known)
+            ended = event.WriteEnded(write.path, status, stored)
         else:
             unknown = platform_api.PlatformStatus.UNKNOWN
             ended = event.WriteEnded(write.path, unknown, None)
         self.feed(process, ended)
 
-    def inform(self, process):
-        """Let a process learn the newest objects."""
-        process.seen = self.revision
-        for known in self.objects.values():
-            self.feed(process, event.ObjectChanged(known))
+    def deliver_objects(self, process):
+        """Deliver the newest objects of the platform to a process."""
+        process.seen_revision = self.revision
+        for stored in self.objects.values():
+            self.feed(process, event.ObjectChanged(stored))
 
     def run(self, attempt):
-        """Let an upstream begin, unless its deadline has passed."""
+        """Run an attempt, or refuse it if its deadline has passed."""
         if not self._can_start(attempt):
             self.end(attempt, Outcome.REFUSED)
             return
-        attempt.has_ran = True
-        self.judge.run(attempt)
+        attempt.has_run = True
+        self.checker.run(attempt)
 
     def answer(self, attempt, is_whole=True):
-        """Let an upstream that ran answer."""
+        """Answer an attempt that has run."""
         body = attempt.dispatch.request.body + END
         headers = (('content-length', str(len(body))),)
         sent = body if is_whole else body[:-1]
@@ -360,28 +375,28 @@
 
     def end(self, attempt, outcome, answer=None):
         self.attempts.remove(attempt)
-        if outcome in LOST and not attempt.has_ran:
-            self.strays.append(attempt)
+        if outcome in LOST and not attempt.has_run:
+            self.abandoned_attempts.append(attempt)
         ended = event.AttemptEnded(attempt.dispatch.attempt, outcome, answer)
         self.feed(attempt.process, ended)
 
     def _can_start(self, attempt):
         timeout = attempt.dispatch.timeout_seconds
-        return not attempt.has_ran and self.now < attempt.sent_at + timeout
+        return not attempt.has_run and self.now < attempt.sent_at + timeout
 
     def _list_startable(self):
-        both = self.attempts + self.strays
+        both = self.attempts + self.abandoned_attempts
         return [each for each in both if self._can_start(each)]
 
-    def run_stray(self, stray):
-        """Let an upstream run what its instance has given up."""
-        self.strays.remove(stray)
-        if self._can_start(stray):
-            stray.has_ran = True
-            self.judge.run(stray)
+    def run_abandoned(self, attempt):
+        """Run an attempt that its instance has abandoned."""
+        self.abandoned_attempts.remove(attempt)
+        if self._can_start(attempt):
+            attempt.has_run = True
+            self.checker.run(attempt)
 
     def advance(self, seconds):
-        """Let time pass and tick everywhere, never rarely."""
+        """Advance the clock in limited steps and tick all processes."""
         until = self.now + seconds
         while self.now < until:
             self.now = min(until, self.now + LONGEST_STEP_SECONDS)
@@ -403,46 +418,46 @@
         process = self.processes[name]
         process.is_stopping = True
         for each in self.list_alive():
-            self.view(each, name, State.LEAVING)
+            self.set_view(each, name, State.LEAVING)
         self.feed(process, event.StopRequested())
 
     def settle(self, seconds=1.0, runs=True):
-        """Let everything that can happen happen in order for a while."""
+        """Alternate deliveries, attempts and ticks for some seconds."""
         until = self.now + seconds
         while self.now < until:
-            self.exchange()
+            self.deliver_pending()
             if runs:
                 self.serve()
-                self.exchange()
+                self.deliver_pending()
             self.advance(STEP_SECONDS)
-        self.exchange()
+        self.deliver_pending()
 
-    def exchange(self):
-        """Deliver letters, platform writes and news until none is left."""
+    def deliver_pending(self):
+        """Deliver messages, writes and objects until none is pending."""
         for _ in range(40):
             due = [
                 each
-                for each in self.letters
-                if not self.is_cut(each.source.name, each.target)
+                for each in self.envelopes
+                if not self.is_link_broken(each.source.name, each.target)
             ]
-            for letter in due:
-                if letter in self.letters:
-                    self.deliver(letter)
+            for envelope in due:
+                if envelope in self.envelopes:
+                    self.deliver(envelope)
             if self.is_platform_up:
                 for process, write in list(self.writes):
                     self.write(process, write)
                 for process in self.list_alive():
-                    if process.seen < self.revision:
-                        self.inform(process)
+                    if process.seen_revision < self.revision:
+                        self.deliver_objects(process)
             elif not due:
                 return
-            if not self.letters and not self.writes:
+            if not self.envelopes and not self.writes:
                 return
 
     def serve(self):
-        """Let every upstream run and answer what it got."""
+        """Run and answer all pending attempts."""
         for attempt in list(self.attempts):
-            if not attempt.has_ran:
+            if not attempt.has_run:
                 self.run(attempt)
             if attempt in self.attempts:
                 self.answer(attempt)
--- a/skylarkfold/tests/requests/test_machine.py
+++ b/skylarkfold/tests/requests/test_state_machine.py
@@ -4,16 +4,18 @@
 import testtools
 
 from skylarkfold import requests
+from skylarkfold.requests import _executor
 from skylarkfold.requests import _holders
-from skylarkfold.requests import _lifecycle
 from skylarkfold.requests import _messages
-from skylarkfold.requests import _register
+from skylarkfold.requests import _vote_table
 from skylarkfold.tests.requests import chaos
 from skylarkfold.tests.requests import fleet
 
 NUMBERS = strategies.integers(0, 255)
 WEIGHTED = [
-    name for name in chaos.STEPS for _ in range(chaos.WEIGHTS.get(name, 1))
+    name
+    for name in chaos.STEP_NAMES
+    for _ in range(chaos.WEIGHTS.get(name, 1))
 ]
 SETTINGS = hypothesis.settings(
     max_examples=60,
@@ -28,33 +30,35 @@
 )
 
 
-class AcceptingRegister(_register.Register):
-    """Votes for every claim."""
+class AcceptingVoteTable(_vote_table.VoteTable):
+    """Table with the fault that it accepts every claim."""
 
-    def vote(self, now, label, key, owner):
-        return _messages.Ballot.ACCEPTED, owner
+    def vote(self, now, list_revision, key, claim_id):
+        return _messages.VoteStatus.ACCEPTED, claim_id
 
 
-class RepeatingLifecycle(_lifecycle.Lifecycle):
-    """Takes a broken attempt for one that did not run."""
+class RepeatingExecutor(_executor.RequestExecutor):
+    """Executor with the fault that it retries what may have run."""
 
-    def _judge_failure(self, now, exchange, outcome, answer):
-        refused = _lifecycle.Outcome.REFUSED
-        super()._judge_failure(now, exchange, refused, answer)
+    def _handle_failure(self, now, execution, outcome, answer):
+        refused = _executor.Outcome.REFUSED
+        super()._handle_failure(now, execution, refused, answer)
 
 
 class AcceptingCore(requests.RequestCore):
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.register.__class__ = AcceptingRegister
+        self.vote_table.__class__ = AcceptingVoteTable
 
 
 class RepeatingCore(requests.RequestCore):
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.lifecycle.__class__ = RepeatingLifecycle
+        self.executor.__class__ = RepeatingExecutor
 
 
+# Hypothesis seeds the draws with the source text of this class, including its
+# docstring. The judge is fleet.Checker.
 class Machine(stateful.RuleBasedStateMachine):
     """Work and faults in any order; the judge raises a violation."""
 
@@ -83,24 +87,24 @@
 
 
 class MachineTest(testtools.TestCase):
-    """The promises under any order of work and faults."""
+    """At-most-once execution under any order of requests and faults."""
 
     def setUp(self):
         super().setUp()
         self.patch(_holders, 'RANGES', 16)
 
-    def test_promises_hold(self):
+    def test_invariants_hold(self):
         stateful.run_state_machine_as_test(Machine, settings=SETTINGS)
 
-    def test_judge_finds_holders_that_vote_twice(self):
+    def test_checker_finds_holders_that_vote_twice(self):
         self.assert_violated(AcceptingMachine)
 
-    def test_judge_finds_repeats_of_what_may_have_run(self):
+    def test_checker_finds_retries_of_what_may_have_run(self):
         self.assert_violated(RepeatingMachine)
 
     def assert_violated(self, machine):
         self.assertRaises(
-            fleet.Violation,
+            fleet.InvariantViolation,
             stateful.run_state_machine_as_test,
             machine,
             settings=SEARCH,
