--- a/skylarkfold/flows/_free_count.py
+++ b/skylarkfold/flows/_balanced_buckets.py
@@ -8,7 +8,7 @@
 from skylarkfold import service as service_module
 
 
-def find(
+def compute_count(
     now: float,
     state: _state.ServiceState,
     settings: _settings.FlowSettings,
@@ -24,34 +24,34 @@
     :param settings: the flow settings.
     :returns: a number of buckets.
     """
-    least = _table.count_free(state.service, settings)
-    current = state.table.count_free()
-    if current < least:
-        return least
+    minimum = _table.count_balanced(state.service, settings)
+    current = state.table.count_balanced()
+    if current < minimum:
+        return minimum
     imbalance = state.load.measure_imbalance(now, state.eligible)
-    if imbalance is None or not _is_due(now, state, settings):
+    if imbalance is None or not _is_step_due(now, state, settings):
         return current
     count = len(state.table.states)
     step = int(count * settings.free_step_share)
-    bound = _find_bound(state.service, settings)
-    if imbalance > bound:
-        return min(current + step, _find_most(count, state, settings))
-    if imbalance < 1 + (bound - 1) / 2:
-        return max(current - step, least)
+    limit = _find_imbalance_limit(state.service, settings)
+    if imbalance > limit:
+        return min(current + step, _find_maximum(count, state, settings))
+    if imbalance < 1 + (limit - 1) / 2:
+        return max(current - step, minimum)
     return current
 
 
-def _is_due(
+def _is_step_due(
     now: float,
     state: _state.ServiceState,
     settings: _settings.FlowSettings,
 ) -> bool:
-    if state.adopted_at is None:
+    if state.applied_at is None:
         return False
-    return now - state.adopted_at >= settings.free_step_seconds
+    return now - state.applied_at >= settings.free_step_seconds
 
 
-def _find_bound(
+def _find_imbalance_limit(
     service: service_module.Service, settings: _settings.FlowSettings
 ) -> float:
     if service.preference is service_module.Preference.BALANCE:
@@ -59,7 +59,7 @@
     return settings.continuity_imbalance
 
 
-def _find_most(
+def _find_maximum(
     count: int,
     state: _state.ServiceState,
     settings: _settings.FlowSettings,
@@ -67,4 +67,4 @@
     share = settings.continuity_open_share
     if state.service.preference is service_module.Preference.BALANCE:
         share = settings.balance_open_share
-    return max(state.table.count_free(), int(count * share))
+    return max(state.table.count_balanced(), int(count * share))
--- a/skylarkfold/flows/_core.py
+++ b/skylarkfold/flows/_core.py
@@ -9,19 +9,19 @@
 from skylarkfold import endpoint
 from skylarkfold import errors
 from skylarkfold import event
-from skylarkfold.flows import _catalog
-from skylarkfold.flows import _datagrams
-from skylarkfold.flows import _hold
+from skylarkfold.flows import _datagram_handler
 from skylarkfold.flows import _members
 from skylarkfold.flows import _messages
 from skylarkfold.flows import _outbox
+from skylarkfold.flows import _packet_buffer
+from skylarkfold.flows import _pin_maintenance
 from skylarkfold.flows import _proposer
 from skylarkfold.flows import _ranking
 from skylarkfold.flows import _router
+from skylarkfold.flows import _service_registry
 from skylarkfold.flows import _settings
 from skylarkfold.flows import _state
 from skylarkfold.flows import _streams
-from skylarkfold.flows import _upkeep
 from skylarkfold import instance as instance_module
 from skylarkfold import metric
 from skylarkfold import platform_api
@@ -30,7 +30,7 @@
 MAXIMUM_SLOT_BYTES = _ranking.SLOT_COUNT // 8
 
 # All that is due for a service is counted in half seconds or more.
-_ROUND_SECONDS = 0.2
+_SERVICE_TASK_SECONDS = 0.2
 
 
 class FlowCore:
@@ -47,21 +47,21 @@
     ) -> None:
         self._instance = instance
         self._settings = settings
-        self._catalog = _catalog.Catalog(settings)
+        self._registry = _service_registry.ServiceRegistry(settings)
         self._streams = _streams.StreamPlacer(settings, instance.zone)
         self._is_stopped = False
-        self._next_round = 0.0
+        self._next_service_tasks_at = 0.0
         self._members = _members.MemberView(instance, settings)
         self._outbox = _outbox.Outbox(settings, self._members)
-        held = _hold.HeldPackets(settings)
+        buffer = _packet_buffer.PacketBuffer(settings)
         self._router = _router.Router(
-            instance, settings, self._members, self._outbox.pins, held
+            instance, settings, self._members, self._outbox.pins, buffer
         )
-        self._datagrams = _datagrams.Datagrams(
-            self._catalog, self._router, held, self._outbox.pins
+        self._datagrams = _datagram_handler.DatagramHandler(
+            self._registry, self._router, buffer, self._outbox.pins
         )
         self._proposer = _proposer.Proposer(self._members, settings)
-        self._upkeep = _upkeep.Upkeep(
+        self._pin_maintenance = _pin_maintenance.PinMaintenance(
             settings, self._members, self._proposer, self._outbox.bulk
         )
 
@@ -92,10 +92,10 @@
         :returns: the upstream if this instance knows it alone, else None;
             then the datagram takes the way through :meth:`handle`.
         """
-        state = self._catalog.get(service_name)
+        state = self._registry.get(service_name)
         if state is None:
             return None
-        return state.find_known(caller)[0]
+        return state.find_local(caller)[0]
 
     @functools.singledispatchmethod
     def _handle(self, occurred: object, now: float) -> list[object]:
@@ -103,7 +103,7 @@
 
     @_handle.register
     def _(self, occurred: event.StreamOpened, now: float) -> list[object]:
-        state = self._catalog.find(occurred.address)
+        state = self._registry.find_by_address(occurred.address)
         owner_count = max(1, len(self._members.ranking.names))
         return self._streams.place(now, occurred, state, owner_count)
 
@@ -116,120 +116,128 @@
     def _(
         self, occurred: event.PeerMessageReceived, now: float
     ) -> list[object]:
-        return self._take_message(now, occurred.sender, occurred.message)
+        return self._receive_message(now, occurred.sender, occurred.message)
 
     @_handle.register
     def _(self, occurred: event.PeerConnected, now: float) -> list[object]:
-        return self._follow_change(
-            now, self._members.regain(now, occurred.peer)
+        return self._handle_ranking_change(
+            now, self._members.mark_connected(now, occurred.peer)
         )
 
     @_handle.register
     def _(self, occurred: event.PeerLost, now: float) -> list[object]:
-        self._outbox.drop(occurred.peer)
-        return self._follow_change(now, self._members.lose(now, occurred.peer))
+        self._outbox.drop_peer(occurred.peer)
+        return self._handle_ranking_change(
+            now, self._members.mark_disconnected(now, occurred.peer)
+        )
 
     @_handle.register
     def _(self, occurred: event.MembershipChanged, now: float) -> list[object]:
         change = self._members.update(now, occurred.membership)
-        return self._follow_change(now, change)
+        return self._handle_ranking_change(now, change)
 
     @_handle.register
     def _(self, occurred: event.StopRequested, now: float) -> list[object]:
         self._outbox.begin_stop(now)
-        return self._follow_change(now, self._members.stop(now))
+        return self._handle_ranking_change(now, self._members.begin_stop(now))
 
     @_handle.register
     def _(
         self, occurred: event.ConfigurationChanged, now: float
     ) -> list[object]:
-        gone = self._catalog.configure(now, occurred.configuration)
-        for name in gone:
-            self._proposer.forget_service(name)
-        for state in self._catalog.states.values():
-            self._upkeep.find_own(state)
-        return self._datagrams.release(now)
+        removed = self._registry.configure(now, occurred.configuration)
+        for name in removed:
+            self._proposer.remove_service(name)
+        for state in self._registry.states.values():
+            self._pin_maintenance.update_home_pins(state)
+        return self._datagrams.route_held(now)
 
     @_handle.register
     def _(self, occurred: event.ObjectChanged, now: float) -> list[object]:
-        return self._take_object(now, occurred.stored)
+        return self._apply_object(now, occurred.stored)
 
     @_handle.register
     def _(self, occurred: event.WriteEnded, now: float) -> list[object]:
-        name = _catalog.find_service_name(occurred.path)
-        state = self._catalog.get(name)
+        name = _service_registry.parse_service_name(occurred.path)
+        state = self._registry.get(name)
         if state is None:
             return []
-        known = self._proposer.end_write(now, state, occurred)
-        return [] if known is None else self._take_object(now, known)
+        stored = self._proposer.finish_write(now, state, occurred)
+        return [] if stored is None else self._apply_object(now, stored)
 
     @_handle.register
     def _(self, occurred: event.LoadReported, now: float) -> list[object]:
-        state = self._catalog.get(occurred.service)
+        state = self._registry.get(occurred.service)
         if state is None:
             return []
-        if not state.load.report(now, occurred):
+        if not state.load.record_report(now, occurred):
             return []
-        told = _messages.UpstreamHealth(
+        message = _messages.UpstreamHealth(
             occurred.service, occurred.upstream, occurred.reachable
         )
-        return self._tell_proposers(now, occurred.service, told)
+        return self._send_to_proposers(now, occurred.service, message)
 
     @_handle.register
     def _(self, occurred: event.Tick, now: float) -> list[object]:
-        effects = self._datagrams.expire(now)
-        self._members.expire_consulting(now)
-        if now >= self._next_round:
-            self._next_round = now + _ROUND_SECONDS
-            effects += self._visit_services(now)
+        effects = self._datagrams.expire_held(now)
+        self._members.expire_pending_handovers(now)
+        if now >= self._next_service_tasks_at:
+            self._next_service_tasks_at = now + _SERVICE_TASK_SECONDS
+            effects += self._run_service_tasks(now)
         effects += self._outbox.drain(now)
         self._is_stopped = self._outbox.has_stopped(now)
         return effects
 
-    def _visit_services(self, now: float) -> list[object]:
+    def _run_service_tasks(self, now: float) -> list[object]:
         """Do what is due for each service; too much work for each tick."""
         effects: list[object] = []
-        states = list(self._catalog.states.values())
-        for service_name, told in self._upkeep.run(now, states):
-            effects += self._tell_proposers(now, service_name, told)
-        self._router.is_full = self._upkeep.is_full
-        if self._upkeep.has_rotated_firsts:
-            self._router.rotate_firsts()
+        states = list(self._registry.states.values())
+        for service_name, message in self._pin_maintenance.run_due(
+            now, states
+        ):
+            effects += self._send_to_proposers(now, service_name, message)
+        self._router.is_pin_limit_reached = (
+            self._pin_maintenance.is_pin_limit_reached
+        )
+        if self._pin_maintenance.must_rotate_firsts:
+            self._router.rotate_recent_firsts()
         if not self._outbox.is_stopping:
             for state in states:
-                effects += self._tell_prepared(now, state)
+                effects += self._announce_prepared(now, state)
                 effects += self._proposer.propose(now, state)
         return effects
 
-    def _take_message(
+    def _receive_message(
         self, now: float, sender: str, message: object
     ) -> list[object]:
-        return _find_taker(type(message))(self, message, sender, now)
+        return _find_message_handler(type(message))(self, message, sender, now)
 
     @functools.singledispatchmethod
-    def _take(self, message: object, sender: str, now: float) -> list[object]:
+    def _handle_message(
+        self, message: object, sender: str, now: float
+    ) -> list[object]:
         return []
 
-    @_take.register
+    @_handle_message.register
     def _(
         self, message: _messages.Redirect, sender: str, now: float
     ) -> list[object]:
-        return self._datagrams.take_redirect(now, message)
+        return self._datagrams.receive_redirect(now, message)
 
-    @_take.register
+    @_handle_message.register
     def _(
-        self, message: _messages.PinNote, sender: str, now: float
+        self, message: _messages.PinUpdate, sender: str, now: float
     ) -> list[object]:
-        state = self._catalog.get(message.service)
+        state = self._registry.get(message.service)
         if state is not None:
-            self._upkeep.merge(state, sender, message.groups)
+            self._pin_maintenance.merge_pins(state, sender, message.groups)
         return []
 
-    @_take.register
+    @_handle_message.register
     def _(
         self, message: _messages.FlowAnswer, sender: str, now: float
     ) -> list[object]:
-        state = self._catalog.get(message.service)
+        state = self._registry.get(message.service)
         if state is None or len(state.cache) >= self._settings.cache_limit:
             return []
         for group in message.groups:
@@ -237,94 +245,98 @@
                 state.cache.put(flow, group.upstream)
         return []
 
-    @_take.register
+    @_handle_message.register
     def _(
-        self, message: _messages.HandOnDone, sender: str, now: float
+        self, message: _messages.HandoverDone, sender: str, now: float
     ) -> list[object]:
         slots = _messages.unpack_slots(message.slots[:MAXIMUM_SLOT_BYTES])
-        self._members.finish_consulting(now, sender, slots)
+        self._members.record_handover_done(now, sender, slots)
         return []
 
-    @_take.register
+    @_handle_message.register
     def _(
-        self, message: _messages.TableInForce, sender: str, now: float
+        self, message: _messages.TableApplied, sender: str, now: float
     ) -> list[object]:
-        state = self._catalog.get(message.service)
+        state = self._registry.get(message.service)
         if state is None:
             return []
-        self._proposer.confirm(sender, message.service, message.version)
-        return self._tell_prepared(now, state)
+        self._proposer.record_applied_version(
+            sender, message.service, message.version
+        )
+        return self._announce_prepared(now, state)
 
-    @_take.register
+    @_handle_message.register
     def _(
         self, message: _messages.PreparationDone, sender: str, now: float
     ) -> list[object]:
-        state = self._catalog.get(message.service)
+        state = self._registry.get(message.service)
         if state is not None:
-            state.learn_prepared(message.version)
+            state.record_prepared_version(message.version)
         return []
 
-    @_take.register
+    @_handle_message.register
     def _(
-        self, message: _messages.BucketsSettled, sender: str, now: float
+        self, message: _messages.BucketsMigrated, sender: str, now: float
     ) -> list[object]:
-        state = self._catalog.get(message.service)
+        state = self._registry.get(message.service)
         if state is not None:
-            self._proposer.settle(now, state, message.version, message.buckets)
+            self._proposer.record_migrated(
+                now, state, message.version, message.buckets
+            )
         return []
 
-    @_take.register
+    @_handle_message.register
     def _(
         self, message: _messages.UpstreamHealth, sender: str, now: float
     ) -> list[object]:
-        self._proposer.health.take(
+        self._proposer.health.record(
             sender, message.service, message.upstream, message.healthy
         )
         return []
 
-    def _tell_prepared(
+    def _announce_prepared(
         self, now: float, state: _state.ServiceState
     ) -> list[object]:
         version = self._proposer.find_prepared_version(now, state)
         if version <= state.prepared_version:
             return []
-        state.learn_prepared(version)
+        state.record_prepared_version(version)
         done = _messages.PreparationDone(state.name, version)
         return [
             effect.SendToPeer(peer, done) for peer in self._members.reachable
         ]
 
-    def _follow_change(
+    def _handle_ranking_change(
         self, now: float, change: _members.RankingChange | None
     ) -> list[object]:
         if change is None:
             return []
-        self._proposer.forget_ranks()
-        states = self._catalog.states.values()
-        self._outbox.follow_change(now, change, states)
+        self._proposer.clear_proposers()
+        states = self._registry.states.values()
+        self._outbox.queue_handovers(now, change, states)
         for state in states:
-            self._upkeep.find_own(state)
+            self._pin_maintenance.update_home_pins(state)
         changed = effect.CountMetric(metric.FLOWS_RANKING_CHANGED)
-        return [changed, *self._confirm_again(now)]
+        return [changed, *self._resend_applied(now)]
 
-    def _confirm_again(self, now: float) -> Iterator[object]:
+    def _resend_applied(self, now: float) -> Iterator[object]:
         """Tell new proposers of tables that are not long in force."""
         since = now - self._settings.propagation_seconds
-        for state in self._catalog.states.values():
-            if state.adopted_at is not None and state.adopted_at > since:
-                told = _messages.TableInForce(state.name, state.version)
-                yield from self._tell_proposers(now, state.name, told)
+        for state in self._registry.states.values():
+            if state.applied_at is not None and state.applied_at > since:
+                message = _messages.TableApplied(state.name, state.version)
+                yield from self._send_to_proposers(now, state.name, message)
 
-    def _take_object(
-        self, now: float, known: platform_api.StoredObject
+    def _apply_object(
+        self, now: float, stored: platform_api.StoredObject
     ) -> list[object]:
         try:
-            state = self._catalog.take(now, known)
+            state = self._registry.apply_object(now, stored)
         except errors.DecodeError:
             return [effect.CountMetric(metric.FLOWS_TABLE_MALFORMED)]
         if state is None:
             return []
-        self._upkeep.find_own(state)
+        self._pin_maintenance.update_home_pins(state)
         decision = effect.RecordDecision(
             kind='table-in-force',
             service=state.name,
@@ -332,23 +344,25 @@
             upstream='',
             reason='newer',
         )
-        told = _messages.TableInForce(state.name, state.version)
-        effects = self._tell_proposers(now, state.name, told)
-        return [decision, *effects, *self._datagrams.release(now)]
+        message = _messages.TableApplied(state.name, state.version)
+        effects = self._send_to_proposers(now, state.name, message)
+        return [decision, *effects, *self._datagrams.route_held(now)]
 
-    def _tell_proposers(
-        self, now: float, service_name: str, told: object
+    def _send_to_proposers(
+        self, now: float, service_name: str, message: object
     ) -> list[object]:
         effects: list[object] = []
         for peer in self._proposer.list_proposers(service_name):
             if peer == self._instance.name:
-                effects += self._take_message(now, peer, told)
+                effects += self._receive_message(now, peer, message)
             else:
-                effects.append(effect.SendToPeer(peer, told))
+                effects.append(effect.SendToPeer(peer, message))
         return effects
 
 
 # The descriptor builds a closure at each access, which costs as much as
 # the decision on a datagram.
 _find_handler = FlowCore.__dict__['_handle'].dispatcher.dispatch
-_find_taker = FlowCore.__dict__['_take'].dispatcher.dispatch
+_find_message_handler = FlowCore.__dict__[
+    '_handle_message'
+].dispatcher.dispatch
--- a/skylarkfold/flows/_datagrams.py
+++ b/skylarkfold/flows/_datagram_handler.py
@@ -4,17 +4,17 @@
 
 from skylarkfold import effect
 from skylarkfold import event
-from skylarkfold.flows import _catalog
-from skylarkfold.flows import _hold
 from skylarkfold.flows import _messages
-from skylarkfold.flows import _notes
 from skylarkfold.flows import _packet
+from skylarkfold.flows import _packet_buffer
 from skylarkfold.flows import _router
+from skylarkfold.flows import _send_queues
+from skylarkfold.flows import _service_registry
 from skylarkfold.flows import _state
 from skylarkfold import metric
 
 
-class Datagrams:
+class DatagramHandler:
     """Takes the datagrams of callers, and those that peers redirect.
 
     :param catalog: the services.
@@ -23,19 +23,19 @@
     :param pins: what the replicas of pins are to be told.
     """
 
-    __slots__ = ('_catalog', '_held', '_pins', '_router')
+    __slots__ = ('_registry', '_buffer', '_pin_queue', '_router')
 
     def __init__(
         self,
-        catalog: _catalog.Catalog,
+        registry: _service_registry.ServiceRegistry,
         router: _router.Router,
-        held: _hold.HeldPackets,
-        pins: _notes.PinQueue,
+        buffer: _packet_buffer.PacketBuffer,
+        pin_queue: _send_queues.PinQueue,
     ) -> None:
-        self._catalog = catalog
+        self._registry = registry
         self._router = router
-        self._held = held
-        self._pins = pins
+        self._buffer = buffer
+        self._pin_queue = pin_queue
 
     def receive(
         self, now: float, received: event.DatagramReceived
@@ -46,11 +46,11 @@
         :param received: the datagram.
         :returns: effects.
         """
-        state = self._catalog.find(received.address)
+        state = self._registry.find_by_address(received.address)
         if state is None:
             return _drop_unclaimed(received)
         if not received.is_first:
-            upstream, reason = state.find_known(received.caller)
+            upstream, reason = state.find_local(received.caller)
             if upstream is not None:
                 return [
                     effect.ForwardDatagram(
@@ -68,10 +68,10 @@
             payload=received.payload,
             is_first=received.is_first,
         )
-        return self._route_one(now, state, packet)
+        return self._route_packet(now, state, packet)
 
-    def take_redirect(
-        self, now: float, redirected: _messages.Redirect
+    def receive_redirect(
+        self, now: float, redirect: _messages.Redirect
     ) -> list[object]:
         """Take a datagram that a peer received.
 
@@ -79,47 +79,47 @@
         :param redirected: the datagram.
         :returns: effects.
         """
-        packet = _packet.read_redirect(redirected)
-        state = self._catalog.get(packet.service)
+        packet = _packet.unpack_redirect(redirect)
+        state = self._registry.get(packet.service)
         if state is None:
-            self._held.add(now, packet)
+            self._buffer.add(now, packet)
             return [effect.CountMetric(metric.FLOWS_HELD)]
-        return self._route_one(now, state, packet)
+        return self._route_packet(now, state, packet)
 
-    def release(self, now: float) -> list[object]:
+    def route_held(self, now: float) -> list[object]:
         """Route all that is held once more, after a change.
 
         :param now: the time.
         :returns: effects.
         """
         effects: list[object] = []
-        for packet in self._held.release():
-            state = self._catalog.get(packet.service)
+        for packet in self._buffer.take_all():
+            state = self._registry.get(packet.service)
             if state is not None:
                 effects += self._router.route(now, state, packet)
             else:
-                self._held.add(now, packet)
+                self._buffer.add(now, packet)
         return effects
 
-    def expire(self, now: float) -> list[object]:
+    def expire_held(self, now: float) -> list[object]:
         """Drop what was held for too long.
 
         :param now: the time.
         :returns: effects.
         """
-        expired = self._held.expire(now)
+        expired = self._buffer.expire(now)
         if not expired:
             return []
         return [effect.CountMetric(metric.FLOWS_DROPPED_HELD, len(expired))]
 
-    def _route_one(
+    def _route_packet(
         self,
         now: float,
         state: _state.ServiceState,
         packet: _packet.Packet,
     ) -> list[object]:
         effects = self._router.route(now, state, packet)
-        effects += self._pins.drain(now)
+        effects += self._pin_queue.drain(now)
         return effects
 
 
--- a/skylarkfold/flows/_handon.py
+++ b/skylarkfold/flows/_handover.py
@@ -7,18 +7,18 @@
 
 from skylarkfold.flows import _members
 from skylarkfold.flows import _messages
-from skylarkfold.flows import _notes
 from skylarkfold.flows import _ranking
+from skylarkfold.flows import _send_queues
 from skylarkfold.flows import _state
 
 
-def hand_on(
+def queue_handovers(
     now: float,
     members: _members.MemberView,
     change: _members.RankingChange,
     states: Iterable[_state.ServiceState],
-    queue: _notes.BulkQueue,
-    told: set[tuple[str, int, bool]] | None = None,
+    queue: _send_queues.BulkQueue,
+    notified: set[tuple[str, int, bool]] | None = None,
 ) -> None:
     """Queue what other instances need after a change of the ranking.
 
@@ -31,34 +31,36 @@
         pins went along; is added to.
     """
     states = list(states)
-    held = _list_held(states)
-    finished: dict[str, list[int]] = {}
+    slots_with_pins = _find_slots_with_pins(states)
+    slots_by_peer: dict[str, list[int]] = {}
     for slot in range(_ranking.SLOT_COUNT):
-        is_held = slot in held
-        for peer in _list_receivers(members.name, change, slot, is_held):
-            sends = is_held and _is_sender(now, members, change, slot)
+        has_pins = slot in slots_with_pins
+        for peer in _list_recipients(members.name, change, slot, has_pins):
+            sends = has_pins and _is_sender(now, members, change, slot)
             key = (peer, slot, sends)
-            if told is not None and not _add(told, key, change):
+            if notified is not None and not _is_unnotified(
+                notified, key, change
+            ):
                 continue
-            finished.setdefault(peer, []).append(slot)
+            slots_by_peer.setdefault(peer, []).append(slot)
             if sends:
                 _queue_pins(peer, slot, states, queue)
-    for peer, slots in sorted(finished.items()):
+    for peer, slots in sorted(slots_by_peer.items()):
         packed = _messages.pack_slots(slots)
-        queue.add(peer, _messages.HandOnDone(packed))
+        queue.add(peer, _messages.HandoverDone(packed))
 
 
-def _add(
-    told: set[tuple[str, int, bool]],
+def _is_unnotified(
+    notified: set[tuple[str, int, bool]],
     key: tuple[str, int, bool],
     change: _members.RankingChange,
 ) -> bool:
-    is_new = key not in told or key[0] in change.joined
-    told.add(key)
+    is_new = key not in notified or key[0] in change.joined
+    notified.add(key)
     return is_new
 
 
-def _list_held(states: list[_state.ServiceState]) -> set[int]:
+def _find_slots_with_pins(states: list[_state.ServiceState]) -> set[int]:
     return {
         state.find_slot(bucket)
         for state in states
@@ -67,10 +69,10 @@
     }
 
 
-def announce_cached(
+def queue_cached_flows(
     change: _members.RankingChange,
     states: Iterable[_state.ServiceState],
-    queue: _notes.BulkQueue,
+    queue: _send_queues.BulkQueue,
 ) -> None:
     """Tell new homes what this instance remembers of flows.
 
@@ -81,32 +83,35 @@
     :param queue: takes the pins.
     """
     for state in states:
-        found: dict[str, list[tuple[int, int]]] = {}
+        flows_by_peer: dict[str, list[tuple[int, int]]] = {}
         for flow, index in state.cache:
             slot = state.find_slot(flow & state.mask)
-            if not set(change.list_former(slot)[:1]) <= change.gone:
+            if (
+                not set(change.list_former_holders(slot)[:1])
+                <= change.departed
+            ):
                 continue
-            for peer in change.list_current(slot)[:1]:
-                found.setdefault(peer, []).append((flow, index))
-        for peer, pins in sorted(found.items()):
+            for peer in change.list_current_holders(slot)[:1]:
+                flows_by_peer.setdefault(peer, []).append((flow, index))
+        for peer, pins in sorted(flows_by_peer.items()):
             queue.add_pins(peer, state.name, pins)
 
 
-def _list_receivers(
-    name: str, change: _members.RankingChange, slot: int, is_held: bool
+def _list_recipients(
+    name: str, change: _members.RankingChange, slot: int, has_pins: bool
 ) -> Iterator[str]:
     """List the new holders that this instance speaks to.
 
     A holder that came back hears from all who may know anything of the
     slot; one that moved up hears from the former holders.
     """
-    former = change.list_former(slot)
-    order = change.current.list_holders(slot)
-    may_know = is_held or name in former or name in order
-    for peer in change.list_current(slot):
+    former = change.list_former_holders(slot)
+    ranked = change.current.list_ranked(slot)
+    may_have_pins = has_pins or name in former or name in ranked
+    for peer in change.list_current_holders(slot):
         if peer == name:
             continue
-        if peer in change.joined and may_know:
+        if peer in change.joined and may_have_pins:
             yield peer
         elif peer not in former and name in former:
             yield peer
@@ -126,12 +131,12 @@
     """
     if members.is_stopping:
         return True
-    for holder in change.list_former(slot):
+    for holder in change.list_former_holders(slot):
         if holder == members.name and holder in change.current.names:
             return True
         if holder in change.joined:
             continue
-        if members.is_informed(now, holder, slot):
+        if members.has_synced(now, holder, slot):
             return False
     return True
 
@@ -140,7 +145,7 @@
     peer: str,
     slot: int,
     states: list[_state.ServiceState],
-    queue: _notes.BulkQueue,
+    queue: _send_queues.BulkQueue,
 ) -> None:
     for state in states:
         for bucket in state.list_buckets(slot):
--- a/skylarkfold/flows/_health.py
+++ b/skylarkfold/flows/_health.py
@@ -8,11 +8,11 @@
 from skylarkfold import service as service_module
 
 # One instance alone may be the one that is cut off.
-_LEAST_VOTES = 2
+_MIN_VOTES = 2
 
 
 @dataclasses.dataclass(slots=True)
-class _Opinions:
+class _UpstreamVotes:
     healthy: dict[str, bool] = dataclasses.field(default_factory=dict)
     unhealthy_since: float | None = None
 
@@ -29,9 +29,9 @@
 
     def __init__(self, settings: _settings.FlowSettings) -> None:
         self._settings = settings
-        self._opinions: dict[tuple[str, str], _Opinions] = {}
+        self._votes: dict[tuple[str, str], _UpstreamVotes] = {}
 
-    def take(
+    def record(
         self, peer: str, service_name: str, upstream: str, healthy: bool
     ) -> None:
         """Note an instance's opinion.
@@ -42,8 +42,8 @@
         :param healthy: what the instance finds.
         """
         key = (service_name, upstream)
-        opinions = self._opinions.setdefault(key, _Opinions())
-        opinions.healthy[peer] = healthy
+        votes = self._votes.setdefault(key, _UpstreamVotes())
+        votes.healthy[peer] = healthy
 
     def find_dead(
         self,
@@ -69,19 +69,19 @@
     def _is_dead(
         self, now: float, key: tuple[str, str], voters: set[str]
     ) -> bool:
-        opinions = self._opinions.get(key)
-        if opinions is None:
+        votes = self._votes.get(key)
+        if votes is None:
             return False
-        votes = [
+        counted = [
             healthy
-            for peer, healthy in opinions.healthy.items()
+            for peer, healthy in votes.healthy.items()
             if peer in voters
         ]
-        against = votes.count(False)
-        needed = min(_LEAST_VOTES, len(voters))
-        if against < needed or against * 2 <= len(votes):
-            opinions.unhealthy_since = None
+        against = counted.count(False)
+        required = min(_MIN_VOTES, len(voters))
+        if against < required or against * 2 <= len(counted):
+            votes.unhealthy_since = None
             return False
-        if opinions.unhealthy_since is None:
-            opinions.unhealthy_since = now
-        return now - opinions.unhealthy_since >= self._settings.dead_seconds
+        if votes.unhealthy_since is None:
+            votes.unhealthy_since = now
+        return now - votes.unhealthy_since >= self._settings.dead_seconds
--- a/skylarkfold/flows/_load.py
+++ b/skylarkfold/flows/_load.py
@@ -8,9 +8,9 @@
 from skylarkfold.flows import _settings
 from skylarkfold import service as service_module
 
-_LEAST_RAMP = 0.1
-_LEAST_WEIGHT = 1e-6
-_LEAST_FLOWS = 50
+_MIN_SLOW_START = 0.1
+_MIN_WEIGHT = 1e-6
+_MIN_FLOWS_PER_UPSTREAM = 50
 
 
 @dataclasses.dataclass(slots=True)
@@ -22,7 +22,7 @@
     healthy: bool = True
     reachable: bool = True
     failed_at: float | None = None
-    cold_since: float | None = None
+    slow_start_at: float | None = None
 
 
 class LoadView:
@@ -39,13 +39,13 @@
         self._settings = settings
         self._loads: dict[str, _UpstreamLoad] = {}
 
-    def add_cold(self, now: float, name: str) -> None:
+    def begin_slow_start(self, now: float, name: str) -> None:
         """Note an upstream that begins to take flows.
 
         :param now: the time.
         :param name: the upstream's name.
         """
-        self._get(name).cold_since = now
+        self._get(name).slow_start_at = now
 
     def count_placed(self, name: str) -> None:
         """Note a flow that was placed here."""
@@ -58,7 +58,7 @@
         load = self._get(name)
         load.pinned = max(0, load.pinned - amount)
 
-    def report(self, now: float, told: event.LoadReported) -> bool:
+    def record_report(self, now: float, report: event.LoadReported) -> bool:
         """Take what an upstream says of itself.
 
         One that says that it is unwell gets no new flows; its own go on.
@@ -68,16 +68,18 @@
         :returns: whether it can be reached now and could not before, the
             other way round, or nothing was known yet.
         """
-        load = self._get(told.upstream)
-        is_news = load.reported_at is None or load.reachable != told.reachable
-        load.reachable = told.reachable
-        load.healthy = told.healthy and told.reachable
-        load.reported = told.flows
+        load = self._get(report.upstream)
+        is_change = (
+            load.reported_at is None or load.reachable != report.reachable
+        )
+        load.reachable = report.reachable
+        load.healthy = report.healthy and report.reachable
+        load.reported = report.flows
         load.reported_at = now
         load.placed_since = 0
-        return is_news
+        return is_change
 
-    def fail(self, now: float, name: str) -> None:
+    def record_failure(self, now: float, name: str) -> None:
         """Note that an upstream could not be reached from here."""
         self._get(name).failed_at = now
 
@@ -103,20 +105,24 @@
         :param owner_count: instances that place flows of this service.
         :returns: flows per weight by name, full upstreams left out.
         """
-        trusts_reports = all(self._is_fresh(now, each) for each in upstreams)
+        are_reports_fresh = all(
+            self._is_fresh(now, each) for each in upstreams
+        )
         ratios = {}
         for upstream in upstreams:
-            if not self.has_room(now, upstream, owner_count):
+            if not self.has_capacity(now, upstream, owner_count):
                 continue
             load = self._get(upstream.name)
             flows = load.pinned
-            if trusts_reports:
+            if are_reports_fresh:
                 flows = load.reported + load.placed_since * owner_count
-            weight = max(upstream.weight, _LEAST_WEIGHT)
-            ratios[upstream.name] = flows / (weight * self._ramp(now, load))
+            weight = max(upstream.weight, _MIN_WEIGHT)
+            ratios[upstream.name] = flows / (
+                weight * self._compute_slow_start(now, load)
+            )
         return ratios
 
-    def has_room(
+    def has_capacity(
         self, now: float, upstream: service_module.Upstream, owner_count: int
     ) -> bool:
         """Tell whether an upstream may hold one more flow.
@@ -146,13 +152,13 @@
             return None
         weights = sum(each.weight for each in upstreams)
         flows = sum(self._get(each.name).reported for each in upstreams)
-        if weights <= 0 or flows < _LEAST_FLOWS * len(upstreams):
+        if weights <= 0 or flows < _MIN_FLOWS_PER_UPSTREAM * len(upstreams):
             return None
-        fullest = max(
-            self._get(each.name).reported / max(each.weight, _LEAST_WEIGHT)
+        highest = max(
+            self._get(each.name).reported / max(each.weight, _MIN_WEIGHT)
             for each in upstreams
         )
-        return fullest * weights / flows
+        return highest * weights / flows
 
     def _is_fresh(self, now: float, upstream: service_module.Upstream) -> bool:
         reported_at = self._get(upstream.name).reported_at
@@ -160,11 +166,11 @@
             return False
         return now - reported_at <= self._settings.load_stale_seconds
 
-    def _ramp(self, now: float, load: _UpstreamLoad) -> float:
-        if load.cold_since is None:
+    def _compute_slow_start(self, now: float, load: _UpstreamLoad) -> float:
+        if load.slow_start_at is None:
             return 1.0
-        passed = (now - load.cold_since) / self._settings.cold_ramp_seconds
-        return min(1.0, max(_LEAST_RAMP, passed))
+        passed = (now - load.slow_start_at) / self._settings.cold_ramp_seconds
+        return min(1.0, max(_MIN_SLOW_START, passed))
 
     def _get(self, name: str) -> _UpstreamLoad:
         load = self._loads.get(name)
--- a/skylarkfold/flows/_members.py
+++ b/skylarkfold/flows/_members.py
@@ -10,7 +10,7 @@
 from skylarkfold import instance as instance_module
 from skylarkfold import member
 
-LONG_SETTLES = 10
+SYNC_SETTLE_PERIODS = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -27,16 +27,16 @@
     former: _ranking.Ranking
     current: _ranking.Ranking
     joined: frozenset[str]
-    gone: frozenset[str]
+    departed: frozenset[str]
     holder_count: int
 
-    def list_former(self, slot: int) -> tuple[str, ...]:
+    def list_former_holders(self, slot: int) -> tuple[str, ...]:
         """List the instances that held a slot's pins."""
-        return self.former.list_holders(slot)[: self.holder_count]
+        return self.former.list_ranked(slot)[: self.holder_count]
 
-    def list_current(self, slot: int) -> tuple[str, ...]:
+    def list_current_holders(self, slot: int) -> tuple[str, ...]:
         """List the instances that hold a slot's pins now."""
-        return self.current.list_holders(slot)[: self.holder_count]
+        return self.current.list_ranked(slot)[: self.holder_count]
 
 
 class MemberView:
@@ -57,15 +57,15 @@
         self._settings = settings
         self._holder_count = 1 + settings.replica_count
         self._membership = member.EMPTY
-        self._lost: set[str] = set()
+        self._disconnected: set[str] = set()
         self._reachable: set[str] = set()
         self._joined_at: dict[str, float] = {}
-        self._done_at: dict[tuple[str, int], float] = {}
-        self._alike_at: dict[tuple[str, int], float] = {}
-        self._base: _ranking.Ranking | None = None
-        self._consulted: dict[int, dict[str, float]] = {}
+        self._handover_done_at: dict[tuple[str, int], float] = {}
+        self._synced_at: dict[tuple[str, int], float] = {}
+        self._ranking_before_stop: _ranking.Ranking | None = None
+        self._pending_handovers: dict[int, dict[str, float]] = {}
         self.is_stopping = False
-        self._is_informed = False
+        self._has_warmed_up = False
         self._started_at: float | None = None
 
     @property
@@ -90,52 +90,52 @@
             if each.name in former
             and former[each.name].incarnation != each.incarnation
         }
-        return self._rank(now, restarted)
+        return self._update_ranking(now, restarted)
 
-    def lose(self, now: float, peer: str) -> RankingChange | None:
+    def mark_disconnected(self, now: float, peer: str) -> RankingChange | None:
         """Note that there is no stream to a peer.
 
         :param now: the time.
         :param peer: its name.
         :returns: the change, or None if it owned nothing.
         """
-        self._lost.add(peer)
-        return self._rank(now, set())
+        self._disconnected.add(peer)
+        return self._update_ranking(now, set())
 
-    def regain(self, now: float, peer: str) -> RankingChange | None:
+    def mark_connected(self, now: float, peer: str) -> RankingChange | None:
         """Note that there is a stream to a peer again.
 
         :param now: the time.
         :param peer: its name.
         :returns: the change, or None if it had not been lost.
         """
-        self._lost.discard(peer)
-        return self._rank(now, set())
+        self._disconnected.discard(peer)
+        return self._update_ranking(now, set())
 
-    def stop(self, now: float) -> RankingChange | None:
+    def begin_stop(self, now: float) -> RankingChange | None:
         """Stop owning pins here.
 
         :param now: the time.
         :returns: the change.
         """
         self.is_stopping = True
-        self._base = self.ranking
-        return self._rank(now, set())
+        self._ranking_before_stop = self.ranking
+        return self._update_ranking(now, set())
 
     def list_holders(self, slot: int) -> tuple[str, ...]:
         """List a slot's home and replicas."""
-        return self.ranking.list_holders(slot)[: self._holder_count]
+        return self.ranking.list_ranked(slot)[: self._holder_count]
 
     def find_home(self, slot: int) -> str:
         """Name a slot's home; empty while there is none."""
-        holders = self.ranking.list_holders(slot)
+        holders = self.ranking.list_ranked(slot)
         return holders[0] if holders else ''
 
-    def is_settled(self, slot: int) -> bool:
+    def has_all_handovers(self, slot: int) -> bool:
         """Tell whether nobody else may know more of a slot's flows."""
-        return slot not in self._consulted
+        return slot not in self._pending_handovers
 
-    def find_next(self, slot: int, visited: list[str]) -> str | None:
+    def find_next_hop(self, slot: int, visited: list[str]) -> str | None:
         """Name the instance to ask about an unknown flow.
 
         :param slot: the flow's slot.
@@ -144,25 +144,25 @@
         """
         if len(visited) >= self._settings.hop_limit:
             return None
-        for name in self._list_to_ask(slot):
-            if name == self.name and self._may_decide(slot):
+        for name in self._list_query_order(slot):
+            if name == self.name and self._may_place(slot):
                 return None
             if name not in visited and name in self._reachable:
                 return name
         return None
 
-    def _may_decide(self, slot: int) -> bool:
+    def _may_place(self, slot: int) -> bool:
         """Tell whether this instance would have heard of a slot's pins.
 
         One that has just started hears only of the slots that it holds.
         """
-        return self._is_informed or self.name in self.list_holders(slot)
+        return self._has_warmed_up or self.name in self.list_holders(slot)
 
-    def _list_to_ask(self, slot: int) -> list[str]:
-        consulted = self._consulted.get(slot, {})
-        return [*consulted, *self.ranking.list_holders(slot)]
+    def _list_query_order(self, slot: int) -> list[str]:
+        pending = self._pending_handovers.get(slot, {})
+        return [*pending, *self.ranking.list_ranked(slot)]
 
-    def finish_consulting(
+    def record_handover_done(
         self, now: float, peer: str, slots: list[int]
     ) -> None:
         """Note that a peer has handed on all it knew.
@@ -172,11 +172,13 @@
         :param slots: the slots that it spoke of.
         """
         for slot in slots:
-            self._done_at[peer, slot] = now
-            self._alike_at.setdefault((peer, slot), now)
-            self._stop_consulting(slot, peer)
+            self._handover_done_at[peer, slot] = now
+            self._synced_at.setdefault((peer, slot), now)
+            self._drop_pending_handover(slot, peer)
 
-    def note_handed_on(self, now: float, peer: str, slots: list[int]) -> None:
+    def record_handover_sent(
+        self, now: float, peer: str, slots: list[int]
+    ) -> None:
         """Note that a peer was sent all that is held here.
 
         :param now: the time.
@@ -184,9 +186,9 @@
         :param slots: the slots.
         """
         for slot in slots:
-            self._alike_at.setdefault((peer, slot), now)
+            self._synced_at.setdefault((peer, slot), now)
 
-    def is_informed(self, now: float, peer: str, slot: int) -> bool:
+    def has_synced(self, now: float, peer: str, slot: int) -> bool:
         """Tell whether an owner has long had what is held here.
 
         :param now: the time.
@@ -196,14 +198,14 @@
         """
         if peer not in self.ranking.names:
             return False
-        at = self._alike_at.get((peer, slot))
+        at = self._synced_at.get((peer, slot))
         if at is None:
-            at = self._joined_at.get(peer, now) + LONG_SETTLES * (
+            at = self._joined_at.get(peer, now) + SYNC_SETTLE_PERIODS * (
                 self._settings.settle_seconds
             )
         return now - at >= self._settings.propagation_seconds
 
-    def expire_consulting(self, now: float) -> None:
+    def expire_pending_handovers(self, now: float) -> None:
         """Stop waiting for peers whose time is over.
 
         :param now: the time.
@@ -211,29 +213,31 @@
         if self._started_at is None:
             self._started_at = now
         passed = now - self._started_at
-        self._is_informed = passed >= self._settings.settle_seconds
+        self._has_warmed_up = passed >= self._settings.settle_seconds
         expired = [
             (slot, peer)
-            for slot, consulted in self._consulted.items()
-            for peer, deadline in consulted.items()
+            for slot, pending in self._pending_handovers.items()
+            for peer, deadline in pending.items()
             if deadline <= now
         ]
         for slot, peer in expired:
-            self._stop_consulting(slot, peer)
+            self._drop_pending_handover(slot, peer)
         since = now - self._settings.propagation_seconds
-        self._done_at = {
-            key: at for key, at in self._done_at.items() if at > since
+        self._handover_done_at = {
+            key: at for key, at in self._handover_done_at.items() if at > since
         }
 
-    def _stop_consulting(self, slot: int, peer: str) -> None:
-        consulted = self._consulted.get(slot)
-        if consulted is None:
+    def _drop_pending_handover(self, slot: int, peer: str) -> None:
+        pending = self._pending_handovers.get(slot)
+        if pending is None:
             return
-        consulted.pop(peer, None)
-        if not consulted:
-            del self._consulted[slot]
+        pending.pop(peer, None)
+        if not pending:
+            del self._pending_handovers[slot]
 
-    def _rank(self, now: float, restarted: set[str]) -> RankingChange | None:
+    def _update_ranking(
+        self, now: float, restarted: set[str]
+    ) -> RankingChange | None:
         self._reachable = set(self._list_reachable())
         zones = self._list_zones()
         former = self.ranking
@@ -242,38 +246,40 @@
             return None
         self.ranking = former.replace(zones)
         joined = frozenset((set(zones) - former.names) | restarted)
-        gone = frozenset(former.names - set(zones))
+        departed = frozenset(former.names - set(zones))
         self._joined_at.update(dict.fromkeys(sorted(joined), now))
-        self._forget_done(gone)
+        self._prune_handovers_done(departed)
         change = RankingChange(
-            former=self._base or former,
+            former=self._ranking_before_stop or former,
             current=self.ranking,
             joined=joined,
-            gone=gone,
+            departed=departed,
             holder_count=self._holder_count,
         )
-        self._forget_alike(change)
-        self._consult_after(now, change)
+        self._prune_synced(change)
+        self._update_pending_handovers(now, change)
         return change
 
-    def _forget_done(self, peers: frozenset[str]) -> None:
-        self._done_at = {
-            key: at for key, at in self._done_at.items() if key[0] not in peers
+    def _prune_handovers_done(self, peers: frozenset[str]) -> None:
+        self._handover_done_at = {
+            key: at
+            for key, at in self._handover_done_at.items()
+            if key[0] not in peers
         }
 
-    def _forget_alike(self, change: RankingChange) -> None:
+    def _prune_synced(self, change: RankingChange) -> None:
         """Keep only what is known of those that went on holding a slot."""
-        self._alike_at = {
+        self._synced_at = {
             (peer, slot): at
-            for (peer, slot), at in self._alike_at.items()
+            for (peer, slot), at in self._synced_at.items()
             if peer not in change.joined
-            and peer in change.former.list_holders(slot)[: change.holder_count]
-            and peer in change.list_current(slot)
+            and peer in change.former.list_ranked(slot)[: change.holder_count]
+            and peer in change.list_current_holders(slot)
         }
 
     def _list_reachable(self) -> Iterator[str]:
         for each in self._membership.members.values():
-            if not each.state.is_reachable or each.name in self._lost:
+            if not each.state.is_reachable or each.name in self._disconnected:
                 continue
             if each.region != self._instance.region:
                 continue
@@ -287,45 +293,53 @@
             for name in sorted(members)
             if members[name].state.may_own
             and members[name].region == self._instance.region
-            and name not in self._lost
+            and name not in self._disconnected
             and name != self.name
         }
         if not self.is_stopping:
             zones[self.name] = self._instance.zone
         return zones
 
-    def _consult_after(self, now: float, change: RankingChange) -> None:
+    def _update_pending_handovers(
+        self, now: float, change: RankingChange
+    ) -> None:
         for slot in range(_ranking.SLOT_COUNT):
-            if self.name in change.list_current(slot):
-                self._consult(now, slot, change)
+            if self.name in change.list_current_holders(slot):
+                self._update_pending_handover(now, slot, change)
             else:
-                self._consulted.pop(slot, None)
-
-    def _consult(self, now: float, slot: int, change: RankingChange) -> None:
-        order = change.current.list_holders(slot)
-        former = change.list_former(slot)
-        waiting = self._consulted.get(slot, {})
-        wanted = {name for name in order if name in change.joined}
-        if any(name in change.gone for name in waiting):
-            wanted.update(order)
+                self._pending_handovers.pop(slot, None)
+
+    def _update_pending_handover(
+        self, now: float, slot: int, change: RankingChange
+    ) -> None:
+        ranked = change.current.list_ranked(slot)
+        former = change.list_former_holders(slot)
+        pending = self._pending_handovers.get(slot, {})
+        expected = {name for name in ranked if name in change.joined}
+        if any(name in change.departed for name in pending):
+            expected.update(ranked)
         if self.name not in former:
-            wanted.update(former)
+            expected.update(former)
         deadline = now + self._settings.settle_seconds
-        kept = {
-            name: waiting.get(name, deadline)
-            for name in dict.fromkeys((*order, *former, *waiting))
-            if self._is_worth_asking(slot, name, name in wanted, waiting)
+        awaited = {
+            name: pending.get(name, deadline)
+            for name in dict.fromkeys((*ranked, *former, *pending))
+            if self._should_wait_for(slot, name, name in expected, pending)
         }
-        if kept:
-            self._consulted[slot] = kept
+        if awaited:
+            self._pending_handovers[slot] = awaited
         else:
-            self._consulted.pop(slot, None)
+            self._pending_handovers.pop(slot, None)
 
-    def _is_worth_asking(
-        self, slot: int, name: str, is_wanted: bool, waiting: dict[str, float]
+    def _should_wait_for(
+        self,
+        slot: int,
+        name: str,
+        is_expected: bool,
+        pending: dict[str, float],
     ) -> bool:
         if name not in self._reachable:
             return False
-        if name in waiting:
+        if name in pending:
             return True
-        return is_wanted and (name, slot) not in self._done_at
+        return is_expected and (name, slot) not in self._handover_done_at
--- a/skylarkfold/flows/_messages.py
+++ b/skylarkfold/flows/_messages.py
@@ -50,14 +50,14 @@
     flows: list[int]
 
 
-class PinNote(message.PeerMessage, tag=2):
+class PinUpdate(message.PeerMessage, tag=2):
     """Flows that the sender pinned or holds pins of."""
 
     service: str
     groups: list[PinGroup]
 
 
-class HandOnDone(message.PeerMessage, tag=3):
+class HandoverDone(message.PeerMessage, tag=3):
     """The sender has handed on all pins that it held in some slots.
 
     :param slots: a bit for each slot, the lowest first.
@@ -93,14 +93,14 @@
     groups: list[PinGroup]
 
 
-class TableInForce(message.PeerMessage, tag=5):
+class TableApplied(message.PeerMessage, tag=5):
     """The version of a service's table in force on the sender."""
 
     service: str
     version: int
 
 
-class BucketsSettled(message.PeerMessage, tag=6):
+class BucketsMigrated(message.PeerMessage, tag=6):
     """All flows of these buckets are on their target, says their home.
 
     :param service: the service's name.
@@ -139,11 +139,11 @@
 
 MESSAGES = (
     Redirect
-    | PinNote
-    | HandOnDone
+    | PinUpdate
+    | HandoverDone
     | FlowAnswer
-    | TableInForce
-    | BucketsSettled
+    | TableApplied
+    | BucketsMigrated
     | UpstreamHealth
     | PreparationDone
 )
--- a/skylarkfold/flows/_packet.py
+++ b/skylarkfold/flows/_packet.py
@@ -41,7 +41,7 @@
     home: str = ''
 
 
-def read_redirect(redirect: _messages.Redirect) -> Packet:
+def unpack_redirect(redirect: _messages.Redirect) -> Packet:
     """Unpack a datagram that another instance passed on.
 
     :param redirect: the message.
--- a/skylarkfold/flows/_hold.py
+++ b/skylarkfold/flows/_packet_buffer.py
@@ -8,7 +8,7 @@
 from skylarkfold.flows import _settings
 
 
-class HeldPackets:
+class PacketBuffer:
     """Datagrams held in order, bounded by count, bytes and age.
 
     :param settings: the flow settings.
@@ -16,13 +16,13 @@
 
     def __init__(self, settings: _settings.FlowSettings) -> None:
         self._settings = settings
-        self._waiting: collections.deque[tuple[float, _packet.Packet]] = (
+        self._buffered: collections.deque[tuple[float, _packet.Packet]] = (
             collections.deque()
         )
-        self._bytes = 0
+        self._buffered_bytes = 0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._buffered)
 
     def add(self, now: float, packet: _packet.Packet) -> bool:
         """Hold a datagram.
@@ -32,19 +32,19 @@
         :returns: whether there was room.
         """
         size = len(packet.payload)
-        if len(self._waiting) >= self._settings.hold_count:
+        if len(self._buffered) >= self._settings.hold_count:
             return False
-        if self._bytes + size > self._settings.hold_bytes:
+        if self._buffered_bytes + size > self._settings.hold_bytes:
             return False
-        self._waiting.append((now + self._settings.hold_seconds, packet))
-        self._bytes += size
+        self._buffered.append((now + self._settings.hold_seconds, packet))
+        self._buffered_bytes += size
         return True
 
-    def release(self) -> list[_packet.Packet]:
+    def take_all(self) -> list[_packet.Packet]:
         """Take out all datagrams, for there is news."""
-        packets = [packet for _, packet in self._waiting]
-        self._waiting.clear()
-        self._bytes = 0
+        packets = [packet for _, packet in self._buffered]
+        self._buffered.clear()
+        self._buffered_bytes = 0
         return packets
 
     def expire(self, now: float) -> list[_packet.Packet]:
@@ -54,8 +54,8 @@
         :returns: the datagrams, to be dropped.
         """
         expired = []
-        while self._waiting and self._waiting[0][0] <= now:
-            packet = self._waiting.popleft()[1]
-            self._bytes -= len(packet.payload)
+        while self._buffered and self._buffered[0][0] <= now:
+            packet = self._buffered.popleft()[1]
+            self._buffered_bytes -= len(packet.payload)
             expired.append(packet)
         return expired
--- a/skylarkfold/flows/_upkeep.py
+++ b/skylarkfold/flows/_pin_maintenance.py
@@ -7,10 +7,10 @@
 
 from skylarkfold.flows import _members
 from skylarkfold.flows import _messages
-from skylarkfold.flows import _notes
 from skylarkfold.flows import _pins
 from skylarkfold.flows import _proposer
 from skylarkfold.flows import _router
+from skylarkfold.flows import _send_queues
 from skylarkfold.flows import _settings
 from skylarkfold.flows import _state
 from skylarkfold.flows import _table
@@ -19,17 +19,23 @@
 
 
 class _Timers:
-    __slots__ = ('cache_at', 'check_at', 'home_at', 'passed_on_at', 'round')
+    __slots__ = (
+        'next_cache_rotation',
+        'next_check',
+        'next_home_rotation',
+        'next_redirect_reset',
+        'rotation',
+    )
 
     def __init__(self) -> None:
-        self.home_at = 0.0
-        self.cache_at = 0.0
-        self.passed_on_at = 0.0
-        self.check_at = 0.0
-        self.round = 0
+        self.next_home_rotation = 0.0
+        self.next_cache_rotation = 0.0
+        self.next_redirect_reset = 0.0
+        self.next_check = 0.0
+        self.rotation = 0
 
 
-class Upkeep:
+class PinMaintenance:
     """Expires, refreshes and merges pins, and finds settled buckets.
 
     :param settings: the flow settings.
@@ -43,20 +49,20 @@
         settings: _settings.FlowSettings,
         members: _members.MemberView,
         proposer: _proposer.Proposer,
-        queue: _notes.BulkQueue,
+        queue: _send_queues.BulkQueue,
     ) -> None:
-        self.is_full = False
-        self.has_rotated_firsts = False
+        self.is_pin_limit_reached = False
+        self.must_rotate_firsts = False
         self._settings = settings
         self._members = members
         self._queue = queue
         self._timers: dict[str, _Timers] = {}
-        self._firsts_at = 0.0
+        self._next_firsts_rotation = 0.0
         self._now = 0.0
 
-    def run(
+    def run_due(
         self, now: float, states: list[_state.ServiceState]
-    ) -> Iterator[tuple[str, _messages.BucketsSettled]]:
+    ) -> Iterator[tuple[str, _messages.BucketsMigrated]]:
         """Do what is due.
 
         :param now: the time.
@@ -64,30 +70,30 @@
         :returns: for services with settled buckets, what to report.
         """
         self._now = now
-        self.has_rotated_firsts = now >= self._firsts_at
-        if self.has_rotated_firsts:
-            self._firsts_at = now + _router.FIRST_PERIOD_SECONDS
+        self.must_rotate_firsts = now >= self._next_firsts_rotation
+        if self.must_rotate_firsts:
+            self._next_firsts_rotation = now + _router.RECENT_FIRSTS_SECONDS
             kept = sum(state.count_pins() for state in states)
-            self.is_full = kept >= self._settings.flow_limit
+            self.is_pin_limit_reached = kept >= self._settings.flow_limit
         for state in states:
-            yield from self._run_service(now, state)
+            yield from self._maintain_service(now, state)
 
-    def find_own(self, state: _state.ServiceState) -> None:
+    def update_home_pins(self, state: _state.ServiceState) -> None:
         """Find the buckets whose home this instance is.
 
         :param state: the service.
         """
         name = self._members.name
-        own = {}
+        home_pins = {}
         for bucket in state.list_open():
             if self._members.find_home(state.find_slot(bucket)) != name:
                 state.home_since.pop(bucket, None)
                 continue
-            own[bucket] = state.pins.setdefault(bucket, _pins.PinSet())
+            home_pins[bucket] = state.pins.setdefault(bucket, _pins.PinSet())
             state.home_since.setdefault(bucket, self._now)
-        state.own = own
+        state.home_pins = home_pins
 
-    def merge(
+    def merge_pins(
         self,
         state: _state.ServiceState,
         sender: str,
@@ -126,41 +132,47 @@
             pins.put(flow, index)
 
     def _outranks(self, slot: int, sender: str) -> bool:
-        order = self._members.ranking.list_holders(slot)
+        ranked = self._members.ranking.list_ranked(slot)
         name = self._members.name
-        if sender not in order:
+        if sender not in ranked:
             return False
-        return name not in order or order.index(sender) < order.index(name)
+        return name not in ranked or ranked.index(sender) < ranked.index(name)
 
-    def _run_service(
+    def _maintain_service(
         self, now: float, state: _state.ServiceState
-    ) -> Iterator[tuple[str, _messages.BucketsSettled]]:
+    ) -> Iterator[tuple[str, _messages.BucketsMigrated]]:
         timers = self._timers.setdefault(state.name, _Timers())
         idle = state.service.flow_idle_seconds
-        if now >= timers.home_at:
-            timers.home_at = now + idle * _state.HOME_PERIOD_IDLES
-            timers.round += 1
-            self._rotate(state, timers.round)
-        if now >= timers.cache_at:
-            timers.cache_at = now + idle * _state.CACHE_PERIOD_IDLES
+        if now >= timers.next_home_rotation:
+            timers.next_home_rotation = (
+                now + idle * _state.HOME_PERIOD_IDLE_FACTOR
+            )
+            timers.rotation += 1
+            self._rotate(state, timers.rotation)
+        if now >= timers.next_cache_rotation:
+            timers.next_cache_rotation = (
+                now + idle * _state.CACHE_PERIOD_IDLE_FACTOR
+            )
             state.cache.rotate()
-        if now >= timers.passed_on_at:
-            timers.passed_on_at = now + self._settings.cache_request_seconds
-            state.passed_on.clear()
-        if now >= timers.check_at:
-            timers.check_at = now + CHECK_SECONDS
-            yield from self._report_settled(now, state)
-
-    def _rotate(self, state: _state.ServiceState, round_number: int) -> None:
+        if now >= timers.next_redirect_reset:
+            timers.next_redirect_reset = (
+                now + self._settings.cache_request_seconds
+            )
+            state.redirect_counts.clear()
+        if now >= timers.next_check:
+            timers.next_check = now + CHECK_SECONDS
+            yield from self._report_migrated(now, state)
+
+    def _rotate(self, state: _state.ServiceState, rotation: int) -> None:
         for bucket, pins in [*state.pins.items()]:
-            is_own = bucket in state.own
-            if not is_own and round_number % _state.REPLICA_ROUNDS:
+            is_home = bucket in state.home_pins
+            if not is_home and rotation % _state.REPLICA_PERIOD_ROTATIONS:
                 continue
             self._count_expired(state, pins.rotate())
-            if not is_own and not pins:
+            if not is_home and not pins:
                 del state.pins[bucket]
-            turn = (round_number + bucket) % _state.REFRESH_ROUNDS
-            if is_own and turn == 0:
+            turn = (rotation + bucket) % _state.REFRESH_PERIOD_ROTATIONS
+            if is_home and turn == 0:
                 self._refresh(state, bucket, pins)
 
     def _count_expired(
@@ -180,22 +192,24 @@
             if pinned and holder != self._members.name:
                 self._queue.add_pins(holder, state.name, pinned)
 
-    def _report_settled(
+    def _report_migrated(
         self, now: float, state: _state.ServiceState
-    ) -> Iterator[tuple[str, _messages.BucketsSettled]]:
-        watch = state.service.flow_idle_seconds * _state.HOME_PERIOD_IDLES
+    ) -> Iterator[tuple[str, _messages.BucketsMigrated]]:
+        watch_seconds = (
+            state.service.flow_idle_seconds * _state.HOME_PERIOD_IDLE_FACTOR
+        )
         buckets = [
             bucket
-            for bucket, pins in state.own.items()
-            if self._is_settled(now - watch, state, bucket, pins)
+            for bucket, pins in state.home_pins.items()
+            if self._is_migrated(now - watch_seconds, state, bucket, pins)
         ]
         if buckets:
-            message = _messages.BucketsSettled(
+            message = _messages.BucketsMigrated(
                 state.name, state.version, buckets
             )
             yield state.name, message
 
-    def _is_settled(
+    def _is_migrated(
         self,
         since: float,
         state: _state.ServiceState,
@@ -203,7 +217,7 @@
         pins: _pins.PinSet,
     ) -> bool:
         target = state.table.targets[bucket]
-        if target == _table.FREE:
+        if target == _table.BY_LOAD:
             return False
         if state.table.states[bucket] != _table.BucketState.OPEN:
             return False
@@ -211,6 +225,6 @@
             return False
         if state.home_since.get(bucket, since + 1) > since:
             return False
-        if not self._members.is_settled(state.find_slot(bucket)):
+        if not self._members.has_all_handovers(state.find_slot(bucket)):
             return False
         return pins.list_upstreams() <= {target}
--- a/skylarkfold/flows/_pins.py
+++ b/skylarkfold/flows/_pins.py
@@ -77,8 +77,8 @@
 
         :param upstreams: their indexes.
         """
-        self._young = _leave_out(self._young, upstreams)
-        self._old = _leave_out(self._old, upstreams)
+        self._young = _exclude_upstreams(self._young, upstreams)
+        self._old = _exclude_upstreams(self._old, upstreams)
 
     def clear(self) -> None:
         """Forget all flows."""
@@ -86,7 +86,9 @@
         self._old = {}
 
 
-def _leave_out(flows: dict[int, int], upstreams: set[int]) -> dict[int, int]:
+def _exclude_upstreams(
+    flows: dict[int, int], upstreams: set[int]
+) -> dict[int, int]:
     return {
         flow: upstream
         for flow, upstream in flows.items()
--- a/skylarkfold/flows/_placement.py
+++ b/skylarkfold/flows/_placement.py
@@ -14,7 +14,7 @@
     settings: _settings.FlowSettings,
     zone: str,
     owner_count: int,
-    favourite: str = '',
+    preferred: str = '',
 ) -> service_module.Upstream | None:
     """Choose the upstream of a new flow by load.
 
@@ -40,7 +40,7 @@
     return min(
         best,
         key=lambda each: (
-            each.name != favourite,
+            each.name != preferred,
             each.zone != zone,
             ratios[each.name],
             each.name,
--- a/skylarkfold/flows/_plan.py
+++ b/skylarkfold/flows/_plan.py
@@ -14,12 +14,12 @@
 from skylarkfold import service as service_module
 
 CLOSED = int(_table.BucketState.CLOSED)
-PREPARE = int(_table.BucketState.PREPARE)
+PREPARING = int(_table.BucketState.PREPARING)
 OPEN = int(_table.BucketState.OPEN)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Situation:
+class PlanInput:
     """What a table has to answer to.
 
     :param service: the service as configured.
@@ -34,14 +34,14 @@
     service: service_module.Service
     dead: frozenset[str] = frozenset()
     prepared: frozenset[int] = frozenset()
-    emptied: frozenset[int] = frozenset()
+    migrated: frozenset[int] = frozenset()
     settled: frozenset[int] = frozenset()
-    free_count: int | None = None
+    balanced_count: int | None = None
 
 
 def plan_table(
     table: _table.BucketTable,
-    situation: Situation,
+    plan_input: PlanInput,
     settings: _settings.FlowSettings,
 ) -> _table.BucketTable | None:
     """Work out the table that should follow.
@@ -51,23 +51,23 @@
     :param settings: the flow settings.
     :returns: the next table, or None if this one can stay.
     """
-    edit = _Edit(table, situation, settings)
+    edit = _TableEdit(table, plan_input, settings)
     edit.apply()
     planned = edit.build()
     return None if planned == table else planned
 
 
-class _Edit:
+class _TableEdit:
     """A table under change; each method is one step."""
 
     def __init__(
         self,
         table: _table.BucketTable,
-        situation: Situation,
+        plan_input: PlanInput,
         settings: _settings.FlowSettings,
     ) -> None:
-        self._service = situation.service
-        self._situation = situation
+        self._service = plan_input.service
+        self._input = plan_input
         self._settings = settings
         self._upstreams = list(table.upstreams)
         self._states = list(table.states)
@@ -76,7 +76,7 @@
         self._serial = table.serial
         self._dead: list[int] = []
         self._indexes: dict[str, int] = {}
-        self._missing: dict[int, int] = {}
+        self._deficits: dict[int, int] = {}
 
     def build(self) -> _table.BucketTable:
         """Give the changed table."""
@@ -93,13 +93,13 @@
         """Take all steps in order."""
         self._add_upstreams()
         self._mark_dead()
-        self._close_settled()
-        self._commit_prepared()
-        self._adjust_free()
-        self._count_missing()
-        self._release_dead()
-        self._leave_ineligible()
-        self._even_out()
+        self._close_migrated()
+        self._open_prepared()
+        self._adjust_balanced()
+        self._compute_deficits()
+        self._reassign_dead()
+        self._move_off_ineligible()
+        self._rebalance()
 
     def _add_upstreams(self) -> None:
         positions = {
@@ -119,45 +119,45 @@
         self._dead = [
             index
             for index, upstream in enumerate(self._upstreams)
-            if upstream.name in self._situation.dead
+            if upstream.name in self._input.dead
         ]
 
-    def _close_settled(self) -> None:
+    def _close_migrated(self) -> None:
         """Close buckets in two steps.
 
         First flows without a pin go to the target as well, so that no
         home puts one elsewhere. Once that is in force everywhere and the
         home still finds all flows on the target, the bucket closes.
         """
-        for bucket in sorted(self._situation.emptied):
+        for bucket in sorted(self._input.migrated):
             target = self._targets[bucket]
-            if self._states[bucket] != OPEN or target == _table.FREE:
+            if self._states[bucket] != OPEN or target == _table.BY_LOAD:
                 continue
             if self._unpinned[bucket] != target:
                 self._unpinned[bucket] = target
-            elif bucket in self._situation.settled:
+            elif bucket in self._input.settled:
                 self._states[bucket] = CLOSED
 
-    def _commit_prepared(self) -> None:
-        for bucket in sorted(self._situation.prepared):
-            if self._states[bucket] == PREPARE:
+    def _open_prepared(self) -> None:
+        for bucket in sorted(self._input.prepared):
+            if self._states[bucket] == PREPARING:
                 self._states[bucket] = OPEN
 
-    def _adjust_free(self) -> None:
-        wanted = self._situation.free_count
+    def _adjust_balanced(self) -> None:
+        wanted = self._input.balanced_count
         if wanted is None:
-            wanted = _table.count_free(self._service, self._settings)
-        free = [
+            wanted = _table.count_balanced(self._service, self._settings)
+        balanced = [
             bucket
             for bucket, target in enumerate(self._targets)
-            if target == _table.FREE and self._states[bucket] != CLOSED
+            if target == _table.BY_LOAD and self._states[bucket] != CLOSED
         ]
-        if wanted > len(free):
-            self._open_freely(wanted - len(free))
-        for bucket in free[wanted:] if wanted < len(free) else []:
+        if wanted > len(balanced):
+            self._open_balanced(wanted - len(balanced))
+        for bucket in balanced[wanted:] if wanted < len(balanced) else []:
             self._targets[bucket] = self._unpinned[bucket]
 
-    def _open_freely(self, count: int) -> None:
+    def _open_balanced(self, count: int) -> None:
         closed = [
             bucket
             for bucket, state in enumerate(self._states)
@@ -165,92 +165,92 @@
         ]
         count = min(count, len(closed))
         for position in _table.spread_evenly(count, len(closed)):
-            self._states[closed[position]] = PREPARE
-            self._targets[closed[position]] = _table.FREE
+            self._states[closed[position]] = PREPARING
+            self._targets[closed[position]] = _table.BY_LOAD
 
-    def _count_missing(self) -> None:
-        eligible = _table.list_eligible(self._service, self._situation.dead)
+    def _compute_deficits(self) -> None:
+        eligible = _table.list_eligible(self._service, self._input.dead)
         weights = {each.name: each.weight for each in eligible}
-        bound = list(self._list_bound())
+        assigned = list(self._list_assigned())
         if not weights:
             return
-        shares = _table.apportion(weights, len(bound))
-        self._missing = {
+        shares = _table.apportion(weights, len(assigned))
+        self._deficits = {
             self._indexes[name]: share for name, share in shares.items()
         }
-        for bucket in bound:
+        for bucket in assigned:
             owner = self._targets[bucket]
-            if owner in self._missing:
-                self._missing[owner] -= 1
+            if owner in self._deficits:
+                self._deficits[owner] -= 1
 
-    def _list_bound(self) -> Iterator[int]:
+    def _list_assigned(self) -> Iterator[int]:
         for bucket, target in enumerate(self._targets):
-            if target != _table.FREE or self._states[bucket] == CLOSED:
+            if target != _table.BY_LOAD or self._states[bucket] == CLOSED:
                 yield bucket
 
-    def _release_dead(self) -> None:
+    def _reassign_dead(self) -> None:
         dead = {*self._dead, _table.NO_UPSTREAM}
         for bucket, owner in enumerate(self._unpinned):
-            if owner in dead and self._missing:
-                self._release(bucket, dead)
+            if owner in dead and self._deficits:
+                self._reassign(bucket, dead)
 
-    def _release(self, bucket: int, dead: set[int]) -> None:
+    def _reassign(self, bucket: int, dead: set[int]) -> None:
         target = self._targets[bucket]
         if self._states[bucket] == CLOSED:
-            self._unpinned[bucket] = self._take_missing()
+            self._unpinned[bucket] = self._take_largest_deficit()
             self._targets[bucket] = self._unpinned[bucket]
-        elif target == _table.FREE:
-            self._unpinned[bucket] = self._find_most_missing()
+        elif target == _table.BY_LOAD:
+            self._unpinned[bucket] = self._find_largest_deficit()
         elif target in dead:
-            self._targets[bucket] = self._take_missing()
+            self._targets[bucket] = self._take_largest_deficit()
             self._unpinned[bucket] = self._targets[bucket]
         else:
             self._unpinned[bucket] = target
 
-    def _leave_ineligible(self) -> None:
-        for bucket in list(self._list_bound()):
-            if self._missing and self._targets[bucket] not in self._missing:
-                self._move(bucket, self._take_missing())
+    def _move_off_ineligible(self) -> None:
+        for bucket in list(self._list_assigned()):
+            if self._deficits and self._targets[bucket] not in self._deficits:
+                self._move(bucket, self._take_largest_deficit())
 
-    def _even_out(self) -> None:
-        allowance = self._count_allowance()
-        for bucket in self._order_for_moves():
+    def _rebalance(self) -> None:
+        allowed = self._count_allowed_moves()
+        for bucket in self._list_move_order():
             owner = self._targets[bucket]
-            if self._missing.get(owner, 0) >= 0:
+            if self._deficits.get(owner, 0) >= 0:
                 continue
             if self._states[bucket] == CLOSED:
-                if allowance <= 0:
+                if allowed <= 0:
                     return
-                allowance -= 1
-            self._missing[owner] += 1
-            self._move(bucket, self._take_missing())
+                allowed -= 1
+            self._deficits[owner] += 1
+            self._move(bucket, self._take_largest_deficit())
 
-    def _order_for_moves(self) -> list[int]:
+    def _list_move_order(self) -> list[int]:
         return sorted(
-            self._list_bound(),
+            self._list_assigned(),
             key=lambda bucket: self._states[bucket] == CLOSED,
         )
 
-    def _count_allowance(self) -> int:
+    def _count_allowed_moves(self) -> int:
         share = self._settings.continuity_open_share
         if self._service.preference is service_module.Preference.BALANCE:
             share = self._settings.balance_open_share
         moving = sum(
-            self._states[bucket] != CLOSED for bucket in self._list_bound()
+            self._states[bucket] != CLOSED for bucket in self._list_assigned()
         )
         return int(share * len(self._states)) - moving
 
-    def _take_missing(self) -> int:
-        index = self._find_most_missing()
-        self._missing[index] -= 1
+    def _take_largest_deficit(self) -> int:
+        index = self._find_largest_deficit()
+        self._deficits[index] -= 1
         return index
 
-    def _find_most_missing(self) -> int:
+    def _find_largest_deficit(self) -> int:
         return max(
-            self._missing, key=lambda each: (self._missing[each], -each)
+            self._deficits, key=lambda each: (self._deficits[each], -each)
         )
 
     def _move(self, bucket: int, target: int) -> None:
         self._targets[bucket] = target
         if self._states[bucket] == CLOSED:
-            self._states[bucket] = PREPARE
+            self._states[bucket] = PREPARING
--- a/skylarkfold/flows/_proposer.py
+++ b/skylarkfold/flows/_proposer.py
@@ -9,7 +9,7 @@
 
 from skylarkfold import effect
 from skylarkfold import event
-from skylarkfold.flows import _free_count
+from skylarkfold.flows import _balanced_buckets
 from skylarkfold.flows import _health
 from skylarkfold.flows import _members
 from skylarkfold.flows import _plan
@@ -21,29 +21,29 @@
 
 MAXIMUM_BACKOFF_SECONDS = 30.0
 WRITE_TIMEOUT_SECONDS = 60.0
-PROPOSERS = 3
-REPORT_SECONDS = 6.0
+PROPOSER_COUNT = 3
+REPORT_LIFETIME_SECONDS = 6.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Proposal:
+class _ProposalState:
     """One service's proposing, as it stands on this instance."""
 
     due_since: float | None = None
-    next_at: float = 0.0
+    next_attempt_at: float = 0.0
     writing_until: float = 0.0
-    pending: _table.BucketTable | None = None
+    pending_table: _table.BucketTable | None = None
     failures: int = 0
-    nothing_due: tuple[int, _plan.Situation] | None = None
+    unchanged_for: tuple[int, _plan.PlanInput] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Report:
+class _MigrationReport:
     """A home's word that all flows of a bucket are on its target."""
 
     version: int
-    at: float
-    is_in_force: bool
+    received_at: float
+    is_applied: bool
 
 
 class Proposer:
@@ -62,19 +62,23 @@
     ) -> None:
         self._members = members
         self._settings = settings
-        self._proposals: dict[str, _Proposal] = {}
-        self._confirmed: dict[str, dict[str, int]] = {}
-        self._settled: dict[str, dict[int, _Report]] = {}
-        self._ranks: dict[str, list[str]] = {}
+        self._proposals: dict[str, _ProposalState] = {}
+        self._applied_versions: dict[str, dict[str, int]] = {}
+        self._migration_reports: dict[str, dict[int, _MigrationReport]] = {}
+        self._proposers: dict[str, list[str]] = {}
         self.health = _health.HealthView(settings)
 
-    def forget_ranks(self) -> None:
+    def clear_proposers(self) -> None:
         """Work out anew who is in charge, for the members changed."""
-        self._ranks.clear()
+        self._proposers.clear()
 
-    def forget_service(self, name: str) -> None:
+    def remove_service(self, name: str) -> None:
         """Drop what is kept of a service that is gone."""
-        for kept in (self._proposals, self._confirmed, self._settled):
+        for kept in (
+            self._proposals,
+            self._applied_versions,
+            self._migration_reports,
+        ):
             kept.pop(name, None)
 
     def list_proposers(self, service_name: str) -> list[str]:
@@ -83,16 +87,20 @@
         :param service_name: the service's name.
         :returns: instance names, the first in charge first.
         """
-        ranks = self._ranks.get(service_name)
-        if ranks is None:
+        proposers = self._proposers.get(service_name)
+        if proposers is None:
             names = sorted(self._members.ranking.names)
-            ranks = _ranking.rank_names(f'table|{service_name}', names)
-            ranks = self._ranks[service_name] = ranks[:PROPOSERS]
-        return ranks
-
-    def confirm(self, peer: str, service_name: str, version: int) -> None:
+            proposers = _ranking.rank_names(f'table|{service_name}', names)
+            proposers = self._proposers[service_name] = proposers[
+                :PROPOSER_COUNT
+            ]
+        return proposers
+
+    def record_applied_version(
+        self, peer: str, service_name: str, version: int
+    ) -> None:
         """Note which table version is in force on an instance."""
-        versions = self._confirmed.setdefault(service_name, {})
+        versions = self._applied_versions.setdefault(service_name, {})
         versions[peer] = max(version, versions.get(peer, 0))
 
     def find_prepared_version(
@@ -105,19 +113,19 @@
         :returns: the table version, 0 for none; only from the instance
             that is the first in charge.
         """
-        if not state.prepared:
+        if not state.preparing_since:
             return 0
         if self.list_proposers(state.name)[:1] != [self._members.name]:
             return 0
-        confirmed = self._find_confirmed(state)
+        common_version = self._find_common_version(state)
         versions = [
             since[0]
-            for since in state.prepared.values()
-            if self._is_in_force(now, since, confirmed)
+            for since in state.preparing_since.values()
+            if self._is_applied_everywhere(now, since, common_version)
         ]
         return max(versions, default=0)
 
-    def settle(
+    def record_migrated(
         self,
         now: float,
         state: _state.ServiceState,
@@ -131,12 +139,14 @@
         :param version: of the table that the home went by.
         :param buckets: the buckets.
         """
-        settled = self._settled.setdefault(state.name, {})
-        confirmed = self._find_confirmed(state)
+        reports = self._migration_reports.setdefault(state.name, {})
+        common_version = self._find_common_version(state)
         for bucket in buckets:
-            since = state.changed.get(bucket, (0, 0.0))
-            is_in_force = self._is_in_force(now, since, confirmed)
-            settled[bucket] = _Report(version, now, is_in_force)
+            since = state.changed_since.get(bucket, (0, 0.0))
+            is_applied = self._is_applied_everywhere(
+                now, since, common_version
+            )
+            reports[bucket] = _MigrationReport(version, now, is_applied)
 
     def propose(self, now: float, state: _state.ServiceState) -> list[object]:
         """Propose the next table of a service, if it is due.
@@ -148,10 +158,10 @@
         proposers = self.list_proposers(state.name)
         if self._members.name not in proposers:
             return []
-        proposal = self._proposals.setdefault(state.name, _Proposal())
-        if now < proposal.next_at or now < proposal.writing_until:
+        proposal = self._proposals.setdefault(state.name, _ProposalState())
+        if now < proposal.next_attempt_at or now < proposal.writing_until:
             return []
-        proposal.next_at = now + self._settings.proposal_seconds
+        proposal.next_attempt_at = now + self._settings.proposal_seconds
         planned = self._plan(now, state, proposal)
         if planned is None:
             proposal.due_since = None
@@ -164,7 +174,7 @@
             return []
         return self._write(now, state, proposal, planned)
 
-    def end_write(
+    def finish_write(
         self, now: float, state: _state.ServiceState, ended: event.WriteEnded
     ) -> platform_api.StoredObject | None:
         """Take the outcome of a write of this instance.
@@ -174,76 +184,78 @@
         :param ended: the outcome.
         :returns: the object that is now known to be stored, if any.
         """
-        proposal = self._proposals.setdefault(state.name, _Proposal())
-        pending = proposal.pending
-        proposal.pending = None
+        proposal = self._proposals.setdefault(state.name, _ProposalState())
+        pending_table = proposal.pending_table
+        proposal.pending_table = None
         proposal.writing_until = 0.0
         proposal.due_since = None
         if ended.status is platform_api.PlatformStatus.OK:
             proposal.failures = 0
-            return ended.current or _build_stored(state, pending)
+            return ended.current or _build_stored(state, pending_table)
         if ended.status is platform_api.PlatformStatus.CONFLICT:
             proposal.failures = 0
             return ended.current
         proposal.failures += 1
         backoff = min(MAXIMUM_BACKOFF_SECONDS, 2.0**proposal.failures)
-        proposal.next_at = now + backoff
+        proposal.next_attempt_at = now + backoff
         return None
 
     def _plan(
         self,
         now: float,
         state: _state.ServiceState,
-        proposal: _Proposal,
+        proposal: _ProposalState,
     ) -> _table.BucketTable | None:
-        if state.is_provisional or state.is_lost:
+        if state.is_provisional or state.is_missing_in_store:
             return state.table
-        situation = _plan.Situation(
+        plan_input = _plan.PlanInput(
             service=state.service,
             dead=self.health.find_dead(
                 now, state.service, self._members.ranking.names
             ),
             prepared=self._find_prepared(now, state),
-            emptied=self._find_emptied(now, state),
+            migrated=self._find_migrated(now, state),
             settled=self._find_settled(now, state),
-            free_count=_free_count.find(now, state, self._settings),
+            balanced_count=_balanced_buckets.compute_count(
+                now, state, self._settings
+            ),
         )
-        known = (state.version, situation)
-        if proposal.nothing_due == known:
+        known = (state.version, plan_input)
+        if proposal.unchanged_for == known:
             return None
-        planned = _plan.plan_table(state.table, situation, self._settings)
-        proposal.nothing_due = known if planned is None else None
+        planned = _plan.plan_table(state.table, plan_input, self._settings)
+        proposal.unchanged_for = known if planned is None else None
         return planned
 
     def _find_prepared(
         self, now: float, state: _state.ServiceState
     ) -> frozenset[int]:
-        confirmed = self._find_confirmed(state)
+        common_version = self._find_common_version(state)
         return frozenset(
             bucket
-            for bucket, since in state.prepared.items()
-            if self._is_in_force(now, since, confirmed)
+            for bucket, since in state.preparing_since.items()
+            if self._is_applied_everywhere(now, since, common_version)
         )
 
-    def _is_in_force(
-        self, now: float, since: tuple[int, float], confirmed: int
+    def _is_applied_everywhere(
+        self, now: float, since: tuple[int, float], common_version: int
     ) -> bool:
         version, at = since
-        bound = self._settings.propagation_seconds
-        return version <= confirmed or now - at >= bound
+        limit = self._settings.propagation_seconds
+        return version <= common_version or now - at >= limit
 
-    def _find_confirmed(self, state: _state.ServiceState) -> int:
-        versions = self._confirmed.get(state.name, {})
+    def _find_common_version(self, state: _state.ServiceState) -> int:
+        versions = self._applied_versions.get(state.name, {})
         return min(
             (versions.get(peer, 0) for peer in self._members.reachable),
             default=state.version,
         )
 
-    def _find_emptied(
+    def _find_migrated(
         self, now: float, state: _state.ServiceState
     ) -> frozenset[int]:
         return frozenset(
-            bucket for bucket, _ in self._list_reports(now, state)
+            bucket for bucket, _ in self._list_valid_reports(now, state)
         )
 
     def _find_settled(
@@ -251,17 +263,19 @@
     ) -> frozenset[int]:
         return frozenset(
             bucket
-            for bucket, report in self._list_reports(now, state)
-            if report.is_in_force
+            for bucket, report in self._list_valid_reports(now, state)
+            if report.is_applied
         )
 
-    def _list_reports(
+    def _list_valid_reports(
         self, now: float, state: _state.ServiceState
-    ) -> Iterator[tuple[int, _Report]]:
-        for bucket, report in self._settled.get(state.name, {}).items():
-            if now - report.at > REPORT_SECONDS:
+    ) -> Iterator[tuple[int, _MigrationReport]]:
+        for bucket, report in self._migration_reports.get(
+            state.name, {}
+        ).items():
+            if now - report.received_at > REPORT_LIFETIME_SECONDS:
                 continue
-            if report.version < state.changed.get(bucket, (0, 0.0))[0]:
+            if report.version < state.changed_since.get(bucket, (0, 0.0))[0]:
                 continue
             if bucket in state.opened_at:
                 yield bucket, report
@@ -270,44 +284,44 @@
         self,
         now: float,
         state: _state.ServiceState,
-        proposal: _Proposal,
+        proposal: _ProposalState,
         planned: _table.BucketTable,
     ) -> list[object]:
         serial = state.version
         if planned is not state.table or state.is_provisional:
             serial += 1
         planned = msgspec.structs.replace(planned, serial=serial)
-        proposal.pending = planned
+        proposal.pending_table = planned
         proposal.writing_until = now + WRITE_TIMEOUT_SECONDS
         write = platform_api.WriteObject(
             path=_table.build_path(state.name),
             value=_table.encode(planned),
-            expected_version=state.in_store.version,
+            expected_version=state.stored_table.version,
         )
         decision = effect.RecordDecision(
             kind='table',
             service=state.name,
             subject=f'version {serial}',
             upstream='',
-            reason=_describe(planned),
+            reason=_describe_buckets(planned),
         )
         return [decision, effect.RequestWrite(write)]
 
 
-def _describe(table: _table.BucketTable) -> str:
-    preparing = table.states.count(int(_table.BucketState.PREPARE))
+def _describe_buckets(table: _table.BucketTable) -> str:
+    preparing = table.states.count(int(_table.BucketState.PREPARING))
     opened = table.states.count(int(_table.BucketState.OPEN))
     return f'{preparing} buckets preparing, {opened} open'
 
 
 def _build_stored(
-    state: _state.ServiceState, pending: _table.BucketTable | None
+    state: _state.ServiceState, pending_table: _table.BucketTable | None
 ) -> platform_api.StoredObject | None:
-    if pending is None:
+    if pending_table is None:
         return None
     return platform_api.StoredObject(
         path=_table.build_path(state.name),
-        version=state.in_store.version + 1,
+        version=state.stored_table.version + 1,
         revision=0,
-        value=_table.encode(pending),
+        value=_table.encode(pending_table),
     )
--- a/skylarkfold/flows/_ranking.py
+++ b/skylarkfold/flows/_ranking.py
@@ -14,8 +14,8 @@
 import xxhash
 
 SLOT_COUNT = 1024
-DEPTH = 5
-_CANDIDATES = 8
+MAX_RANKED = 5
+_CANDIDATE_COUNT = 8
 
 
 def _score_slots(name: str) -> array.array:
@@ -53,12 +53,12 @@
     :param zones: each instance's zone, by name.
     """
 
-    __slots__ = ('_best', '_orders', '_scores', '_zones')
+    __slots__ = ('_candidates', '_orders', '_scores', '_zones')
 
     def __init__(self, zones: dict[str, str]) -> None:
         self._zones = dict(zones)
         self._scores = {name: _score_slots(name) for name in zones}
-        self._best: list[list[str] | None] = [None] * SLOT_COUNT
+        self._candidates: list[list[str] | None] = [None] * SLOT_COUNT
         self._orders: list[tuple[str, ...] | None] = [None] * SLOT_COUNT
 
     @property
@@ -79,13 +79,13 @@
             for name in zones
         }
         added = [name for name in zones if name not in self._zones]
-        ranking._best = [
-            ranking._adjust(slot, best, added)
-            for slot, best in enumerate(self._best)
+        ranking._candidates = [
+            ranking._update_candidates(slot, candidates, added)
+            for slot, candidates in enumerate(self._candidates)
         ]
         return ranking
 
-    def list_holders(self, slot: int) -> tuple[str, ...]:
+    def list_ranked(self, slot: int) -> tuple[str, ...]:
         """List the first instances of a slot.
 
         :param slot: its number.
@@ -97,35 +97,39 @@
         return order
 
     def _build_order(self, slot: int) -> tuple[str, ...]:
-        if self._best[slot] is None:
-            self._fill_best()
-        order = list(self._best[slot] or ())
-        self._put_other_zone_second(order)
-        return tuple(order[:DEPTH])
+        if self._candidates[slot] is None:
+            self._fill_candidates()
+        order = list(self._candidates[slot] or ())
+        self._move_other_zone_to_second(order)
+        return tuple(order[:MAX_RANKED])
 
-    def _fill_best(self) -> None:
+    def _fill_candidates(self) -> None:
         names = sorted(self._scores)
         columns = zip(*(self._scores[name] for name in names))
         for slot, column in enumerate(columns):
-            if self._best[slot] is None:
-                best = heapq.nlargest(_CANDIDATES, zip(column, names))
-                self._best[slot] = [name for _, name in best]
+            if self._candidates[slot] is None:
+                candidates = heapq.nlargest(
+                    _CANDIDATE_COUNT, zip(column, names)
+                )
+                self._candidates[slot] = [name for _, name in candidates]
 
-    def _pick_best(self, slot: int, names: Iterable[str]) -> list[str]:
+    def _pick_candidates(self, slot: int, names: Iterable[str]) -> list[str]:
         scores = self._scores
         scored = ((scores[name][slot], name) for name in names)
-        return [name for _, name in heapq.nlargest(_CANDIDATES, scored)]
+        return [name for _, name in heapq.nlargest(_CANDIDATE_COUNT, scored)]
 
-    def _adjust(
-        self, slot: int, best: list[str] | None, added: list[str]
+    def _update_candidates(
+        self, slot: int, candidates: list[str] | None, added: list[str]
     ) -> list[str] | None:
-        if best is None or any(name not in self._zones for name in best):
+        if candidates is None or any(
+            name not in self._zones for name in candidates
+        ):
             return None
         if not added:
-            return best
-        return self._pick_best(slot, [*best, *added])
+            return candidates
+        return self._pick_candidates(slot, [*candidates, *added])
 
-    def _put_other_zone_second(self, order: list[str]) -> None:
+    def _move_other_zone_to_second(self, order: list[str]) -> None:
         for position in range(1, len(order)):
             if self._zones[order[position]] != self._zones[order[0]]:
                 order.insert(1, order.pop(position))
--- a/skylarkfold/flows/_router.py
+++ b/skylarkfold/flows/_router.py
@@ -4,13 +4,13 @@
 
 from skylarkfold import effect
 from skylarkfold import flow as flow_module
-from skylarkfold.flows import _hold
 from skylarkfold.flows import _members
 from skylarkfold.flows import _messages
-from skylarkfold.flows import _notes
 from skylarkfold.flows import _packet
+from skylarkfold.flows import _packet_buffer
 from skylarkfold.flows import _pins
 from skylarkfold.flows import _placement
+from skylarkfold.flows import _send_queues
 from skylarkfold.flows import _settings
 from skylarkfold.flows import _state
 from skylarkfold.flows import _table
@@ -18,7 +18,7 @@
 from skylarkfold import metric
 from skylarkfold import service as service_module
 
-FIRST_PERIOD_SECONDS = 5.0
+RECENT_FIRSTS_SECONDS = 5.0
 
 Reason = effect.Reason
 
@@ -38,21 +38,21 @@
         instance: instance_module.InstanceSettings,
         settings: _settings.FlowSettings,
         members: _members.MemberView,
-        queue: _notes.PinQueue,
-        held: _hold.HeldPackets,
+        pin_queue: _send_queues.PinQueue,
+        buffer: _packet_buffer.PacketBuffer,
     ) -> None:
-        self.is_full = False
+        self.is_pin_limit_reached = False
         self._name = instance.name
         self._zone = instance.zone
         self._settings = settings
         self._members = members
-        self._queue = queue
-        self._held = held
-        self._firsts = _pins.PinSet()
+        self._pin_queue = pin_queue
+        self._buffer = buffer
+        self._recent_firsts = _pins.PinSet()
 
-    def rotate_firsts(self) -> None:
+    def rotate_recent_firsts(self) -> None:
         """Forget first datagrams that can't come twice any more."""
-        self._firsts.rotate()
+        self._recent_firsts.rotate()
 
     def route(
         self, now: float, state: _state.ServiceState, packet: _packet.Packet
@@ -65,148 +65,161 @@
         :returns: effects.
         """
         flow = flow_module.hash_caller(state.name, packet.caller)
-        case = _Case(now, state, packet, flow, flow & state.mask)
-        if state.is_guess:
-            hop = self._find_next(case)
+        context = _RoutingContext(now, state, packet, flow, flow & state.mask)
+        if state.may_be_stale:
+            hop = self._find_next_hop(context)
             if hop is not None:
-                return self._pass_on(case, hop, None)
-        upstream = state.routes[case.bucket]
+                return self._redirect(context, hop, None)
+        upstream = state.closed_routes[context.bucket]
         if upstream is not None:
-            return [case.forward(upstream, Reason.CLOSED_BUCKET)]
-        return self._route_open(case)
-
-    def _route_open(self, case: _Case) -> list[object]:
-        index = self._find_pin(case)
-        if index is not None and self._may_answer(case):
-            return self._follow_pin(case, index)
-        cached = self._find_cached(case)
+            return [context.forward(upstream, Reason.CLOSED_BUCKET)]
+        return self._route_open(context)
+
+    def _route_open(self, context: _RoutingContext) -> list[object]:
+        index = self._find_pin(context)
+        if index is not None and self._may_use_pin(context):
+            return self._forward_pinned(context, index)
+        cached = self._find_cached(context)
         if cached is not None:
-            return self._follow(case, cached, Reason.CACHED)
-        if index is None and case.packet.hint != _packet.NO_HINT:
-            index = case.packet.hint
-        if index is not None and self._is_in_charge(case):
-            return self._take_hint(case, index)
-        hop = self._find_next(case)
+            return self._forward_to(context, cached, Reason.CACHED)
+        if index is None and context.packet.hint != _packet.NO_HINT:
+            index = context.packet.hint
+        if index is not None and self._is_home(context):
+            return self._use_hint(context, index)
+        hop = self._find_next_hop(context)
         if hop is not None:
-            return self._pass_on(case, hop, index)
+            return self._redirect(context, hop, index)
         if index is not None:
-            return self._take_hint(case, index)
-        home = self._find_home_to_decide(case)
+            return self._use_hint(context, index)
+        home = self._find_home_to_place(context)
         if home is not None:
-            return self._pass_on(case, home, None, is_returned=True)
-        return self._place(case)
+            return self._redirect(context, home, None, is_returned=True)
+        return self._place(context)
 
-    def _find_home_to_decide(self, case: _Case) -> str | None:
+    def _find_home_to_place(self, context: _RoutingContext) -> str | None:
         """Name the home that has to decide after all were asked.
 
         Wherever the chain of the asked ends, one instance orders the
         datagrams of a flow.
         """
-        home = case.packet.home or self._members.find_home(case.slot)
-        if case.packet.is_returned or home in (self._name, ''):
+        home = context.packet.home or self._members.find_home(context.slot)
+        if context.packet.is_returned or home in (self._name, ''):
             return None
         return home
 
-    def _find_next(self, case: _Case) -> str | None:
-        if case.packet.is_returned:
+    def _find_next_hop(self, context: _RoutingContext) -> str | None:
+        if context.packet.is_returned:
             return None
-        return self._members.find_next(case.slot, case.packet.visited)
+        return self._members.find_next_hop(
+            context.slot, context.packet.visited
+        )
 
-    def _may_answer(self, case: _Case) -> bool:
+    def _may_use_pin(self, context: _RoutingContext) -> bool:
         """Tell whether this instance may answer from a pin.
 
         Others than the home do so only when the home has been asked, for
         the home must see the flow to know that it lives.
         """
-        home = self._members.find_home(case.slot)
-        return home in (self._name, '', *case.packet.visited)
-
-    def _is_in_charge(self, case: _Case) -> bool:
-        return self._members.find_home(case.slot) == self._name
-
-    def _take_hint(self, case: _Case, index: int) -> list[object]:
-        if not self.is_full:
-            case.state.keep(case.bucket, case.flow, index)
-        if index != case.state.table.unpinned[case.bucket]:
-            self._note(case, index)
-        return self._follow_pin(case, index)
-
-    def _find_pin(self, case: _Case) -> int | None:
-        pins = case.state.pins.get(case.bucket)
-        index = None if pins is None else pins.get(case.flow)
-        if index is None or self._is_new_again(case, index):
+        home = self._members.find_home(context.slot)
+        return home in (self._name, '', *context.packet.visited)
+
+    def _is_home(self, context: _RoutingContext) -> bool:
+        return self._members.find_home(context.slot) == self._name
+
+    def _use_hint(self, context: _RoutingContext, index: int) -> list[object]:
+        if not self.is_pin_limit_reached:
+            context.state.add_pin(context.bucket, context.flow, index)
+        if index != context.state.table.unpinned[context.bucket]:
+            self._queue_pin_update(context, index)
+        return self._forward_pinned(context, index)
+
+    def _find_pin(self, context: _RoutingContext) -> int | None:
+        pins = context.state.pins.get(context.bucket)
+        index = None if pins is None else pins.get(context.flow)
+        if index is None or self._begins_another_flow(context, index):
             return None
         return index
 
-    def _is_new_again(self, case: _Case, index: int) -> bool:
+    def _begins_another_flow(
+        self, context: _RoutingContext, index: int
+    ) -> bool:
         """Tell whether a known caller begins another flow.
 
         A first datagram that comes twice within seconds is the same
         flow's. Later it is another flow's, which must not go to an
         upstream that takes no new work.
         """
-        if not case.packet.is_first:
+        if not context.packet.is_first:
             return False
-        if self._firsts.peek(case.flow) is not None:
+        if self._recent_firsts.peek(context.flow) is not None:
             return False
-        upstream = case.state.find_upstream(index)
+        upstream = context.state.find_upstream(index)
         return upstream is not None and not upstream.takes_new_work
 
-    def _find_cached(self, case: _Case) -> int | None:
-        if case.packet.is_first:
+    def _find_cached(self, context: _RoutingContext) -> int | None:
+        if context.packet.is_first:
             return None
-        return case.state.cache.peek(case.flow)
+        return context.state.cache.peek(context.flow)
 
-    def _follow_pin(self, case: _Case, index: int) -> list[object]:
-        effects = self._follow(case, index, Reason.PINNED)
-        effects += self._tell_home(case, index)
-        return effects + self._answer(case, index)
+    def _forward_pinned(
+        self, context: _RoutingContext, index: int
+    ) -> list[object]:
+        effects = self._forward_to(context, index, Reason.PINNED)
+        effects += self._update_home(context, index)
+        return effects + self._build_answer(context, index)
 
-    def _tell_home(self, case: _Case, index: int) -> list[object]:
+    def _update_home(
+        self, context: _RoutingContext, index: int
+    ) -> list[object]:
         """Note a pin at once to a home that did not know it."""
-        home = self._members.find_home(case.slot)
-        if home == self._name or home not in case.packet.visited:
+        home = self._members.find_home(context.slot)
+        if home == self._name or home not in context.packet.visited:
             return []
-        groups = [_messages.PinGroup(index, [case.flow])]
-        note = _messages.PinNote(case.state.name, groups)
+        groups = [_messages.PinGroup(index, [context.flow])]
+        note = _messages.PinUpdate(context.state.name, groups)
         return [effect.SendToPeer(home, note)]
 
-    def _follow(
-        self, case: _Case, index: int, reason: effect.Reason
+    def _forward_to(
+        self, context: _RoutingContext, index: int, reason: effect.Reason
     ) -> list[object]:
-        upstream = case.state.find_upstream(index)
+        upstream = context.state.find_upstream(index)
         if upstream is None:
-            return self._hold_packet(case)
-        return [case.forward(upstream, reason)]
+            return self._hold_packet(context)
+        return [context.forward(upstream, reason)]
 
-    def _answer(self, case: _Case, index: int) -> list[object]:
-        visited = case.packet.visited
-        if not case.packet.wants_answer or visited[:1] in ((), (self._name,)):
+    def _build_answer(
+        self, context: _RoutingContext, index: int
+    ) -> list[object]:
+        visited = context.packet.visited
+        if not context.packet.wants_answer or visited[:1] in (
+            (),
+            (self._name,),
+        ):
             return []
         answer = _messages.FlowAnswer(
-            case.state.name, [_messages.PinGroup(index, [case.flow])]
+            context.state.name, [_messages.PinGroup(index, [context.flow])]
         )
         return [effect.SendToPeer(visited[0], answer)]
 
-    def _hold_packet(self, case: _Case) -> list[object]:
-        if self._held.add(case.now, case.packet):
+    def _hold_packet(self, context: _RoutingContext) -> list[object]:
+        if self._buffer.add(context.now, context.packet):
             return [effect.CountMetric(metric.FLOWS_HELD)]
-        return case.drop(Reason.OVER_LIMIT)
+        return context.drop(Reason.OVER_LIMIT)
 
-    def _pass_on(
+    def _redirect(
         self,
-        case: _Case,
+        context: _RoutingContext,
         hop: str,
         index: int | None,
         is_returned: bool = False,
     ) -> list[object]:
-        packet = case.packet
+        packet = context.packet
         wants_answer = packet.wants_answer
         if not packet.visited:
-            wants_answer = self._is_frequent(case)
+            wants_answer = self._should_request_answer(context)
         hint = packet.hint if index is None else index
         home = packet.home
-        if not home and self._is_in_charge(case):
+        if not home and self._is_home(context):
             home = self._name
         redirect = _packet.build_redirect(
             packet, self._name, wants_answer, hint, is_returned, home
@@ -216,121 +229,139 @@
             effect.CountMetric(metric.FLOWS_REDIRECTED),
         ]
 
-    def _is_frequent(self, case: _Case) -> bool:
-        passed_on = case.state.passed_on
-        passed_on[case.flow] += 1
-        if len(passed_on) > self._settings.cache_limit:
-            passed_on.clear()
-        return passed_on[case.flow] >= self._settings.cache_request_count
-
-    def _place(self, case: _Case) -> list[object]:
-        state = case.state
-        if not state.is_open(case.bucket) or not self._is_new(case):
-            return self._stay(case, Reason.UNPINNED)
-        upstream = self._choose(case)
+    def _should_request_answer(self, context: _RoutingContext) -> bool:
+        redirect_counts = context.state.redirect_counts
+        redirect_counts[context.flow] += 1
+        if len(redirect_counts) > self._settings.cache_limit:
+            redirect_counts.clear()
+        return (
+            redirect_counts[context.flow] >= self._settings.cache_request_count
+        )
+
+    def _place(self, context: _RoutingContext) -> list[object]:
+        state = context.state
+        if not state.is_open(context.bucket) or not self._is_new(context):
+            return self._use_unpinned(context, Reason.UNPINNED)
+        upstream = self._choose_upstream(context)
         if upstream is None:
-            return case.drop(Reason.OVER_LIMIT)
+            return context.drop(Reason.OVER_LIMIT)
         index = state.table.find_index(upstream.name)
-        self._firsts.put(case.flow, index)
-        if index == state.table.unpinned[case.bucket]:
+        self._recent_firsts.put(context.flow, index)
+        if index == state.table.unpinned[context.bucket]:
             state.load.count_placed(upstream.name)
-            return self._stay(case, Reason.PLACED)
-        return self._pin(case, upstream, index)
+            return self._use_unpinned(context, Reason.PLACED)
+        return self._pin_flow(context, upstream, index)
 
-    def _is_new(self, case: _Case) -> bool:
+    def _is_new(self, context: _RoutingContext) -> bool:
         """Tell whether an unknown flow begins with this datagram.
 
         Without marks it is taken for new once the bucket has been watched
         here for so long that every older flow would have been seen.
         """
-        if case.unpinned is None or case.is_released:
+        if context.unpinned is None or context.is_unpinned_dead:
             return True
-        if case.packet.is_first is not None:
-            return case.packet.is_first
-        if case.state.table.states[case.bucket] != _table.BucketState.OPEN:
+        if context.packet.is_first is not None:
+            return context.packet.is_first
+        if (
+            context.state.table.states[context.bucket]
+            != _table.BucketState.OPEN
+        ):
             return False
-        since = case.state.opened_at.get(case.bucket, case.now)
-        since = max(since, case.state.home_since.get(case.bucket, since))
-        return case.now - since >= case.state.service.flow_idle_seconds
-
-    def _stay(self, case: _Case, reason: effect.Reason) -> list[object]:
-        index = case.state.table.unpinned[case.bucket]
-        if case.unpinned is None:
-            return case.drop(Reason.NO_UPSTREAM)
-        if not self.is_full:
-            case.state.keep(case.bucket, case.flow, index)
+        since = context.state.opened_at.get(context.bucket, context.now)
+        since = max(since, context.state.home_since.get(context.bucket, since))
+        return context.now - since >= context.state.service.flow_idle_seconds
+
+    def _use_unpinned(
+        self, context: _RoutingContext, reason: effect.Reason
+    ) -> list[object]:
+        index = context.state.table.unpinned[context.bucket]
+        if context.unpinned is None:
+            return context.drop(Reason.NO_UPSTREAM)
+        if not self.is_pin_limit_reached:
+            context.state.add_pin(context.bucket, context.flow, index)
             # A first datagram that comes after the second one stays too.
-            self._firsts.put(case.flow, index)
-        if case.packet.is_first is None:
-            self._note(case, index)
-        return self._follow(case, index, reason) + self._answer(case, index)
+            self._recent_firsts.put(context.flow, index)
+        if context.packet.is_first is None:
+            self._queue_pin_update(context, index)
+        return self._forward_to(context, index, reason) + self._build_answer(
+            context, index
+        )
 
-    def _choose(self, case: _Case) -> service_module.Upstream | None:
-        state = case.state
+    def _choose_upstream(
+        self, context: _RoutingContext
+    ) -> service_module.Upstream | None:
+        state = context.state
         candidates = [
             each
             for each in state.eligible
             if state.table.find_index(each.name) != _table.NO_UPSTREAM
         ]
-        favourite = case.unpinned.name if case.unpinned else ''
-        if favourite and (self.is_full or self._is_queue_full()):
-            kept = [each for each in candidates if each.name == favourite]
+        preferred = context.unpinned.name if context.unpinned else ''
+        if preferred and (
+            self.is_pin_limit_reached or self._is_pin_queue_full()
+        ):
+            kept = [each for each in candidates if each.name == preferred]
             candidates = kept or candidates
-        target = state.find_upstream(state.table.targets[case.bucket])
-        if target in candidates and self._may_take(case, target):
+        target = state.find_upstream(state.table.targets[context.bucket])
+        if target in candidates and self._can_accept(context, target):
             return target
         return _placement.choose_upstream(
-            case.now,
+            context.now,
             candidates,
             state.load,
             self._settings,
             self._zone,
             self._count_owners(),
-            favourite,
+            preferred,
         )
 
-    def _may_take(
-        self, case: _Case, upstream: service_module.Upstream
+    def _can_accept(
+        self, context: _RoutingContext, upstream: service_module.Upstream
     ) -> bool:
-        load = case.state.load
-        if not load.is_usable(case.now, upstream.name):
+        load = context.state.load
+        if not load.is_usable(context.now, upstream.name):
             return False
-        return load.has_room(case.now, upstream, self._count_owners())
+        return load.has_capacity(context.now, upstream, self._count_owners())
 
     def _count_owners(self) -> int:
         return max(1, len(self._members.ranking.names))
 
-    def _is_queue_full(self) -> bool:
-        return len(self._queue) >= self._settings.note_limit
+    def _is_pin_queue_full(self) -> bool:
+        return len(self._pin_queue) >= self._settings.note_limit
 
-    def _pin(
-        self, case: _Case, upstream: service_module.Upstream, index: int
+    def _pin_flow(
+        self,
+        context: _RoutingContext,
+        upstream: service_module.Upstream,
+        index: int,
     ) -> list[object]:
-        state = case.state
-        state.keep(case.bucket, case.flow, index)
+        state = context.state
+        state.add_pin(context.bucket, context.flow, index)
         state.load.count_placed(upstream.name)
         effects = [
-            case.forward(upstream, Reason.PLACED),
+            context.forward(upstream, Reason.PLACED),
             effect.RecordDecision(
                 kind='placement',
                 service=state.name,
-                subject=str(case.packet.caller),
+                subject=str(context.packet.caller),
                 upstream=upstream.name,
                 reason=Reason.PLACED.value,
             ),
             effect.CountMetric(metric.FLOWS_PLACED),
         ]
-        effects += self._tell_home(case, index)
-        self._note(case, index)
-        return effects + self._answer(case, index)
+        effects += self._update_home(context, index)
+        self._queue_pin_update(context, index)
+        return effects + self._build_answer(context, index)
 
-    def _note(self, case: _Case, index: int) -> None:
-        for holder in self._members.list_holders(case.slot):
+    def _queue_pin_update(self, context: _RoutingContext, index: int) -> None:
+        for holder in self._members.list_holders(context.slot):
             if holder != self._name:
-                self._queue.add(holder, case.state.name, index, case.flow)
+                self._pin_queue.add(
+                    holder, context.state.name, index, context.flow
+                )
 
 
-class _Case:
+class _RoutingContext:
     """One datagram with what its routing needs."""
 
     __slots__ = ('bucket', 'flow', 'now', 'packet', 'slot', 'state')
@@ -356,7 +387,7 @@
         return self.state.find_upstream(self.state.table.unpinned[self.bucket])
 
     @property
-    def is_released(self) -> bool:
+    def is_unpinned_dead(self) -> bool:
         """Whether that upstream is dead."""
         table = self.state.table
         return table.unpinned[self.bucket] in table.dead
--- a/skylarkfold/flows/_notes.py
+++ b/skylarkfold/flows/_send_queues.py
@@ -11,11 +11,11 @@
 
 FLOW_BYTES = 9
 MESSAGE_BYTES = 24
-FLOWS_IN_MESSAGE = 256
+FLOWS_PER_MESSAGE = 256
 _BURST_SECONDS = 2.0
 
 
-class ByteBudget:
+class ByteRateLimiter:
     """A token bucket of bytes.
 
     :param bytes_per_second: the rate.
@@ -37,7 +37,7 @@
         self._tokens = min(self._tokens, self._rate * _BURST_SECONDS)
 
     @property
-    def is_open(self) -> bool:
+    def has_tokens(self) -> bool:
         """Tell whether anything may be sent now."""
         return self._tokens > 0
 
@@ -56,9 +56,9 @@
     :param note_seconds: the shortest time between two batches.
     """
 
-    def __init__(self, budget: ByteBudget, note_seconds: float) -> None:
-        self._budget = budget
-        self._note_seconds = note_seconds
+    def __init__(self, limiter: ByteRateLimiter, batch_seconds: float) -> None:
+        self._limiter = limiter
+        self._batch_seconds = batch_seconds
         self._drained_at: float | None = None
         self._waiting: dict[str, dict[str, dict[int, list[int]]]] = {}
         self._count = 0
@@ -83,7 +83,7 @@
         """Tell whether pins wait for a peer."""
         return peer in self._waiting
 
-    def drop(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """Forget what waits for a peer that is gone."""
         services = self._waiting.pop(peer, {})
         self._count -= _count_flows(services)
@@ -95,26 +95,26 @@
         :returns: messages; peers take turns. None while the last batch is
             too fresh.
         """
-        if not self._waiting or not self._is_due(now):
+        if not self._waiting or not self._is_batch_due(now):
             return
         self._drained_at = now
-        self._budget.refill(now)
-        while self._waiting and self._budget.is_open:
+        self._limiter.refill(now)
+        while self._waiting and self._limiter.has_tokens:
             peer = next(iter(self._waiting))
             services = self._waiting.pop(peer)
             service = next(iter(services))
             groups = services.pop(service)
             flows = sum(map(len, groups.values()))
             self._count -= flows
-            self._budget.spend(MESSAGE_BYTES + flows * FLOW_BYTES)
+            self._limiter.spend(MESSAGE_BYTES + flows * FLOW_BYTES)
             if services:
                 self._waiting[peer] = services
-            yield effect.SendToPeer(peer, _build_note(service, groups))
+            yield effect.SendToPeer(peer, _build_pin_update(service, groups))
 
-    def _is_due(self, now: float) -> bool:
+    def _is_batch_due(self, now: float) -> bool:
         if self._drained_at is None:
             return True
-        return now - self._drained_at >= self._note_seconds
+        return now - self._drained_at >= self._batch_seconds
 
 
 def _count_flows(services: dict[str, dict[int, list[int]]]) -> int:
@@ -123,11 +123,11 @@
     )
 
 
-def _build_note(
+def _build_pin_update(
     service: str, groups: dict[int, list[int]]
-) -> _messages.PinNote:
+) -> _messages.PinUpdate:
     built = [_messages.PinGroup(each, groups[each]) for each in groups]
-    return _messages.PinNote(service, built)
+    return _messages.PinUpdate(service, built)
 
 
 class BulkQueue:
@@ -136,8 +136,8 @@
     :param budget: what may be sent.
     """
 
-    def __init__(self, budget: ByteBudget) -> None:
-        self._budget = budget
+    def __init__(self, limiter: ByteRateLimiter) -> None:
+        self._limiter = limiter
         self._waiting: dict[
             str, collections.deque[message_module.PeerMessage]
         ] = {}
@@ -154,11 +154,11 @@
         :param service: the service's name.
         :param pins: flow hashes with their upstreams' indexes.
         """
-        for start in range(0, len(pins), FLOWS_IN_MESSAGE):
+        for start in range(0, len(pins), FLOWS_PER_MESSAGE):
             groups: dict[int, list[int]] = {}
-            for flow, upstream in pins[start : start + FLOWS_IN_MESSAGE]:
+            for flow, upstream in pins[start : start + FLOWS_PER_MESSAGE]:
                 groups.setdefault(upstream, []).append(flow)
-            self.add(peer, _build_note(service, groups))
+            self.add(peer, _build_pin_update(service, groups))
 
     def add(self, peer: str, message: message_module.PeerMessage) -> None:
         """Queue a message behind those that wait for the same peer.
@@ -169,7 +169,7 @@
         waiting = self._waiting.setdefault(peer, collections.deque())
         waiting.append(message)
 
-    def drop(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """Forget what waits for a peer that is gone."""
         self._waiting.pop(peer, None)
 
@@ -181,23 +181,23 @@
             of them wait for it.
         :returns: messages; peers take turns.
         """
-        self._budget.refill(now)
+        self._limiter.refill(now)
         ready = [each for each in self._waiting if self._is_ready(each, pins)]
-        while ready and self._budget.is_open:
+        while ready and self._limiter.has_tokens:
             peer = ready.pop(0)
-            message = self._take(peer)
-            self._budget.spend(_estimate_bytes(message))
+            message = self._pop_message(peer)
+            self._limiter.spend(_estimate_bytes(message))
             if peer in self._waiting and self._is_ready(peer, pins):
                 ready.append(peer)
             yield effect.SendToPeer(peer, message)
 
     def _is_ready(self, peer: str, pins: PinQueue) -> bool:
         message = self._waiting[peer][0]
-        if not isinstance(message, _messages.HandOnDone):
+        if not isinstance(message, _messages.HandoverDone):
             return True
         return not pins.is_waiting(peer)
 
-    def _take(self, peer: str) -> message_module.PeerMessage:
+    def _pop_message(self, peer: str) -> message_module.PeerMessage:
         waiting = self._waiting[peer]
         message = waiting.popleft()
         if not waiting:
@@ -206,9 +206,9 @@
 
 
 def _estimate_bytes(message: message_module.PeerMessage) -> int:
-    if isinstance(message, _messages.HandOnDone):
+    if isinstance(message, _messages.HandoverDone):
         return MESSAGE_BYTES + len(message.slots)
-    if not isinstance(message, _messages.PinNote):
+    if not isinstance(message, _messages.PinUpdate):
         return MESSAGE_BYTES
     flows = sum(len(group.flows) for group in message.groups)
     return MESSAGE_BYTES + flows * FLOW_BYTES
--- a/skylarkfold/flows/_state.py
+++ b/skylarkfold/flows/_state.py
@@ -16,10 +16,10 @@
 from skylarkfold.flows import _table
 from skylarkfold import service as service_module
 
-HOME_PERIOD_IDLES = 1.5
-CACHE_PERIOD_IDLES = 0.25
-REPLICA_ROUNDS = 5
-REFRESH_ROUNDS = 3
+HOME_PERIOD_IDLE_FACTOR = 1.5
+CACHE_PERIOD_IDLE_FACTOR = 0.25
+REPLICA_PERIOD_ROTATIONS = 5
+REFRESH_PERIOD_ROTATIONS = 3
 
 
 class StoredTable:
@@ -56,29 +56,29 @@
         service: service_module.Service,
         table: _table.BucketTable,
         settings: _settings.FlowSettings,
-        is_guess: bool,
+        may_be_stale: bool,
     ) -> None:
         self.service = service
         self.table = table
         self.version = 0
-        self.in_store = _NOT_STORED
-        self.adopted_at: float | None = None
+        self.stored_table = _NOT_STORED
+        self.applied_at: float | None = None
         self.prepared_version = 0
-        self.is_guess = is_guess
+        self.may_be_stale = may_be_stale
         self.load = _load.LoadView(settings)
         self.cache = _pins.PinSet()
         self.pins: dict[int, _pins.PinSet] = {}
-        self.own: dict[int, _pins.PinSet] = {}
-        self.passed_on: collections.Counter[int] = collections.Counter()
+        self.home_pins: dict[int, _pins.PinSet] = {}
+        self.redirect_counts: collections.Counter[int] = collections.Counter()
         self.opened_at: dict[int, float] = {}
         self.home_since: dict[int, float] = {}
-        self.prepared: dict[int, tuple[int, float]] = {}
-        self.changed: dict[int, tuple[int, float]] = {}
+        self.preparing_since: dict[int, tuple[int, float]] = {}
+        self.changed_since: dict[int, tuple[int, float]] = {}
         self.mask = len(table.states) - 1
-        self.routes: list[service_module.Upstream | None] = []
-        self.resolved: list[service_module.Upstream] = []
+        self.closed_routes: list[service_module.Upstream | None] = []
+        self.resolved_upstreams: list[service_module.Upstream] = []
         self._salt = xxhash.xxh3_64_intdigest(service.name.encode())
-        self._compile()
+        self._rebuild_routes()
 
     @property
     def name(self) -> str:
@@ -91,12 +91,12 @@
         return self.version == 0
 
     @property
-    def is_lost(self) -> bool:
+    def is_missing_in_store(self) -> bool:
         """Tell whether the store lacks the table in force.
 
         It has come back from an older copy, or nothing was written yet.
         """
-        return self.in_store.serial < self.version
+        return self.stored_table.serial < self.version
 
     @property
     def eligible(self) -> list[service_module.Upstream]:
@@ -125,8 +125,8 @@
         :param index: the index, perhaps of a table not yet known here.
         :returns: the upstream, or None.
         """
-        if 0 <= index < len(self.resolved):
-            return self.resolved[index]
+        if 0 <= index < len(self.resolved_upstreams):
+            return self.resolved_upstreams[index]
         return None
 
     def is_open(self, bucket: int) -> bool:
@@ -138,11 +138,11 @@
         :param bucket: the bucket.
         """
         state = self.table.states[bucket]
-        if state != _table.BucketState.PREPARE:
+        if state != _table.BucketState.PREPARING:
             return state == _table.BucketState.OPEN
-        return self.prepared[bucket][0] <= self.prepared_version
+        return self.preparing_since[bucket][0] <= self.prepared_version
 
-    def learn_prepared(self, version: int) -> None:
+    def record_prepared_version(self, version: int) -> None:
         """Note a version whose preparations all others have in force.
 
         An instance that does not have it trusts its own table no more
@@ -151,9 +151,9 @@
         :param version: the table version.
         """
         self.prepared_version = max(self.prepared_version, version)
-        self.is_guess = self.is_guess or self.version < version
+        self.may_be_stale = self.may_be_stale or self.version < version
 
-    def find_known(
+    def find_local(
         self, caller: endpoint.Endpoint
     ) -> tuple[service_module.Upstream | None, effect.Reason]:
         """Find a flow's upstream as far as this instance knows it alone.
@@ -161,14 +161,14 @@
         :param caller: the flow's caller.
         :returns: the upstream or None, and the reason.
         """
-        if self.is_guess:
+        if self.may_be_stale:
             return None, effect.Reason.STALE_VIEW
         flow = flow_module.hash_caller(self.service.name, caller)
         bucket = flow & self.mask
-        upstream = self.routes[bucket]
+        upstream = self.closed_routes[bucket]
         if upstream is not None:
             return upstream, effect.Reason.CLOSED_BUCKET
-        pins = self.own.get(bucket)
+        pins = self.home_pins.get(bucket)
         if pins is None:
             index = self.cache.peek(flow)
             reason = effect.Reason.CACHED
@@ -179,7 +179,7 @@
             return None, reason
         return self.find_upstream(index), reason
 
-    def keep(self, bucket: int, flow: int, index: int) -> None:
+    def add_pin(self, bucket: int, flow: int, index: int) -> None:
         """Keep a flow's pin.
 
         :param bucket: the flow's bucket.
@@ -207,10 +207,10 @@
         self.service = service
         for upstream in self.eligible:
             if upstream.name not in former:
-                self.load.add_cold(now, upstream.name)
-        self._compile()
+                self.load.begin_slow_start(now, upstream.name)
+        self._rebuild_routes()
 
-    def adopt(
+    def apply_table(
         self, now: float, table: _table.BucketTable, version: int
     ) -> None:
         """Put a newer table in force.
@@ -222,44 +222,48 @@
         former = self.table
         self.table = table
         self.version = version
-        self.adopted_at = now
-        self.is_guess = version < self.prepared_version
+        self.applied_at = now
+        self.may_be_stale = version < self.prepared_version
         self.mask = len(table.states) - 1
-        self._note_changes(now, former)
-        self._forget_dead(set(table.dead) - set(former.dead))
-        self._compile()
+        self._record_changes(now, former)
+        self._drop_dead_pins(set(table.dead) - set(former.dead))
+        self._rebuild_routes()
 
-    def _note_changes(self, now: float, former: _table.BucketTable) -> None:
+    def _record_changes(self, now: float, former: _table.BucketTable) -> None:
         table = self.table
-        is_alike = len(former.states) == len(table.states)
+        has_same_size = len(former.states) == len(table.states)
         for bucket, state in enumerate(table.states):
-            if is_alike and _is_same(bucket, former, table):
+            if has_same_size and _is_unchanged(bucket, former, table):
                 continue
-            self.changed[bucket] = (self.version, now)
-            if not is_alike or former.states[bucket] != state:
-                self._note_state(now, bucket, state)
+            self.changed_since[bucket] = (self.version, now)
+            if not has_same_size or former.states[bucket] != state:
+                self._record_state_change(now, bucket, state)
 
-    def _note_state(self, now: float, bucket: int, state: int) -> None:
-        self.prepared.pop(bucket, None)
+    def _record_state_change(
+        self, now: float, bucket: int, state: int
+    ) -> None:
+        self.preparing_since.pop(bucket, None)
         if state == _table.BucketState.CLOSED:
             self.opened_at.pop(bucket, None)
             self.pins.pop(bucket, None)
             return
         self.opened_at[bucket] = now
-        if state == _table.BucketState.PREPARE:
-            self.prepared[bucket] = (self.version, now)
+        if state == _table.BucketState.PREPARING:
+            self.preparing_since[bucket] = (self.version, now)
 
-    def _forget_dead(self, dead: set[int]) -> None:
+    def _drop_dead_pins(self, dead: set[int]) -> None:
         if not dead:
             return
         for pins in (self.cache, *self.pins.values()):
             pins.remove_upstreams(dead)
 
-    def _compile(self) -> None:
+    def _rebuild_routes(self) -> None:
         table = self.table
-        self.resolved = [self._resolve(each) for each in table.upstreams]
+        self.resolved_upstreams = [
+            self._resolve(each) for each in table.upstreams
+        ]
         closed = _table.BucketState.CLOSED
-        self.routes = [
+        self.closed_routes = [
             self.find_upstream(index) if state == closed else None
             for state, index in zip(table.states, table.unpinned)
         ]
@@ -279,7 +283,7 @@
         )
 
 
-def _is_same(
+def _is_unchanged(
     bucket: int, former: _table.BucketTable, table: _table.BucketTable
 ) -> bool:
     return (
--- a/skylarkfold/flows/_streams.py
+++ b/skylarkfold/flows/_streams.py
@@ -81,4 +81,4 @@
         state, upstream = found
         state.load.count_expired(upstream, 1)
         if closed.failed:
-            state.load.fail(now, upstream)
+            state.load.record_failure(now, upstream)
--- a/skylarkfold/flows/_table.py
+++ b/skylarkfold/flows/_table.py
@@ -21,7 +21,7 @@
 from skylarkfold import service as service_module
 
 PATH_PREFIX = '/tables/'
-FREE = -1
+BY_LOAD = -1
 NO_UPSTREAM = -1
 
 
@@ -29,7 +29,7 @@
     """How flows of a bucket find their upstream."""
 
     CLOSED = 0
-    PREPARE = 1
+    PREPARING = 1
     OPEN = 2
 
 
@@ -80,11 +80,11 @@
                 return index
         return NO_UPSTREAM
 
-    def count_free(self) -> int:
+    def count_balanced(self) -> int:
         """Count the buckets whose new flows are placed by load."""
         closed = BucketState.CLOSED
         return sum(
-            target == FREE and state != closed
+            target == BY_LOAD and state != closed
             for state, target in zip(self.states, self.targets)
         )
 
@@ -135,7 +135,7 @@
     if len(table.unpinned) != count or len(table.targets) != count:
         raise errors.DecodeError('bucket columns differ in length')
     indexes = {*table.unpinned, *table.targets, *table.dead}
-    if min(indexes) < FREE or max(indexes) >= len(table.upstreams):
+    if min(indexes) < BY_LOAD or max(indexes) >= len(table.upstreams):
         raise errors.DecodeError('an index names no upstream')
     if not set(table.states) <= set(BucketState):
         raise errors.DecodeError('unknown bucket state')
@@ -196,7 +196,7 @@
     return TableUpstream(upstream.name, str(upstream.address), upstream.zone)
 
 
-def build_first(
+def build_initial(
     service: service_module.Service, settings: _settings.FlowSettings
 ) -> BucketTable:
     """Build a new service's table, alike on all instances.
@@ -206,14 +206,14 @@
     :returns: a table whose buckets are divided by weight and interleaved.
     """
     count = settings.bucket_count
-    free_count = count_free(service, settings)
+    balanced_count = count_balanced(service, settings)
     eligible = list_eligible(service)
-    owners = list(_interleave(service, eligible, count))
+    owners = list(_interleave_owners(service, eligible, count))
     states = [BucketState.CLOSED] * count
     targets = list(owners)
-    for bucket in spread_evenly(free_count, count):
+    for bucket in spread_evenly(balanced_count, count):
         states[bucket] = BucketState.OPEN
-        targets[bucket] = FREE
+        targets[bucket] = BY_LOAD
     return BucketTable(
         upstreams=[describe_upstream(each) for each in service.upstreams],
         dead=[],
@@ -223,7 +223,7 @@
     )
 
 
-def count_free(
+def count_balanced(
     service: service_module.Service, settings: _settings.FlowSettings
 ) -> int:
     """Tell how many buckets of a service place new flows by load.
@@ -249,7 +249,7 @@
     return [number * count // part for number in range(part)]
 
 
-def _interleave(
+def _interleave_owners(
     service: service_module.Service,
     eligible: list[service_module.Upstream],
     count: int,
--- a/skylarkfold/tests/flows/_machine.py
+++ b/skylarkfold/tests/flows/_state_machines.py
@@ -21,11 +21,11 @@
 UPSTREAMS = 3
 IDLE_SECONDS = 8.0
 PACKET_SECONDS = 1.0
-LEAST_INSTANCES = 2
-MOST_INSTANCES = 6
-MOST_HOPS = 8
-SPARSE_SECONDS = 4.0
-EXPOSED_SECONDS = 2.0
+MIN_INSTANCES = 2
+MAX_INSTANCES = 6
+MAX_HOPS = 8
+SPARSE_PACKET_SECONDS = 4.0
+REPLICATION_SECONDS = 2.0
 SETTLED_SECONDS = 40.0
 CORE_SETTINGS = flows.FlowSettings(bucket_count=32)
 
@@ -33,15 +33,17 @@
 MARKS = strategies.booleans()
 
 
-def make_core(settings):
+def build_core(settings):
     """Make a core with a table that is small enough to cover whole."""
     return flows.FlowCore(settings, CORE_SETTINGS)
 
 
-def make_rule(preference):
+def build_rule(preference):
     """Make the rule of this design with a small table."""
     own = _flow_rules.OWN_RULES[0]
-    return dataclasses.replace(own, make_core=make_core, preference=preference)
+    return dataclasses.replace(
+        own, make_core=build_core, preference=preference
+    )
 
 
 class PlannedMachine(stateful.RuleBasedStateMachine):
@@ -63,7 +65,7 @@
         self.source = random.Random(seed)
         address = _flow_scenario.ADDRESS
         self.fleet = _flow_fleet.Fleet(
-            self.rule or make_rule(preference),
+            self.rule or build_rule(preference),
             _flow_fleet.FleetSettings(),
             {address: _flow_scenario.SERVICE},
             seed,
@@ -121,9 +123,9 @@
 
     @stateful.rule()
     def let_settle(self):
-        for _ in range(int(SETTLED_SECONDS / SPARSE_SECONDS)):
+        for _ in range(int(SETTLED_SECONDS / SPARSE_PACKET_SECONDS)):
             self._send_all(self.flows)
-            self.fleet.advance(SPARSE_SECONDS)
+            self.fleet.advance(SPARSE_PACKET_SECONDS)
 
     # Planned changes.
 
@@ -144,7 +146,7 @@
     def add_upstream(self):
         self.site.arrive(len(self.site.upstreams) + 1)
 
-    @stateful.precondition(lambda self: len(self.fleet.nodes) < MOST_INSTANCES)
+    @stateful.precondition(lambda self: len(self.fleet.nodes) < MAX_INSTANCES)
     @stateful.rule()
     def start_instance(self):
         self.started += 1
@@ -153,7 +155,7 @@
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS)
     def stop_instance(self, pick):
-        self.fleet.stop(self._pick_staying(pick))
+        self.fleet.stop(self._pick_remaining(pick))
 
     # What the platform and the links may do at any time.
 
@@ -178,7 +180,7 @@
 
     @stateful.invariant()
     def no_flow_is_broken(self):
-        found = [each for each in self._list_breaks()]
+        found = [each for each in self._list_unexcused_breaks()]
         assert not found, found
 
     @stateful.invariant()
@@ -187,10 +189,10 @@
 
     @stateful.invariant()
     def no_packet_goes_round(self):
-        bound = self.sent * MOST_HOPS
+        bound = self.sent * MAX_HOPS
         assert self.fleet.links.data_messages <= bound
 
-    def _list_breaks(self):
+    def _list_unexcused_breaks(self):
         return self.fleet.oracle.breaks
 
     def _send_all(self, numbers):
@@ -213,17 +215,17 @@
     def _pick_upstream(self, pick):
         return pick % len(self.site.upstreams) + 1
 
-    def _list_staying(self):
+    def _list_remaining(self):
         return [
             each for each in self.fleet.nodes.values() if not each.is_leaving
         ]
 
     def _has_instance_to_spare(self):
-        return len(self._list_staying()) > LEAST_INSTANCES
+        return len(self._list_remaining()) > MIN_INSTANCES
 
-    def _pick_staying(self, pick):
-        staying = self._list_staying()
-        return staying[pick % len(staying)].name
+    def _pick_remaining(self, pick):
+        remaining = self._list_remaining()
+        return remaining[pick % len(remaining)].name
 
 
 class DeathMachine(PlannedMachine):
@@ -244,8 +246,8 @@
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS, resets=strategies.booleans())
     def kill_instance(self, pick, resets):
-        self.fleet.kill(self._pick_staying(pick), resets)
-        self._expose(self.fleet.now - EXPOSED_SECONDS)
+        self.fleet.kill(self._pick_remaining(pick), resets)
+        self._expose(self.fleet.now - REPLICATION_SECONDS)
 
     @stateful.rule(pick=PICKS)
     def kill_upstream(self, pick):
@@ -265,10 +267,10 @@
 
     def _send(self, number, is_first):
         if is_first and not self._is_settled():
-            self.excused.add(get_key(number))
+            self.excused.add(build_flow_key(number))
         super()._send(number, is_first)
 
-    def _list_breaks(self):
+    def _list_unexcused_breaks(self):
         return [
             each
             for each in self.fleet.oracle.breaks
@@ -287,12 +289,12 @@
 
     def __init__(self):
         super().__init__()
-        self.is_faulty = False
+        self.has_lasting_fault = False
 
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS, resets=strategies.booleans())
     def kill_another(self, pick, resets):
-        self.fleet.kill(self._pick_staying(pick), resets)
+        self.fleet.kill(self._pick_remaining(pick), resets)
         self._expose(0.0)
 
     @stateful.rule(share=strategies.sampled_from([0.0, 0.1]))
@@ -300,46 +302,46 @@
         self.fleet.links.settings = dataclasses.replace(
             self.fleet.links.settings, lost_share=share, in_order=share == 0.0
         )
-        self._follow_faults()
+        self._expose_during_faults()
 
     @stateful.rule(pick=PICKS)
     def cut_instances(self, pick):
         names = sorted(self.fleet.nodes)
         one = names[: pick % len(names)]
         self.fleet.cut(one, [each for each in names if each not in one])
-        self._follow_faults()
+        self._expose_during_faults()
 
     @stateful.rule()
     def join_instances(self):
         self.fleet.join()
-        self._follow_faults()
+        self._expose_during_faults()
 
     @stateful.rule(pick=PICKS, is_cut_off=strategies.booleans())
     def cut_platform(self, pick, is_cut_off):
         names = sorted(self.fleet.nodes)
         self.fleet.cut_platform(names[pick % len(names)], is_cut_off)
-        self._follow_faults()
+        self._expose_during_faults()
 
-    def _follow_faults(self):
+    def _expose_during_faults(self):
         """Expose all flows while any lasting fault is there."""
-        is_faulty = (
+        has_lasting_fault = (
             self.fleet.links.settings.lost_share > 0
             or self.fleet.links.cut
             or any(each.is_cut_off for each in self.fleet.nodes.values())
         )
-        self.is_faulty = bool(is_faulty)
+        self.has_lasting_fault = bool(has_lasting_fault)
         self._expose(0.0)
 
     def _is_settled(self):
-        return not self.is_faulty and super()._is_settled()
+        return not self.has_lasting_fault and super()._is_settled()
 
     def _send(self, number, is_first):
-        if self.is_faulty:
+        if self.has_lasting_fault:
             self.exposed_until = self.fleet.now + SETTLED_SECONDS
         super()._send(number, is_first)
 
 
-def get_key(number):
+def build_flow_key(number):
     """Give the key of a machine's flow."""
     return flow.FlowKey(
         _flow_scenario.SERVICE, _flow_workload.make_caller(number)
--- a/skylarkfold/tests/flows/cluster.py
+++ b/skylarkfold/tests/flows/cluster.py
@@ -56,34 +56,41 @@
     :param uneven: the longest delay of news from the platform.
     """
 
-    def __init__(self, count, settings=None, seed=1, delay=0.0, uneven=0.0):
+    def __init__(
+        self,
+        count,
+        settings=None,
+        seed=1,
+        message_delay=0.0,
+        publish_delay=0.0,
+    ):
         self.settings = settings or flows.FlowSettings()
         self.random = random.Random(seed)
-        self.delay = delay
-        self.uneven = uneven
+        self.message_delay = message_delay
+        self.publish_delay = publish_delay
         self.now = 100.0
-        self.agenda = []
-        self.number = 0
+        self.scheduled_calls = []
+        self.sequence = 0
         self.cores = {}
         self.epochs = collections.Counter()
         self.members = {}
         self.members_version = 0
         self.stored = None
         # How often the store has come back from an older copy.
-        self.era = 0
+        self.store_era = 0
         self.configuration = None
         self.is_store_down = False
-        self.loses_answers = False
-        self.cut = set()
-        self.deaf = set()
+        self.loses_write_answers = False
+        self.cut_links = set()
+        self.unsubscribed = set()
         self.last_arrival = {}
         self.forwarded = []
         self.dropped = []
         self.messages = collections.Counter()
         for number in range(count):
-            self.join(f'i{number}')
+            self.start_instance(f'i{number}')
 
-    def join(self, name):
+    def start_instance(self, name):
         """Start an instance, or start it anew with nothing."""
         zone = ZONES[int(name[1:]) % len(ZONES)]
         address = endpoint.Endpoint('10.0.2.1', int(name[1:]))
@@ -98,19 +105,21 @@
             self.settings,
         )
         if self.stored is not None:
-            self.tell(name, event.ObjectChanged(self.stored))
+            self.handle_event(name, event.ObjectChanged(self.stored))
         if self.configuration is not None:
-            self.tell(name, event.ConfigurationChanged(self.configuration))
-        self.tell(name, self.build_membership())
-        self.publish_members()
+            self.handle_event(
+                name, event.ConfigurationChanged(self.configuration)
+            )
+        self.handle_event(name, self.build_membership_event())
+        self.publish_membership()
         self.schedule(self.random.random() * 0.25, self.tick, name)
 
     def tick(self, name):
         """Tell an instance the time, and again a quarter second later."""
-        self.tell(name, event.Tick())
+        self.handle_event(name, event.Tick())
         self.schedule(0.25, self.tick, name)
 
-    def die(self, name):
+    def kill(self, name):
         """End an instance without notice."""
         del self.cores[name]
         self.set_state(name, member.MemberState.DEAD)
@@ -118,7 +127,7 @@
     def stop(self, name, limit=60):
         """Stop an instance as planned."""
         self.set_state(name, member.MemberState.LEAVING)
-        self.tell(name, event.StopRequested())
+        self.handle_event(name, event.StopRequested())
         end = self.now + limit
         while not self.cores[name].is_finished and self.now < end:
             self.run(0.25)
@@ -130,24 +139,24 @@
         self.members[name] = dataclasses.replace(
             self.members[name], state=state
         )
-        self.publish_members()
+        self.publish_membership()
 
-    def build_membership(self):
+    def build_membership_event(self):
         """Build what members learn of each other."""
         self.members_version += 1
         return event.MembershipChanged(
             member.Membership(self.members_version, dict(self.members))
         )
 
-    def publish_members(self):
+    def publish_membership(self):
         """Tell all instances of the members."""
-        self.publish(self.build_membership())
+        self.publish(self.build_membership_event())
 
-    def configure(self, described, only=None):
+    def configure(self, new_service, only=None):
         """Put a service in force on all or some instances."""
         revision = self.configuration.revision + 1 if self.configuration else 1
         self.configuration = configuration.Configuration(
-            revision, {described.name: described}
+            revision, {new_service.name: new_service}
         )
         self.publish(event.ConfigurationChanged(self.configuration), only)
 
@@ -158,59 +167,59 @@
     def publish(self, occurred, only=None):
         """Give news to instances, each after a delay of its own."""
         for name in only or sorted(self.cores):
-            if name in self.deaf:
+            if name in self.unsubscribed:
                 continue
-            delay = self.random.random() * self.uneven
+            delay = self.random.random() * self.publish_delay
             self.deliver('', name, occurred, delay)
 
     def deliver(self, sender, name, occurred, delay):
         """Give an event to an instance later; order is kept for a pair."""
-        if not delay and not self.delay:
-            self.tell(name, occurred)
+        if not delay and not self.message_delay:
+            self.handle_event(name, occurred)
             return
         pair = (sender, name, type(occurred))
         at = max(self.now + delay, self.last_arrival.get(pair, 0.0))
         self.last_arrival[pair] = at
-        self.schedule(at - self.now, self.tell, name, occurred)
+        self.schedule(at - self.now, self.handle_event, name, occurred)
 
     def schedule(self, delay, call, name, *arguments):
         """Do something for an instance later, unless it ended by then."""
-        self.number += 1
+        self.sequence += 1
         item = (
             self.now + delay,
-            self.number,
+            self.sequence,
             self.epochs[name],
             call,
             name,
             arguments,
         )
-        heapq.heappush(self.agenda, item)
+        heapq.heappush(self.scheduled_calls, item)
 
-    def tell(self, name, occurred):
+    def handle_event(self, name, occurred):
         """Give an event to a core and carry out its effects."""
         if name not in self.cores:
             return
-        for each in self.cores[name].handle(self.now, occurred):
-            self.carry_out(name, each)
+        for produced in self.cores[name].handle(self.now, occurred):
+            self.apply_effect(name, produced)
 
-    def carry_out(self, name, each):
+    def apply_effect(self, name, produced):
         """Carry out one effect."""
-        if isinstance(each, effect.SendToPeer):
-            self.messages[type(each.message).__name__] += 1
-            if frozenset((name, each.peer)) in self.cut:
+        if isinstance(produced, effect.SendToPeer):
+            self.messages[type(produced.message).__name__] += 1
+            if frozenset((name, produced.peer)) in self.cut_links:
                 return
             self.deliver(
                 name,
-                each.peer,
-                event.PeerMessageReceived(name, each.message),
-                self.random.random() * self.delay,
+                produced.peer,
+                event.PeerMessageReceived(name, produced.message),
+                self.random.random() * self.message_delay,
             )
-        elif isinstance(each, effect.ForwardDatagram):
-            self.forwarded.append((name, each))
-        elif isinstance(each, effect.DropDatagram):
-            self.dropped.append((name, each))
-        elif isinstance(each, effect.RequestWrite):
-            self.write(name, each.write)
+        elif isinstance(produced, effect.ForwardDatagram):
+            self.forwarded.append((name, produced))
+        elif isinstance(produced, effect.DropDatagram):
+            self.dropped.append((name, produced))
+        elif isinstance(produced, effect.RequestWrite):
+            self.write(name, produced.write)
 
     def write(self, name, write):
         """Write conditionally to the store."""
@@ -221,24 +230,24 @@
             self.stored = platform_api.StoredObject(
                 write.path,
                 version + 1,
-                int(revisions.Revision(version + 1, self.era)),
+                int(revisions.Revision(version + 1, self.store_era)),
                 write.value,
             )
             self.publish_table()
         current = self.stored
-        if self.is_store_down or self.loses_answers:
+        if self.is_store_down or self.loses_write_answers:
             status = platform_api.PlatformStatus.UNKNOWN
             current = None
         ended = event.WriteEnded(write.path, status, current)
-        self.deliver('platform', name, ended, self.delay)
+        self.deliver('platform', name, ended, self.message_delay)
 
     def restore(self, saved):
         """Have the store come back with an older table, or with none."""
-        self.era += 1
+        self.store_era += 1
         path, version, value = self.stored.path, 0, None
         if saved is not None:
             version, value = saved.version, saved.value
-        revision = int(revisions.Revision(version, self.era))
+        revision = int(revisions.Revision(version, self.store_era))
         found = platform_api.StoredObject(path, version, revision, value)
         self.stored = None if saved is None else found
         self.publish(event.ObjectChanged(found))
@@ -246,8 +255,10 @@
     def run(self, seconds):
         """Let time pass."""
         end = self.now + seconds
-        while self.agenda and self.agenda[0][0] <= end:
-            at, _, epoch, call, name, arguments = heapq.heappop(self.agenda)
+        while self.scheduled_calls and self.scheduled_calls[0][0] <= end:
+            at, _, epoch, call, name, arguments = heapq.heappop(
+                self.scheduled_calls
+            )
             self.now = at
             if self.epochs[name] == epoch:
                 call(name, *arguments)
@@ -255,7 +266,7 @@
 
     def partition(self, side):
         """Cut some instances off from the others."""
-        self.cut = {
+        self.cut_links = {
             frozenset((one, other))
             for one in side
             for other in self.cores
@@ -268,7 +279,7 @@
             'press-desk', upstream, reachable, 0, flows, reachable
         )
         for name in only or sorted(self.cores):
-            self.tell(name, report)
+            self.handle_event(name, report)
 
     def send(self, name, caller, is_first=False):
         """Send a datagram; return the upstream that it reached, or None.
@@ -276,12 +287,12 @@
         Only for a network without delays.
         """
         count = len(self.forwarded)
-        self.inject(name, caller, is_first)
+        self.deliver_datagram(name, caller, is_first)
         if len(self.forwarded) == count:
             return None
         return self.forwarded[-1][1].upstream.name
 
-    def inject(self, name, caller, is_first=False):
+    def deliver_datagram(self, name, caller, is_first=False):
         """Let the fabric hand a datagram to an instance."""
         datagram = event.DatagramReceived(ADDRESS, caller, b'x', is_first)
-        self.tell(name, datagram)
+        self.handle_event(name, datagram)
--- a/skylarkfold/tests/flows/test_core.py
+++ b/skylarkfold/tests/flows/test_core.py
@@ -25,32 +25,34 @@
     return cluster_module.build_service(upstreams, **changes)
 
 
-class Flows:
+class FlowSet:
     """Flows and the upstream that each first reached."""
 
     def __init__(self, cluster):
         self.cluster = cluster
-        self.first = {}
-        self.turn = 0
+        self.first_upstreams = {}
+        self.pick_count = 0
 
-    def pick(self):
+    def pick_instance(self):
         names = sorted(self.cluster.cores)
-        self.turn += 1
-        return names[self.turn * 7 % len(names)]
+        self.pick_count += 1
+        return names[self.pick_count * 7 % len(names)]
 
     def begin(self, count, is_first=True):
         for _ in range(count):
-            caller = cluster_module.build_caller(len(self.first))
-            self.first[caller] = self.cluster.send(
-                self.pick(), caller, is_first
+            caller = cluster_module.build_caller(len(self.first_upstreams))
+            self.first_upstreams[caller] = self.cluster.send(
+                self.pick_instance(), caller, is_first
             )
 
     def find_broken(self, is_first=False):
         found = {
-            caller: self.cluster.send(self.pick(), caller, is_first)
-            for caller in self.first
+            caller: self.cluster.send(self.pick_instance(), caller, is_first)
+            for caller in self.first_upstreams
         }
-        return [each for each in found if found[each] != self.first[each]]
+        return [
+            each for each in found if found[each] != self.first_upstreams[each]
+        ]
 
     def keep_alive(self, seconds, step=10):
         broken = []
@@ -66,7 +68,7 @@
         self.cluster = cluster_module.Cluster(4)
         self.cluster.configure(build_service(4))
         self.cluster.run(1)
-        self.flows = Flows(self.cluster)
+        self.flows = FlowSet(self.cluster)
         self.flows.begin(400)
 
     def test_first_table_is_written(self):
@@ -76,10 +78,11 @@
         self.cluster.configure(build_service(4, draining=[1]))
         self.cluster.run(2)
         self.assertEqual([], self.flows.find_broken())
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         self.flows.begin(200)
         new = {
-            each.upstream.name for _, each in self.cluster.forwarded[begun:]
+            each.upstream.name
+            for _, each in self.cluster.forwarded[first_forwarded:]
         }
         self.assertNotIn('u1', new)
         self.assertEqual([], self.flows.find_broken())
@@ -104,10 +107,11 @@
         self.assertEqual([], self.flows.find_broken())
         self.cluster.configure(build_service(4, draining=[1, 2, 3]))
         self.cluster.run(20)
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         self.flows.begin(100)
         new = {
-            each.upstream.name for _, each in self.cluster.forwarded[begun:]
+            each.upstream.name
+            for _, each in self.cluster.forwarded[first_forwarded:]
         }
         self.assertEqual({'u0'}, new)
         self.assertEqual([], self.flows.find_broken())
@@ -136,7 +140,7 @@
         self.cluster.configure(build_service(5))
         self.cluster.run(3)
         self.flows.begin(200)
-        self.assertIn('u4', self.flows.first.values())
+        self.assertIn('u4', self.flows.first_upstreams.values())
         self.assertEqual([], self.flows.find_broken())
 
     def test_second_change_before_the_first_is_done(self):
@@ -156,7 +160,7 @@
         self.flows.begin(200)
         self.cluster.run(1)
         for name in sorted(self.cluster.cores):
-            self.cluster.join(name)
+            self.cluster.start_instance(name)
             self.cluster.run(2)
             self.assertEqual([], self.flows.find_broken())
             self.cluster.run(3)
@@ -174,8 +178,8 @@
         self.cluster.configure(build_service(4, draining=[1]))
         self.cluster.run(30)
         reached = {
-            self.cluster.send(self.flows.pick(), caller, True)
-            for caller in self.flows.first
+            self.cluster.send(self.flows.pick_instance(), caller, True)
+            for caller in self.flows.first_upstreams
         }
         self.assertEqual({'u0', 'u2', 'u3'}, reached)
 
@@ -194,7 +198,7 @@
         self.cluster = cluster_module.Cluster(4)
         self.cluster.configure(build_service(4))
         self.cluster.run(1)
-        self.flows = Flows(self.cluster)
+        self.flows = FlowSet(self.cluster)
         self.flows.begin(200)
 
     def test_tables_are_frozen_and_served_without_the_store(self):
@@ -203,7 +207,7 @@
         self.cluster.run(60)
         self.flows.begin(100)
         self.assertEqual([], self.flows.find_broken())
-        self.assertNotIn(None, self.flows.first.values())
+        self.assertNotIn(None, self.flows.first_upstreams.values())
         self.assertEqual(1, self.cluster.stored.version)
 
     def test_drain_goes_on_when_the_store_is_back(self):
@@ -212,17 +216,17 @@
         self.cluster.run(20)
         self.cluster.is_store_down = False
         self.cluster.run(40)
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         self.flows.begin(100)
-        new = self.cluster.forwarded[begun:]
+        new = self.cluster.forwarded[first_forwarded:]
         self.assertNotIn('u1', {each.upstream.name for _, each in new})
 
     def test_lost_answers_of_writes(self):
-        self.cluster.loses_answers = True
+        self.cluster.loses_write_answers = True
         self.cluster.configure(build_service(4, draining=[1]))
         self.cluster.run(60)
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         self.flows.begin(100)
-        new = self.cluster.forwarded[begun:]
+        new = self.cluster.forwarded[first_forwarded:]
         self.assertNotIn('u1', {each.upstream.name for _, each in new})
         self.assertEqual([], self.flows.find_broken())
--- a/skylarkfold/tests/flows/test_faults.py
+++ b/skylarkfold/tests/flows/test_faults.py
@@ -23,12 +23,12 @@
         self.changes = changes
         self.configure()
         self.cluster.run(1)
-        self.flows = test_core.Flows(self.cluster)
+        self.flows = test_core.FlowSet(self.cluster)
         self.flows.begin(300)
 
     def configure(self, draining=()):
-        described = test_core.build_service(5, draining, **self.changes)
-        self.cluster.configure(described)
+        new_service = test_core.build_service(5, draining, **self.changes)
+        self.cluster.configure(new_service)
 
     def begin_drain(self):
         self.configure([1])
@@ -41,32 +41,32 @@
     def test_two_instances_die_at_once(self):
         self.start()
         self.begin_drain()
-        self.cluster.die('i0')
-        self.cluster.die('i1')
+        self.cluster.kill('i0')
+        self.cluster.kill('i1')
         self.assertEqual([], self.flows.find_broken())
 
     def test_an_instance_comes_back_with_nothing(self):
         self.start()
         self.begin_drain()
-        self.cluster.join('i0')
+        self.cluster.start_instance('i0')
         self.assertEqual([], self.flows.find_broken())
 
     def test_home_and_replicas_die_but_others_remember(self):
         self.start(8, flows.FlowSettings(replica_count=1))
         self.begin_drain()
-        for caller in self.flows.first:
+        for caller in self.flows.first_upstreams:
             for _ in range(10):
                 for name in ('i6', 'i7'):
                     self.cluster.send(name, caller)
-        self.cluster.die('i0')
-        self.cluster.die('i1')
+        self.cluster.kill('i0')
+        self.cluster.kill('i1')
         self.cluster.run(5)
         self.assertEqual([], self.flows.find_broken())
 
     def test_without_a_replica_flows_are_lost(self):
         self.start(6, flows.FlowSettings(replica_count=0))
         self.begin_drain()
-        self.cluster.die('i0')
+        self.cluster.kill('i0')
         self.assertNotEqual([], self.flows.find_broken())
 
 
@@ -85,17 +85,19 @@
                 for other, each in self.cluster.members.items()
             }
             membership = member.Membership(99, members)
-            self.cluster.tell(name, event.MembershipChanged(membership))
+            self.cluster.handle_event(
+                name, event.MembershipChanged(membership)
+            )
 
     def rejoin(self):
-        self.cluster.cut = set()
-        self.cluster.publish_members()
+        self.cluster.cut_links = set()
+        self.cluster.publish_membership()
 
     def test_zone_cut_off_and_joined_again(self):
         self.start()
         self.begin_drain()
         self.cut_zone(member.MemberState.DEAD)
-        for caller in self.flows.first:
+        for caller in self.flows.first_upstreams:
             for name in ('i0', 'i1'):
                 self.assertIsNotNone(self.cluster.send(name, caller))
         self.cluster.run(20)
@@ -110,17 +112,17 @@
         self.cluster.run(5)
         reached = {
             caller: self.cluster.send('i1', caller)
-            for caller in self.flows.first
+            for caller in self.flows.first_upstreams
         }
-        self.assertEqual(self.flows.first, reached)
+        self.assertEqual(self.flows.first_upstreams, reached)
 
     def test_instance_that_never_heard_of_the_table_asks_others(self):
         self.start()
-        self.cluster.deaf = {'i5'}
+        self.cluster.unsubscribed = {'i5'}
         self.configure([1])
         self.cluster.run(20)
         self.assertEqual(
-            1, self.cluster.cores['i5']._catalog.get('press-desk').version
+            1, self.cluster.cores['i5']._registry.get('press-desk').version
         )
         names = ['i0', 'i1', 'i2']
         found = {}
@@ -140,7 +142,7 @@
         broken = set(self.flows.find_broken())
         on_dead = {
             caller
-            for caller, upstream in self.flows.first.items()
+            for caller, upstream in self.flows.first_upstreams.items()
             if upstream == 'u2'
         }
         self.assertEqual(on_dead, broken)
@@ -155,28 +157,28 @@
         self.cluster.run(10)
         self.assertEqual([], self.flows.find_broken())
         self.assertEqual(
-            [], self.cluster.cores['i0']._catalog.get('press-desk').table.dead
+            [], self.cluster.cores['i0']._registry.get('press-desk').table.dead
         )
 
     def test_full_upstream_gets_no_new_flow_where_there_is_a_choice(self):
         self.start(preference=BALANCE)
-        described = test_core.build_service(5, [1], preference=BALANCE)
+        new_service = test_core.build_service(5, [1], preference=BALANCE)
         upstreams = tuple(
             dataclasses.replace(each, connections=10)
             if each.name == 'u2'
             else each
-            for each in described.upstreams
+            for each in new_service.upstreams
         )
-        described = dataclasses.replace(described, upstreams=upstreams)
-        self.cluster.configure(described)
+        new_service = dataclasses.replace(new_service, upstreams=upstreams)
+        self.cluster.configure(new_service)
         self.cluster.run(2)
         for number in range(5):
             self.cluster.report_load(f'u{number}', 10 if number == 2 else 50)
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         self.flows.begin(400)
         placed = [
             each.upstream.name
-            for _, each in self.cluster.forwarded[begun:]
+            for _, each in self.cluster.forwarded[first_forwarded:]
             if each.reason is effect.Reason.PLACED
         ]
         self.assertGreater(len(placed), 50)
@@ -195,10 +197,11 @@
         loads = {'u0': 400, 'u1': 500, 'u2': 500, 'u3': 500, 'u4': 500}
         for name, count in loads.items():
             self.cluster.report_load(name, count)
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         self.flows.begin(200)
         counts = collections.Counter(
-            each.upstream.name for _, each in self.cluster.forwarded[begun:]
+            each.upstream.name
+            for _, each in self.cluster.forwarded[first_forwarded:]
         )
         self.assertEqual('u0', counts.most_common(1)[0][0])
 
@@ -215,7 +218,7 @@
 
     def count_pins(self):
         return sum(
-            core._catalog.get('press-desk').count_pins()
+            core._registry.get('press-desk').count_pins()
             for core in self.cluster.cores.values()
         )
 
@@ -232,12 +235,12 @@
             'plano-vault', '10.9.9.9', 5, b'x', False, ['i1']
         )
         core.handle(0.0, event.PeerMessageReceived('i1', redirect))
-        begun = len(self.cluster.forwarded)
+        first_forwarded = len(self.cluster.forwarded)
         other = cluster_module.build_service(
             test_core.build_upstreams(2), name='plano-vault'
         )
         self.cluster.configure(other)
-        new = self.cluster.forwarded[begun:]
+        new = self.cluster.forwarded[first_forwarded:]
         self.assertEqual(['plano-vault'], [x.service.name for _, x in new])
 
     def test_datagram_of_an_unknown_service_is_dropped_in_the_end(self):
@@ -256,7 +259,7 @@
 class UnmarkedTest(FaultTest):
     def test_flows_that_send_seldom(self):
         self.start(preference=BALANCE, flow_idle_seconds=20.0)
-        self.flows.first.clear()
+        self.flows.first_upstreams.clear()
         self.flows.begin(300, is_first=None)
         self.cluster.run(3)
         self.configure([1])
--- a/skylarkfold/tests/flows/test_health.py
+++ b/skylarkfold/tests/flows/test_health.py
@@ -15,21 +15,21 @@
         self.cluster = cluster_module.Cluster(4)
         self.cluster.configure(test_core.build_service(4))
         self.cluster.run(1)
-        self.flows = test_core.Flows(self.cluster)
+        self.flows = test_core.FlowSet(self.cluster)
         self.flows.begin(400)
 
-    def report(self, names, seconds, **said):
+    def report(self, names, seconds, **reported):
         """Let instances report on one upstream for some time."""
         for _ in range(seconds):
             for name in names:
-                told = event.LoadReported(
-                    'press-desk', UPSTREAM, running=0, flows=100, **said
+                report = event.LoadReported(
+                    'press-desk', UPSTREAM, running=0, flows=100, **reported
                 )
-                self.cluster.tell(name, told)
+                self.cluster.handle_event(name, report)
             self.cluster.run(1)
 
-    def list_own(self):
-        first = self.flows.first
+    def list_flows_on_upstream(self):
+        first = self.flows.first_upstreams
         return {each for each in first if first[each] == UPSTREAM}
 
     def test_unwell_upstream_keeps_its_flows(self):
@@ -44,6 +44,6 @@
 
     def test_dead_upstream_loses_its_own_flows_and_no_others(self):
         everyone = sorted(self.cluster.cores)
-        own = self.list_own()
+        own = self.list_flows_on_upstream()
         self.report(everyone, 20, healthy=False, reachable=False)
         self.assertEqual(own, set(self.flows.find_broken()))
--- a/skylarkfold/tests/flows/test_plan.py
+++ b/skylarkfold/tests/flows/test_plan.py
@@ -32,55 +32,55 @@
 
 
 @strategies.composite
-def build_situations(draw):
-    described = draw(build_services())
-    names = [each.name for each in described.upstreams]
+def build_plan_inputs(draw):
+    new_service = draw(build_services())
+    names = [each.name for each in new_service.upstreams]
     dead = draw(strategies.frozensets(strategies.sampled_from(names)))
-    emptied = draw(BUCKETS)
-    return _plan.Situation(
-        service=described,
+    migrated = draw(BUCKETS)
+    return _plan.PlanInput(
+        service=new_service,
         dead=dead if len(dead) < len(names) else frozenset(),
         prepared=draw(BUCKETS),
-        emptied=emptied,
-        settled=emptied & draw(BUCKETS),
+        migrated=migrated,
+        settled=migrated & draw(BUCKETS),
     )
 
 
-def plan(table, situation):
-    return _plan.plan_table(table, situation, SETTINGS) or table
+def plan(table, plan_input):
+    return _plan.plan_table(table, plan_input, SETTINGS) or table
 
 
-def run_plans(first, situations):
-    table = _table.build_first(first, SETTINGS)
-    for situation in situations:
-        planned = plan(table, situation)
-        yield table, situation, planned
+def run_plans(first, plan_inputs):
+    table = _table.build_initial(first, SETTINGS)
+    for plan_input in plan_inputs:
+        planned = plan(table, plan_input)
+        yield table, plan_input, planned
         table = planned
 
 
-HISTORIES = strategies.lists(build_situations(), min_size=1, max_size=6)
+HISTORIES = strategies.lists(build_plan_inputs(), min_size=1, max_size=6)
 
 
 class PlanTest(testtools.TestCase):
     @hypothesis.given(build_services(), HISTORIES)
     def test_established_flows_keep_their_upstream(self, first, history):
-        for before, situation, after in run_plans(first, history):
+        for before, plan_input, after in run_plans(first, history):
             for bucket in range(64):
                 was = before.unpinned[bucket]
-                if before.upstreams[was].name in situation.dead:
+                if before.upstreams[was].name in plan_input.dead:
                     continue
                 if after.unpinned[bucket] != was:
-                    self.assertIn(bucket, situation.emptied)
+                    self.assertIn(bucket, plan_input.migrated)
                     self.assertEqual(_plan.OPEN, before.states[bucket])
 
     @hypothesis.given(build_services(), HISTORIES)
     def test_a_bucket_opens_only_when_prepared(self, first, history):
-        for before, situation, after in run_plans(first, history):
+        for before, plan_input, after in run_plans(first, history):
             for bucket in range(64):
                 was, now = before.states[bucket], after.states[bucket]
                 if now == _plan.OPEN and was != _plan.OPEN:
-                    self.assertEqual(_plan.PREPARE, was)
-                    self.assertIn(bucket, situation.prepared)
+                    self.assertEqual(_plan.PREPARING, was)
+                    self.assertIn(bucket, plan_input.prepared)
 
     @hypothesis.given(build_services(), HISTORIES)
     def test_a_bucket_closes_only_where_nothing_can_differ(
@@ -97,29 +97,29 @@
 
     @hypothesis.given(build_services(), HISTORIES, build_services())
     def test_shares_are_exact_in_the_end(self, first, history, last):
-        table = _table.build_first(first, SETTINGS)
-        for situation in history:
-            table = plan(table, situation)
+        table = _table.build_initial(first, SETTINGS)
+        for plan_input in history:
+            table = plan(table, plan_input)
         everything = frozenset(range(64))
-        calm = _plan.Situation(
+        steady = _plan.PlanInput(
             service=last,
             prepared=everything,
-            emptied=everything,
+            migrated=everything,
             settled=everything,
         )
         for _ in range(12):
-            table = plan(table, calm)
+            table = plan(table, steady)
         eligible = _table.list_eligible(last)
         weights = {each.name: each.weight for each in eligible}
-        bound = [each for each in table.targets if each != _table.FREE]
+        assigned = [each for each in table.targets if each != _table.BY_LOAD]
         counts = collections.Counter(
-            table.upstreams[each].name for each in bound
+            table.upstreams[each].name for each in assigned
         )
-        expected = _table.apportion(weights, len(bound))
+        expected = _table.apportion(weights, len(assigned))
         self.assertEqual({k: v for k, v in expected.items() if v}, counts)
-        free = _table.count_free(last, SETTINGS)
-        self.assertEqual(free, len(table.targets) - len(bound))
-        self.assertIsNone(_plan.plan_table(table, calm, SETTINGS))
+        balanced = _table.count_balanced(last, SETTINGS)
+        self.assertEqual(balanced, len(table.targets) - len(assigned))
+        self.assertIsNone(_plan.plan_table(table, steady, SETTINGS))
 
     @hypothesis.given(build_services(), HISTORIES)
     def test_tables_survive_the_store(self, first, history):
--- a/skylarkfold/tests/flows/test_uneven.py
+++ b/skylarkfold/tests/flows/test_propagation_delays.py
@@ -32,36 +32,36 @@
 class UnevenTest(testtools.TestCase):
     """News take up to 2 s, and peers' messages up to 10 ms."""
 
-    def start(self, preference, marks=True, seed=1):
+    def start(self, preference, has_marks=True, seed=1):
         self.preference = preference
         self.cluster = cluster_module.Cluster(
-            6, seed=seed, delay=0.01, uneven=2.0
+            6, seed=seed, message_delay=0.01, publish_delay=2.0
         )
         self.configure(6)
         self.cluster.run(3)
         self.traffic = traffic_module.Traffic(
-            self.cluster, marks=marks, seed=seed
+            self.cluster, has_marks=has_marks, seed=seed
         )
-        self.traffic.begin(FLOWS, over=8)
+        self.traffic.begin(FLOWS, within_seconds=8)
         self.traffic.run(10)
 
     def configure(self, count, draining=()):
-        described = build_service(count, draining, self.preference)
-        self.cluster.configure(described)
+        new_service = build_service(count, draining, self.preference)
+        self.cluster.configure(new_service)
 
     def begin_drain(self):
         self.configure(6, [1])
-        self.traffic.begin(FLOWS, over=20)
+        self.traffic.begin(FLOWS, within_seconds=20)
         self.traffic.run(12)
 
     def assert_unbroken(self):
         self.assertEqual({}, self.traffic.broken)
-        self.assertEqual(2 * FLOWS, len(self.traffic.first))
+        self.assertEqual(2 * FLOWS, len(self.traffic.first_upstreams))
 
 
 class ConfigurationTest(UnevenTest):
     def test_drain_of_unmarked_flows(self):
-        self.start(CONTINUITY, marks=False)
+        self.start(CONTINUITY, has_marks=False)
         self.begin_drain()
         self.traffic.run(30)
         self.assert_unbroken()
@@ -69,7 +69,7 @@
     def test_stacked_changes(self):
         self.start(BALANCE)
         self.configure(6, [1])
-        self.traffic.begin(FLOWS, over=15)
+        self.traffic.begin(FLOWS, within_seconds=15)
         self.traffic.run(2.5)
         self.configure(7, [1])
         self.traffic.run(1.5)
@@ -87,7 +87,7 @@
         for name in sorted(self.cluster.cores):
             self.cluster.stop(name)
             self.traffic.run(0.5)
-            self.cluster.join(name)
+            self.cluster.start_instance(name)
             self.traffic.run(4)
         self.assert_unbroken()
 
@@ -97,7 +97,7 @@
         leaving = ['i0', 'i1', 'i2']
         for name in leaving:
             self.cluster.set_state(name, member.MemberState.LEAVING)
-            self.cluster.tell(name, event.StopRequested())
+            self.cluster.handle_event(name, event.StopRequested())
         self.traffic.run(15)
         for name in leaving:
             self.assertTrue(self.cluster.cores[name].is_finished)
@@ -105,17 +105,17 @@
             self.cluster.set_state(name, member.MemberState.LEFT)
         self.traffic.run(10)
         for name in leaving:
-            self.cluster.join(name)
+            self.cluster.start_instance(name)
         self.traffic.run(15)
         self.assert_unbroken()
 
     def test_instances_join_together(self):
         self.start(BALANCE)
         self.begin_drain()
-        self.cluster.join('i6')
-        self.cluster.join('i7')
+        self.cluster.start_instance('i6')
+        self.cluster.start_instance('i7')
         self.traffic.run(0.3)
-        self.cluster.join('i8')
+        self.cluster.start_instance('i8')
         self.traffic.run(15)
         self.assert_unbroken()
 
@@ -123,18 +123,18 @@
         self.start(CONTINUITY)
         self.begin_drain()
         self.traffic.run(10)
-        self.cluster.die('i0')
+        self.cluster.kill('i0')
         self.traffic.run(15)
         self.assert_unbroken()
 
     def test_instance_joins_while_holders_stop(self):
         self.start(BALANCE)
         self.begin_drain()
-        self.cluster.join('i6')
+        self.cluster.start_instance('i6')
         self.traffic.run(0.3)
         for name in ('i0', 'i1'):
             self.cluster.set_state(name, member.MemberState.LEAVING)
-            self.cluster.tell(name, event.StopRequested())
+            self.cluster.handle_event(name, event.StopRequested())
         self.traffic.run(5)
         for name in ('i0', 'i1'):
             self.assertTrue(self.cluster.cores[name].is_finished)
--- a/skylarkfold/tests/flows/test_ranking.py
+++ b/skylarkfold/tests/flows/test_ranking.py
@@ -21,12 +21,12 @@
         ranking = _ranking.Ranking(history[0])
         for zones in history:
             for slot in SLOTS:
-                ranking.list_holders(slot)
+                ranking.list_ranked(slot)
             ranking = ranking.replace(zones)
         fresh = _ranking.Ranking(history[-1])
         for slot in SLOTS:
             self.assertEqual(
-                fresh.list_holders(slot), ranking.list_holders(slot)
+                fresh.list_ranked(slot), ranking.list_ranked(slot)
             )
 
     @hypothesis.settings(max_examples=25)
@@ -37,9 +37,9 @@
         rest = {name: zone for name, zone in zones.items() if name != gone}
         after = before.replace(rest)
         for slot in SLOTS:
-            home = before.list_holders(slot)[0]
+            home = before.list_ranked(slot)[0]
             if home != gone:
-                self.assertEqual(home, after.list_holders(slot)[0])
+                self.assertEqual(home, after.list_ranked(slot)[0])
 
     @hypothesis.settings(max_examples=25)
     @hypothesis.given(ZONES)
@@ -48,5 +48,5 @@
         if len(set(zones.values())) < 2 or len(zones) > 8:
             return
         for slot in SLOTS:
-            home, replica = ranking.list_holders(slot)[:2]
+            home, replica = ranking.list_ranked(slot)[:2]
             self.assertNotEqual(zones[home], zones[replica])
--- a/skylarkfold/tests/flows/test_notes.py
+++ b/skylarkfold/tests/flows/test_send_queues.py
@@ -3,7 +3,7 @@
 import testtools
 
 from skylarkfold.flows import _messages
-from skylarkfold.flows import _notes
+from skylarkfold.flows import _send_queues
 
 
 def list_messages(sent):
@@ -14,7 +14,7 @@
     return [
         flow
         for message in list_messages(sent)
-        if isinstance(message, _messages.PinNote)
+        if isinstance(message, _messages.PinUpdate)
         for group in message.groups
         for flow in group.flows
     ]
@@ -23,7 +23,9 @@
 class PinQueueTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.queue = _notes.PinQueue(_notes.ByteBudget(1000), 0.2)
+        self.queue = _send_queues.PinQueue(
+            _send_queues.ByteRateLimiter(1000), 0.2
+        )
 
     def add(self, flows, peer='i1'):
         for flow in flows:
@@ -48,25 +50,27 @@
         for step in range(100):
             self.add(range(step * 100, step * 100 + 100), f'i{step % 5}')
             sent = self.queue.drain(step * 0.25)
-            total += len(list_flows(sent)) * _notes.FLOW_BYTES
+            total += len(list_flows(sent)) * _send_queues.FLOW_BYTES
         self.assertLess(total, 1000 * 25 + 2000 + 5 * 100 * 9 * 5)
         self.assertGreater(len(self.queue), 0)
 
     def test_pins_for_a_lost_peer_are_forgotten(self):
         self.add([1, 2])
         self.add([3], 'i2')
-        self.queue.drop('i1')
+        self.queue.drop_peer('i1')
         self.assertEqual(1, len(self.queue))
 
 
 class BulkQueueTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.pins = _notes.PinQueue(_notes.ByteBudget(1000), 0.0)
-        self.bulk = _notes.BulkQueue(_notes.ByteBudget(1000))
+        self.pins = _send_queues.PinQueue(
+            _send_queues.ByteRateLimiter(1000), 0.0
+        )
+        self.bulk = _send_queues.BulkQueue(_send_queues.ByteRateLimiter(1000))
 
     def test_notice_waits_for_new_pins(self):
-        done = _messages.HandOnDone(_messages.pack_slots([1]))
+        done = _messages.HandoverDone(_messages.pack_slots([1]))
         self.bulk.add_pins('i1', 'press-desk', [(1, 2)])
         self.bulk.add('i1', done)
         self.pins.add('i1', 'press-desk', 2, 5)
--- a/skylarkfold/tests/flows/test_table.py
+++ b/skylarkfold/tests/flows/test_table.py
@@ -40,7 +40,7 @@
             self.assertEqual('message-malformed', error.code)
 
     def test_indexes_out_of_range_are_refused(self):
-        table = _table.build_first(test_core.build_service(2), SETTINGS)
+        table = _table.build_initial(test_core.build_service(2), SETTINGS)
         broken = _table.BucketTable(
             table.upstreams, [], table.states, [9] * 1024, table.targets
         )
@@ -49,7 +49,7 @@
         )
 
     def test_first_table_is_even(self):
-        table = _table.build_first(test_core.build_service(7), SETTINGS)
+        table = _table.build_initial(test_core.build_service(7), SETTINGS)
         counts = [table.unpinned.count(index) for index in range(7)]
         self.assertLessEqual(max(counts) - min(counts), 1)
 
@@ -58,12 +58,12 @@
             (service.Preference.CONTINUITY, 0),
             (service.Preference.BALANCE, 256),
         ):
-            described = test_core.build_service(7, preference=preference)
-            table = _table.build_first(described, SETTINGS)
-            self.assertEqual(free, table.count_free())
+            new_service = test_core.build_service(7, preference=preference)
+            table = _table.build_initial(new_service, SETTINGS)
+            self.assertEqual(free, table.count_balanced())
 
     def test_large_table_fits_the_store(self):
         upstreams = [cluster.build_upstream(number) for number in range(4000)]
-        described = cluster.build_service(upstreams)
-        table = _table.build_first(described, SETTINGS)
+        new_service = cluster.build_service(upstreams)
+        table = _table.build_initial(new_service, SETTINGS)
         self.assertLess(len(_table.encode(table)), 1024 * 1024)
--- a/skylarkfold/tests/flows/traffic.py
+++ b/skylarkfold/tests/flows/traffic.py
@@ -13,25 +13,25 @@
     :param marks: whether first datagrams carry a mark.
     """
 
-    def __init__(self, cluster, period=2.0, marks=True, seed=1):
+    def __init__(self, cluster, period=2.0, has_marks=True, seed=1):
         self.cluster = cluster
         self.period = period
-        self.marks = marks
+        self.has_marks = has_marks
         self.random = random.Random(seed)
-        self.first = {}
-        self.begun_at = {}
+        self.first_upstreams = {}
+        self.started_at = {}
         self.broken = {}
-        self.seen = 0
-        self.fabric = None
+        self.forwarded_seen = 0
+        self.receivers = None
 
-    def begin(self, count, over=1.0, life=10000.0):
+    def begin(self, count, within_seconds=1.0, mean_life_seconds=10000.0):
         """Let flows begin within a time."""
-        base = len(self.begun_at)
+        base = len(self.started_at)
         for number in range(base, base + count):
             caller = cluster_module.build_caller(number)
-            delay = self.random.random() * over
-            self.begun_at[caller] = self.cluster.now + delay
-            length = self.random.expovariate(1 / life)
+            delay = self.random.random() * within_seconds
+            self.started_at[caller] = self.cluster.now + delay
+            length = self.random.expovariate(1 / mean_life_seconds)
             end = self.cluster.now + delay + length
             self.cluster.schedule(delay, self.send, '', caller, True, end)
 
@@ -39,9 +39,9 @@
         """Send a flow's datagram, and the next ones later."""
         if self.cluster.now > end:
             return
-        names = self.fabric or sorted(self.cluster.cores)
-        mark = is_first if self.marks else None
-        self.cluster.inject(self.random.choice(names), caller, mark)
+        names = self.receivers or sorted(self.cluster.cores)
+        mark = is_first if self.has_marks else None
+        self.cluster.deliver_datagram(self.random.choice(names), caller, mark)
         delay = self.random.uniform(0.2, 1.8) * self.period
         self.cluster.schedule(delay, self.send, '', caller, False, end)
 
@@ -49,13 +49,15 @@
         """Let time pass; return the flows that were broken meanwhile."""
         self.cluster.run(seconds)
         broken = {}
-        for name, each in self.cluster.forwarded[self.seen :]:
-            first = self.first.setdefault(each.caller, each.upstream.name)
+        for name, each in self.cluster.forwarded[self.forwarded_seen :]:
+            first = self.first_upstreams.setdefault(
+                each.caller, each.upstream.name
+            )
             if first != each.upstream.name:
                 broken.setdefault(
                     each.caller,
                     (first, each.upstream.name, name, each.reason.value),
                 )
-        self.seen = len(self.cluster.forwarded)
+        self.forwarded_seen = len(self.cluster.forwarded)
         self.broken.update(broken)
         return broken
