--- a/skylarkfold/flows/__init__.py
+++ b/skylarkfold/flows/__init__.py
@@ -1,4 +1,4 @@
-"""Long-lived flows: which upstream a datagram or a stream goes to."""
+"""Assignment of datagram flows and TCP streams to upstreams."""
 
 from __future__ import annotations
 
--- a/skylarkfold/flows/_balanced_buckets.py
+++ b/skylarkfold/flows/_balanced_buckets.py
@@ -1,4 +1,4 @@
-"""How many buckets of a service place new flows by load."""
+"""The number of buckets whose new flows are placed by load."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
     state: _state.ServiceState,
     settings: _settings.FlowSettings,
 ) -> int:
-    """Find the number of buckets that are to place new flows by load.
+    """Compute how many buckets should place new flows by load.
 
-    It follows from the table in force and from the load alone, so that
-    instances which see the same want the same. Between the two bounds
-    the number stays as it is.
+    The result depends only on the current table and on the reported load,
+    so that instances with the same data agree. The number grows above the
+    imbalance limit and shrinks below half of the excess that the limit
+    allows; in between it stays, so that it doesn't oscillate.
 
-    :param now: the time.
-    :param state: the service.
+    :param now: the current time.
+    :param state: the service's state.
     :param settings: the flow settings.
-    :returns: a number of buckets.
+    :returns: the number of buckets.
     """
     minimum = _table.count_balanced(state.service, settings)
     current = state.table.count_balanced()
--- a/skylarkfold/flows/_core.py
+++ b/skylarkfold/flows/_core.py
@@ -1,4 +1,4 @@
-"""The decision core for flows."""
+"""Event handling of the flow core."""
 
 from __future__ import annotations
 
@@ -29,15 +29,15 @@
 
 MAXIMUM_SLOT_BYTES = _ranking.SLOT_COUNT // 8
 
-# All that is due for a service is counted in half seconds or more.
+# Shorter than every interval of the tasks that run for each service.
 _SERVICE_TASK_SECONDS = 0.2
 
 
 class FlowCore:
-    """Keeps each flow on its upstream and spreads new ones.
+    """Keeps each flow on its upstream and places new flows.
 
     :param instance: this instance.
-    :param settings: the flow settings, alike on all instances.
+    :param settings: the flow settings; the same on all instances.
     """
 
     def __init__(
@@ -67,15 +67,16 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether a planned stop has nothing left to hand on."""
+        """Whether a planned stop has finished handing over pins."""
         return self._is_stopped
 
     def handle(self, now: float, occurred: object) -> list[object]:
-        """Take one event.
+        """Handle an event.
 
-        :param now: the time in seconds of a monotonic clock.
-        :param occurred: one of :mod:`skylarkfold.event`.
-        :returns: effects of :mod:`skylarkfold.effect`, in order.
+        :param now: the time in seconds, from a monotonic clock.
+        :param occurred: an event of :mod:`skylarkfold.event`.
+        :returns: the effects to carry out, in order; see
+            :mod:`skylarkfold.effect`.
         """
         if isinstance(occurred, event.DatagramReceived):
             return self._datagrams.receive(now, occurred)
@@ -84,13 +85,14 @@
     def route(
         self, now: float, service_name: str, caller: endpoint.Endpoint
     ) -> service_module.Upstream | None:
-        """Answer for a datagram that does not begin a flow.
+        """Return the upstream of a datagram that does not begin a flow.
 
-        :param now: the time.
+        :param now: the current time.
         :param service_name: the service's name.
-        :param caller: who sent the datagram.
-        :returns: the upstream if this instance knows it alone, else None;
-            then the datagram takes the way through :meth:`handle`.
+        :param caller: the sender of the datagram.
+        :returns: the upstream if this instance can tell without asking a
+            peer; otherwise None, and the datagram has to go through
+            :meth:`handle`.
         """
         state = self._registry.get(service_name)
         if state is None:
@@ -126,7 +128,7 @@
 
     @_handle.register
     def _(self, occurred: event.PeerLost, now: float) -> list[object]:
-        self._outbox.drop_peer(occurred.peer)
+        self._outbox.drop(occurred.peer)
         return self._handle_ranking_change(
             now, self._members.mark_disconnected(now, occurred.peer)
         )
@@ -139,7 +141,7 @@
     @_handle.register
     def _(self, occurred: event.StopRequested, now: float) -> list[object]:
         self._outbox.begin_stop(now)
-        return self._handle_ranking_change(now, self._members.begin_stop(now))
+        return self._handle_ranking_change(now, self._members.stop_owning(now))
 
     @_handle.register
     def _(
@@ -189,12 +191,13 @@
         return effects
 
     def _run_service_tasks(self, now: float) -> list[object]:
-        """Do what is due for each service; too much work for each tick."""
+        """Run the periodic tasks of each service.
+
+        They cost too much to run on every tick.
+        """
         effects: list[object] = []
         states = list(self._registry.states.values())
-        for service_name, message in self._pin_maintenance.run_due(
-            now, states
-        ):
+        for service_name, message in self._pin_maintenance.run(now, states):
             effects += self._send_to_proposers(now, service_name, message)
         self._router.is_pin_limit_reached = (
             self._pin_maintenance.is_pin_limit_reached
@@ -301,9 +304,10 @@
         if version <= state.prepared_version:
             return []
         state.record_prepared_version(version)
-        done = _messages.PreparationDone(state.name, version)
+        message = _messages.PreparationDone(state.name, version)
         return [
-            effect.SendToPeer(peer, done) for peer in self._members.reachable
+            effect.SendToPeer(peer, message)
+            for peer in self._members.reachable
         ]
 
     def _handle_ranking_change(
@@ -316,11 +320,15 @@
         self._outbox.queue_handovers(now, change, states)
         for state in states:
             self._pin_maintenance.update_home_pins(state)
-        changed = effect.CountMetric(metric.FLOWS_RANKING_CHANGED)
-        return [changed, *self._resend_applied(now)]
+        counted = effect.CountMetric(metric.FLOWS_RANKING_CHANGED)
+        return [counted, *self._resend_applied(now)]
 
     def _resend_applied(self, now: float) -> Iterator[object]:
-        """Tell new proposers of tables that are not long in force."""
+        """Tell the proposers again which tables were applied recently.
+
+        After a change of the ranking they may be other instances, which
+        have not received the first report.
+        """
         since = now - self._settings.propagation_seconds
         for state in self._registry.states.values():
             if state.applied_at is not None and state.applied_at > since:
@@ -360,8 +368,8 @@
         return effects
 
 
-# The descriptor builds a closure at each access, which costs as much as
-# the decision on a datagram.
+# Accessing a singledispatchmethod builds a closure each time, which costs as
+# much as routing a datagram, so the dispatchers are looked up once.
 _find_handler = FlowCore.__dict__['_handle'].dispatcher.dispatch
 _find_message_handler = FlowCore.__dict__[
     '_handle_message'
--- a/skylarkfold/flows/_datagram_handler.py
+++ b/skylarkfold/flows/_datagram_handler.py
@@ -1,4 +1,4 @@
-"""Datagrams on their way through an instance: routed, held or dropped."""
+"""Handling of datagrams from callers and of datagrams from peers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class DatagramHandler:
-    """Takes the datagrams of callers, and those that peers redirect.
+    """Routes, buffers or drops datagrams.
 
-    :param catalog: the services.
-    :param router: decides on a datagram whose service is known.
-    :param held: the datagrams that wait.
-    :param pins: what the replicas of pins are to be told.
+    :param registry: the services.
+    :param router: routes the datagrams of known services.
+    :param buffer: datagrams that can't be routed yet.
+    :param pin_queue: new pins for the replicas.
     """
 
     __slots__ = ('_registry', '_buffer', '_pin_queue', '_router')
@@ -40,11 +40,11 @@
     def receive(
         self, now: float, received: event.DatagramReceived
     ) -> list[object]:
-        """Forward a datagram, or do what its flow needs first.
+        """Handle a datagram from a caller.
 
-        :param now: the time.
+        :param now: the current time.
         :param received: the datagram.
-        :returns: effects.
+        :returns: the effects.
         """
         state = self._registry.find_by_address(received.address)
         if state is None:
@@ -71,15 +71,15 @@
         return self._route_packet(now, state, packet)
 
     def receive_redirect(
-        self, now: float, redirect: _messages.Redirect
+        self, now: float, redirected: _messages.Redirect
     ) -> list[object]:
-        """Take a datagram that a peer received.
+        """Handle a datagram that a peer redirected to this instance.
 
-        :param now: the time.
-        :param redirected: the datagram.
-        :returns: effects.
+        :param now: the current time.
+        :param redirected: the peer's message.
+        :returns: the effects.
         """
-        packet = _packet.unpack_redirect(redirect)
+        packet = _packet.unpack_redirect(redirected)
         state = self._registry.get(packet.service)
         if state is None:
             self._buffer.add(now, packet)
@@ -87,10 +87,10 @@
         return self._route_packet(now, state, packet)
 
     def route_held(self, now: float) -> list[object]:
-        """Route all that is held once more, after a change.
+        """Route the buffered datagrams again, after a change.
 
-        :param now: the time.
-        :returns: effects.
+        :param now: the current time.
+        :returns: the effects.
         """
         effects: list[object] = []
         for packet in self._buffer.take_all():
@@ -102,10 +102,10 @@
         return effects
 
     def expire_held(self, now: float) -> list[object]:
-        """Drop what was held for too long.
+        """Drop the datagrams that have been buffered for too long.
 
-        :param now: the time.
-        :returns: effects.
+        :param now: the current time.
+        :returns: the effects.
         """
         expired = self._buffer.expire(now)
         if not expired:
--- a/skylarkfold/flows/_handover.py
+++ b/skylarkfold/flows/_handover.py
@@ -1,4 +1,4 @@
-"""What to tell whom when the holders of pins change."""
+"""Handover of pins to their new holders after a ranking change."""
 
 from __future__ import annotations
 
@@ -20,15 +20,19 @@
     queue: _send_queues.BulkQueue,
     notified: set[tuple[str, int, bool]] | None = None,
 ) -> None:
-    """Queue what other instances need after a change of the ranking.
+    """Queue the handover messages that a ranking change calls for.
 
-    :param now: the time.
-    :param members: the instances as seen here.
+    Each recipient gets the pins that this instance has to send, followed by
+    a :class:`~skylarkfold.flows._messages.HandoverDone` for the slots.
+
+    :param now: the current time.
+    :param members: this instance's view of the members.
     :param change: the former and the current ranking.
-    :param states: all services.
-    :param queue: takes pins and the notice that these were all.
-    :param told: peers and slots that need no telling again, with whether
-        pins went along; is added to.
+    :param states: the states of all services.
+    :param queue: the queue for the messages.
+    :param notified: (peer, slot, whether pins were sent) of earlier
+        handovers, which are not repeated; new ones are added. None to
+        repeat all of them.
     """
     states = list(states)
     slots_with_pins = _find_slots_with_pins(states)
@@ -74,13 +78,14 @@
     states: Iterable[_state.ServiceState],
     queue: _send_queues.BulkQueue,
 ) -> None:
-    """Tell new homes what this instance remembers of flows.
+    """Queue the cached flows of slots whose home has departed.
 
-    Replicas may have gone with the home, or before they had its pins.
+    The new home needs them if the replicas departed as well, or had not
+    received all pins yet.
 
     :param change: the former and the current ranking.
-    :param states: all services.
-    :param queue: takes the pins.
+    :param states: the states of all services.
+    :param queue: the queue for the pins.
     """
     for state in states:
         flows_by_peer: dict[str, list[tuple[int, int]]] = {}
@@ -100,10 +105,11 @@
 def _list_recipients(
     name: str, change: _members.RankingChange, slot: int, has_pins: bool
 ) -> Iterator[str]:
-    """List the new holders that this instance speaks to.
+    """List the holders of a slot that this instance has to notify.
 
-    A holder that came back hears from all who may know anything of the
-    slot; one that moved up hears from the former holders.
+    A holder that has joined or restarted is notified by every instance that
+    may have pins of the slot. Any other new holder is notified by the former
+    holders.
     """
     former = change.list_former_holders(slot)
     ranked = change.current.list_ranked(slot)
@@ -123,11 +129,12 @@
     change: _members.RankingChange,
     slot: int,
 ) -> bool:
-    """Tell whether it is on this instance to send the pins.
+    """Return whether this instance has to send its pins of a slot.
 
-    The first former holder that is still an owner sends them. The others
-    send theirs too, unless that one has long had them. One that stops
-    leaves nothing to others, which may be about to stop as well.
+    The first former holder that still owns slots sends them. The others
+    send theirs as well unless that holder has been in sync with them for
+    long enough. A stopping instance always sends its pins, because the
+    other holders may be about to stop as well.
     """
     if members.is_stopping:
         return True
--- a/skylarkfold/flows/_health.py
+++ b/skylarkfold/flows/_health.py
@@ -1,4 +1,4 @@
-"""Upstreams that are dead, as most instances see it."""
+"""Detection of dead upstreams by majority vote of the instances."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from skylarkfold.flows import _settings
 from skylarkfold import service as service_module
 
-# One instance alone may be the one that is cut off.
+# A single instance may be partitioned from a healthy upstream.
 _MIN_VOTES = 2
 
 
@@ -18,11 +18,12 @@
 
 
 class HealthView:
-    """What each instance says of each upstream's health.
+    """The instances' votes on the health of each upstream.
 
-    An upstream that some instances can't reach may be alive for others:
-    it is dead only while two or more, and most of those that spoke of it,
-    say so, for long enough.
+    Some instances may fail to reach an upstream that others can reach. It
+    counts as dead only after at least two instances, and a majority of those
+    that voted, have found it unreachable for ``dead_seconds``. A single live
+    instance decides alone.
 
     :param settings: the flow settings.
     """
@@ -34,12 +35,12 @@
     def record(
         self, peer: str, service_name: str, upstream: str, healthy: bool
     ) -> None:
-        """Note an instance's opinion.
+        """Record an instance's vote.
 
-        :param peer: the instance.
+        :param peer: the instance's name.
         :param service_name: the service's name.
         :param upstream: the upstream's name.
-        :param healthy: what the instance finds.
+        :param healthy: whether the instance can reach the upstream.
         """
         key = (service_name, upstream)
         votes = self._votes.setdefault(key, _UpstreamVotes())
@@ -51,13 +52,13 @@
         service: service_module.Service,
         voters: set[str],
     ) -> frozenset[str]:
-        """Name the upstreams that are dead.
+        """Return the names of a service's dead upstreams.
 
-        :param now: the time.
+        :param now: the current time.
         :param service: the service.
-        :param voters: the live instances.
-        :returns: upstream names; never all of a service, for that says
-            more about the instances than about the upstreams.
+        :param voters: the names of the live instances.
+        :returns: the upstreams' names; empty if all would be dead, because
+            a fault of the instances' own network is more likely then.
         """
         dead = frozenset(
             upstream.name
--- a/skylarkfold/flows/_load.py
+++ b/skylarkfold/flows/_load.py
@@ -1,4 +1,4 @@
-"""How loaded a service's upstreams are, as far as it is known here."""
+"""The load of a service's upstreams as known on this instance."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class LoadView:
-    """Flows on each upstream: reported, and placed here since.
+    """Flows of each upstream: last reported, and placed since.
 
-    All homes of a service see the same lagging reports. So that they do
-    not all fill the same upstream until the next report, each takes it
-    that the others placed as many flows there as it did itself.
+    All instances that place flows see the same delayed reports. To keep them
+    from all filling the same upstream until the next report, each assumes
+    that the others have placed as many flows there as it has itself.
 
     :param settings: the flow settings.
     """
@@ -40,33 +40,34 @@
         self._loads: dict[str, _UpstreamLoad] = {}
 
     def begin_slow_start(self, now: float, name: str) -> None:
-        """Note an upstream that begins to take flows.
+        """Begin the slow start of a new upstream.
 
-        :param now: the time.
+        :param now: the current time.
         :param name: the upstream's name.
         """
         self._get(name).slow_start_at = now
 
     def count_placed(self, name: str) -> None:
-        """Note a flow that was placed here."""
+        """Count a flow that this instance placed on an upstream."""
         load = self._get(name)
         load.placed_since += 1
         load.pinned += 1
 
     def count_expired(self, name: str, amount: int) -> None:
-        """Note flows of this instance that ended."""
+        """Subtract flows of this instance that ended or expired."""
         load = self._get(name)
         load.pinned = max(0, load.pinned - amount)
 
     def record_report(self, now: float, report: event.LoadReported) -> bool:
-        """Take what an upstream says of itself.
+        """Record a load report of an upstream.
 
-        One that says that it is unwell gets no new flows; its own go on.
+        An upstream that reports itself unhealthy gets no new flows but keeps
+        those that it has.
 
-        :param now: the time.
-        :param told: the report.
-        :returns: whether it can be reached now and could not before, the
-            other way round, or nothing was known yet.
+        :param now: the current time.
+        :param report: the report.
+        :returns: whether it is the upstream's first report or its
+            reachability has changed.
         """
         load = self._get(report.upstream)
         is_change = (
@@ -80,11 +81,17 @@
         return is_change
 
     def record_failure(self, now: float, name: str) -> None:
-        """Note that an upstream could not be reached from here."""
+        """Record that this instance failed to connect to an upstream."""
         self._get(name).failed_at = now
 
     def is_usable(self, now: float, name: str) -> bool:
-        """Tell whether an upstream is taken to be reachable from here."""
+        """Return whether new flows may be placed on an upstream.
+
+        :param now: the current time.
+        :param name: the upstream's name.
+        :returns: False if it was reported unhealthy or unreachable, or failed
+            within the last ``unreachable_seconds``.
+        """
         load = self._get(name)
         if not load.healthy:
             return False
@@ -98,12 +105,14 @@
         upstreams: list[service_module.Upstream],
         owner_count: int,
     ) -> dict[str, float]:
-        """Estimate the load of upstreams that have room.
-
-        :param now: the time.
-        :param upstreams: the upstreams to weigh.
-        :param owner_count: instances that place flows of this service.
-        :returns: flows per weight by name, full upstreams left out.
+        """Estimate the load of the upstreams that have capacity left.
+
+        :param now: the current time.
+        :param upstreams: the upstreams to compare.
+        :param owner_count: the number of instances that place flows of this
+            service.
+        :returns: the number of flows divided by the weight, by upstream
+            name; full upstreams are left out.
         """
         are_reports_fresh = all(
             self._is_fresh(now, each) for each in upstreams
@@ -125,12 +134,13 @@
     def has_capacity(
         self, now: float, upstream: service_module.Upstream, owner_count: int
     ) -> bool:
-        """Tell whether an upstream may hold one more flow.
+        """Return whether an upstream can take one more flow.
 
-        :param now: the time.
+        :param now: the current time.
         :param upstream: the upstream.
-        :param owner_count: instances that place flows of this service.
-        :returns: False only where a fresh report says that it is full.
+        :param owner_count: the number of instances that place flows of this
+            service.
+        :returns: False only if it is full according to a fresh report.
         """
         if not self._is_fresh(now, upstream):
             return True
@@ -141,12 +151,14 @@
     def measure_imbalance(
         self, now: float, upstreams: list[service_module.Upstream]
     ) -> float | None:
-        """Compare the fullest upstream with the mean, by weight.
+        """Return the highest load divided by the mean load.
+
+        The load of an upstream is its number of flows divided by its weight.
 
-        :param now: the time.
-        :param upstreams: those that may take new flows.
-        :returns: 1.0 for an even load; None while reports are missing or
-            there are too few flows to tell.
+        :param now: the current time.
+        :param upstreams: the upstreams that may take new flows.
+        :returns: the ratio, 1.0 for an even load; None if a fresh report is
+            missing or there are too few flows to compare.
         """
         if not all(self._is_fresh(now, each) for each in upstreams):
             return None
@@ -169,8 +181,8 @@
     def _compute_slow_start(self, now: float, load: _UpstreamLoad) -> float:
         if load.slow_start_at is None:
             return 1.0
-        passed = (now - load.slow_start_at) / self._settings.cold_ramp_seconds
-        return min(1.0, max(_MIN_SLOW_START, passed))
+        elapsed = (now - load.slow_start_at) / self._settings.cold_ramp_seconds
+        return min(1.0, max(_MIN_SLOW_START, elapsed))
 
     def _get(self, name: str) -> _UpstreamLoad:
         load = self._loads.get(name)
--- a/skylarkfold/flows/_members.py
+++ b/skylarkfold/flows/_members.py
@@ -1,4 +1,4 @@
-"""The other instances, as far as flows are concerned."""
+"""This instance's view of the members, as far as flows need it."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RankingChange:
-    """Two successive rankings of the live instances.
+    """A change of the ranking of the live instances.
 
-    :param former: the ranking before.
-    :param current: the ranking now.
-    :param joined: instances that came, or came back with nothing.
-    :param gone: instances that may no longer own pins.
-    :param holder_count: how many instances hold a slot's pins.
+    :param former: the ranking before the change.
+    :param current: the ranking after the change.
+    :param joined: instances that joined, or restarted without their pins.
+    :param departed: instances that may no longer own slots.
+    :param holder_count: how many instances hold each slot's pins.
     """
 
     former: _ranking.Ranking
@@ -31,19 +31,27 @@
     holder_count: int
 
     def list_former_holders(self, slot: int) -> tuple[str, ...]:
-        """List the instances that held a slot's pins."""
+        """List the instances that held a slot's pins before the change."""
         return self.former.list_ranked(slot)[: self.holder_count]
 
     def list_current_holders(self, slot: int) -> tuple[str, ...]:
-        """List the instances that hold a slot's pins now."""
+        """List the instances that hold a slot's pins after the change."""
         return self.current.list_ranked(slot)[: self.holder_count]
 
 
 class MemberView:
-    """Who is live, who holds which slot, and whom to ask.
+    """Tracks live instances, slot holders and pending handovers.
+
+    After a ranking change a new holder of a slot waits for the handovers of
+    the instances that may have pins of it. Until they are done, or
+    ``settle_seconds`` have passed, it asks those instances about unknown
+    flows.
 
     :param instance: this instance.
     :param settings: the flow settings.
+    :ivar name: this instance's name.
+    :ivar ranking: the current ranking of the live instances.
+    :ivar is_stopping: whether this instance has given up its slots.
     """
 
     def __init__(
@@ -70,17 +78,17 @@
 
     @property
     def reachable(self) -> list[str]:
-        """Other instances that messages can be sent to, by name."""
+        """The names of the instances that can be sent messages, sorted."""
         return sorted(self._reachable)
 
     def update(
         self, now: float, membership: member.Membership
     ) -> RankingChange | None:
-        """Take a newer membership.
+        """Apply a newer membership.
 
-        :param now: the time.
-        :param membership: the members as seen here.
-        :returns: the change, or None if it concerns no owner.
+        :param now: the current time.
+        :param membership: the membership.
+        :returns: the ranking change, or None if the ranking stays.
         """
         former = self._membership.members
         self._membership = membership
@@ -93,54 +101,54 @@
         return self._update_ranking(now, restarted)
 
     def mark_disconnected(self, now: float, peer: str) -> RankingChange | None:
-        """Note that there is no stream to a peer.
+        """Record that the connection to a peer was lost.
 
-        :param now: the time.
-        :param peer: its name.
-        :returns: the change, or None if it owned nothing.
+        :param now: the current time.
+        :param peer: the peer's name.
+        :returns: the ranking change, or None if the ranking stays.
         """
         self._disconnected.add(peer)
         return self._update_ranking(now, set())
 
     def mark_connected(self, now: float, peer: str) -> RankingChange | None:
-        """Note that there is a stream to a peer again.
+        """Record that there is a connection to a peer.
 
-        :param now: the time.
-        :param peer: its name.
-        :returns: the change, or None if it had not been lost.
+        :param now: the current time.
+        :param peer: the peer's name.
+        :returns: the ranking change, or None if the ranking stays.
         """
         self._disconnected.discard(peer)
         return self._update_ranking(now, set())
 
-    def begin_stop(self, now: float) -> RankingChange | None:
-        """Stop owning pins here.
+    def stop_owning(self, now: float) -> RankingChange | None:
+        """Remove this instance from the ranking, for a planned stop.
 
-        :param now: the time.
-        :returns: the change.
+        :param now: the current time.
+        :returns: the ranking change, or None if the ranking stays.
         """
         self.is_stopping = True
         self._ranking_before_stop = self.ranking
         return self._update_ranking(now, set())
 
     def list_holders(self, slot: int) -> tuple[str, ...]:
-        """List a slot's home and replicas."""
+        """List the holders of a slot's pins: its home, then its replicas."""
         return self.ranking.list_ranked(slot)[: self._holder_count]
 
     def find_home(self, slot: int) -> str:
-        """Name a slot's home; empty while there is none."""
+        """Return the name of a slot's home; empty if there is none."""
         holders = self.ranking.list_ranked(slot)
         return holders[0] if holders else ''
 
     def has_all_handovers(self, slot: int) -> bool:
-        """Tell whether nobody else may know more of a slot's flows."""
+        """Return whether no handover of a slot is pending."""
         return slot not in self._pending_handovers
 
     def find_next_hop(self, slot: int, visited: list[str]) -> str | None:
-        """Name the instance to ask about an unknown flow.
+        """Return the instance to redirect a datagram of an unknown flow to.
 
         :param slot: the flow's slot.
-        :param visited: the instances that did not know it.
-        :returns: a name, or None if this instance has to decide.
+        :param visited: the instances that did not know the flow.
+        :returns: the instance's name, or None if there is none left to ask.
         """
         if len(visited) >= self._settings.hop_limit:
             return None
@@ -152,9 +160,10 @@
         return None
 
     def _may_place(self, slot: int) -> bool:
-        """Tell whether this instance would have heard of a slot's pins.
+        """Return whether this instance may place unknown flows of a slot.
 
-        One that has just started hears only of the slots that it holds.
+        An instance that has just started is sent only the pins of slots that
+        it holds.
         """
         return self._has_warmed_up or self.name in self.list_holders(slot)
 
@@ -165,11 +174,11 @@
     def record_handover_done(
         self, now: float, peer: str, slots: list[int]
     ) -> None:
-        """Note that a peer has handed on all it knew.
+        """Record that a peer has handed over all its pins of some slots.
 
-        :param now: the time.
-        :param peer: its name.
-        :param slots: the slots that it spoke of.
+        :param now: the current time.
+        :param peer: the peer's name.
+        :param slots: the slots.
         """
         for slot in slots:
             self._handover_done_at[peer, slot] = now
@@ -179,22 +188,24 @@
     def record_handover_sent(
         self, now: float, peer: str, slots: list[int]
     ) -> None:
-        """Note that a peer was sent all that is held here.
+        """Record that a peer was sent all pins of some slots.
 
-        :param now: the time.
-        :param peer: its name.
+        :param now: the current time.
+        :param peer: the peer's name.
         :param slots: the slots.
         """
         for slot in slots:
             self._synced_at.setdefault((peer, slot), now)
 
     def has_synced(self, now: float, peer: str, slot: int) -> bool:
-        """Tell whether an owner has long had what is held here.
+        """Return whether a peer has had this instance's pins for long enough.
+
+        Then the peer's handover of the slot includes them.
 
-        :param now: the time.
-        :param peer: its name.
+        :param now: the current time.
+        :param peer: the peer's name.
         :param slot: the slot.
-        :returns: whether a third one hears of it all from that owner.
+        :returns: whether it has had them for ``propagation_seconds``.
         """
         if peer not in self.ranking.names:
             return False
@@ -206,14 +217,14 @@
         return now - at >= self._settings.propagation_seconds
 
     def expire_pending_handovers(self, now: float) -> None:
-        """Stop waiting for peers whose time is over.
+        """Stop waiting for handovers whose deadline has passed.
 
-        :param now: the time.
+        :param now: the current time.
         """
         if self._started_at is None:
             self._started_at = now
-        passed = now - self._started_at
-        self._has_warmed_up = passed >= self._settings.settle_seconds
+        elapsed = now - self._started_at
+        self._has_warmed_up = elapsed >= self._settings.settle_seconds
         expired = [
             (slot, peer)
             for slot, pending in self._pending_handovers.items()
@@ -268,7 +279,7 @@
         }
 
     def _prune_synced(self, change: RankingChange) -> None:
-        """Keep only what is known of those that went on holding a slot."""
+        """Forget the sync times of peers that did not stay holders."""
         self._synced_at = {
             (peer, slot): at
             for (peer, slot), at in self._synced_at.items()
--- a/skylarkfold/flows/_messages.py
+++ b/skylarkfold/flows/_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other about flows."""
+"""Messages between the flow cores of the instances."""
 
 from __future__ import annotations
 
@@ -10,21 +10,22 @@
 
 
 class Redirect(message.PeerMessage, tag=1):
-    """A caller's datagram that the sender could not answer alone.
+    """A caller's datagram that the sender could not route by itself.
 
-    :param service: the service's name, as the first receiver found it.
+    :param service: the service's name, as looked up by the first receiver.
     :param host: the caller's address.
     :param port: the caller's port.
-    :param payload: the datagram.
-    :param is_first: the mark that it came with.
+    :param payload: the datagram's payload.
+    :param is_first: whether the datagram begins a flow; None if unknown.
     :param visited: the instances that it passed through, in order.
-    :param wants_answer: whether the first of them asks for the upstream.
-    :param hint: the index of the upstream that one of them knows the flow
-        on, -1 for none; the home goes by it where it knows nothing.
-    :param is_returned: whether all that might know the flow were asked;
-        the receiver has to decide.
-    :param home: the first of them that found itself the flow's home; it
-        gets the datagram back to decide.
+    :param wants_answer: whether the first of them asks for a
+        :class:`FlowAnswer`.
+    :param hint: the index of the upstream that one of them has for the flow,
+        -1 for none; used by the home if it has no pin itself.
+    :param is_returned: whether all instances that might know the flow were
+        asked, so that the receiver has to place it.
+    :param home: the first of them that is the flow's home in its own view;
+        the datagram returns to it to be placed.
     """
 
     service: str
@@ -40,10 +41,10 @@
 
 
 class PinGroup(msgspec.Struct, frozen=True, array_like=True):
-    """Flows on one upstream.
+    """Flows on the same upstream.
 
-    :param upstream: its index in the service's table.
-    :param flows: their hashes.
+    :param upstream: the upstream's index in the service's table.
+    :param flows: the hashes of the flows.
     """
 
     upstream: int
@@ -51,14 +52,14 @@
 
 
 class PinUpdate(message.PeerMessage, tag=2):
-    """Flows that the sender pinned or holds pins of."""
+    """Pins for the receiver to store."""
 
     service: str
     groups: list[PinGroup]
 
 
 class HandoverDone(message.PeerMessage, tag=3):
-    """The sender has handed on all pins that it held in some slots.
+    """Notice that the sender has handed over all its pins of some slots.
 
     :param slots: a bit for each slot, the lowest first.
     """
@@ -67,9 +68,9 @@
 
 
 def pack_slots(slots: Iterable[int]) -> bytes:
-    """Pack slot numbers for :class:`HandOnDone`.
+    """Pack slot numbers for :class:`HandoverDone`.
 
-    :param slots: the numbers.
+    :param slots: the slot numbers.
     :returns: a bit for each slot.
     """
     bits = sum(1 << slot for slot in set(slots))
@@ -77,35 +78,35 @@
 
 
 def unpack_slots(packed: bytes) -> list[int]:
-    """Unpack slot numbers of :class:`HandOnDone`.
+    """Unpack the slot numbers of a :class:`HandoverDone`.
 
     :param packed: a bit for each slot.
-    :returns: the numbers, rising.
+    :returns: the slot numbers in ascending order.
     """
     bits = int.from_bytes(packed, 'little')
     return [slot for slot in range(bits.bit_length()) if bits >> slot & 1]
 
 
 class FlowAnswer(message.PeerMessage, tag=4):
-    """Where flows go that the receiver asked for."""
+    """The upstreams of flows that the receiver asked for."""
 
     service: str
     groups: list[PinGroup]
 
 
 class TableApplied(message.PeerMessage, tag=5):
-    """The version of a service's table in force on the sender."""
+    """The version of a service's table that the sender has applied."""
 
     service: str
     version: int
 
 
 class BucketsMigrated(message.PeerMessage, tag=6):
-    """All flows of these buckets are on their target, says their home.
+    """A home's report that all flows of some buckets are on their target.
 
     :param service: the service's name.
-    :param version: of the table that the sender went by.
-    :param buckets: the buckets' numbers.
+    :param version: the version of the table that the sender has applied.
+    :param buckets: the bucket numbers.
     """
 
     service: str
@@ -114,11 +115,11 @@
 
 
 class UpstreamHealth(message.PeerMessage, tag=7):
-    """Whether the sender finds an upstream healthy.
+    """The sender's vote on the health of an upstream.
 
     :param service: the service's name.
     :param upstream: the upstream's name.
-    :param healthy: what the sender found.
+    :param healthy: whether the sender can reach the upstream.
     """
 
     service: str
@@ -127,10 +128,13 @@
 
 
 class PreparationDone(message.PeerMessage, tag=8):
-    """All instances ask homes about buckets that this version prepares.
+    """Notice that all instances have applied a table version.
+
+    From now on they all ask the home about flows of the buckets that this
+    version prepares.
 
     :param service: the service's name.
-    :param version: the table version that is in force everywhere.
+    :param version: the table version.
     """
 
     service: str
--- a/skylarkfold/flows/_outbox.py
+++ b/skylarkfold/flows/_outbox.py
@@ -1,4 +1,4 @@
-"""All that waits to be told to other instances."""
+"""Outgoing messages that wait for their byte budget."""
 
 from __future__ import annotations
 
@@ -15,10 +15,12 @@
 
 
 class Outbox:
-    """New pins and hand-ons, each with a byte budget of its own.
+    """Queues for new pins and for bulk messages, with a byte budget each.
 
     :param settings: the flow settings.
-    :param members: the other instances.
+    :param members: this instance's view of the members.
+    :ivar pins: new pins for the replicas.
+    :ivar bulk: handovers and refreshes.
     """
 
     def __init__(
@@ -42,32 +44,36 @@
         return self._stop_requested_at is not None
 
     def begin_stop(self, now: float) -> None:
-        """Hand on everything from now on.
+        """Record that a planned stop has begun.
 
-        :param now: the time.
+        :param now: the current time.
         """
         self._stop_requested_at = now
 
     def has_stopped(self, now: float) -> bool:
-        """Tell whether a planned stop has nothing left to hand on.
+        """Return whether a planned stop has finished.
 
-        :param now: the time.
+        It takes at least ``stop_linger_seconds`` and ends once the queues are
+        empty, or after ``stop_seconds``.
+
+        :param now: the current time.
+        :returns: whether it has; False if no stop was requested.
         """
         if self._stop_requested_at is None:
             return False
-        passed = now - self._stop_requested_at
-        if passed < self._settings.stop_linger_seconds:
+        elapsed = now - self._stop_requested_at
+        if elapsed < self._settings.stop_linger_seconds:
             return False
         is_empty = not self.pins and not self.bulk
-        return is_empty or passed >= self._settings.stop_seconds
+        return is_empty or elapsed >= self._settings.stop_seconds
 
-    def drop_peer(self, peer: str) -> None:
-        """Forget what waits for a peer that is gone.
+    def drop(self, peer: str) -> None:
+        """Discard the messages for a lost peer.
 
-        :param peer: its name.
+        :param peer: the peer's name.
         """
-        self.pins.drop_peer(peer)
-        self.bulk.drop_peer(peer)
+        self.pins.drop(peer)
+        self.bulk.drop(peer)
         self._notified = {each for each in self._notified if each[0] != peer}
 
     def queue_handovers(
@@ -76,11 +82,11 @@
         change: _members.RankingChange,
         states: Iterable[_state.ServiceState],
     ) -> None:
-        """Queue what a change of the ranking asks for.
+        """Queue the handovers that a ranking change calls for.
 
-        :param now: the time.
+        :param now: the current time.
         :param change: the former and the current ranking.
-        :param states: all services.
+        :param states: the states of all services.
         """
         notified = self._notified if self.is_stopping else None
         _handover.queue_handovers(
@@ -89,10 +95,10 @@
         _handover.queue_cached_flows(change, states, self.bulk)
 
     def drain(self, now: float) -> Iterator[effect.SendToPeer]:
-        """Send what the budgets allow.
+        """Take the messages that the byte budgets allow.
 
-        :param now: the time.
-        :returns: messages.
+        :param now: the current time.
+        :returns: the effects that send them.
         """
         yield from self.pins.drain(now)
         for sent in self.bulk.drain(now, self.pins):
--- a/skylarkfold/flows/_packet.py
+++ b/skylarkfold/flows/_packet.py
@@ -1,4 +1,4 @@
-"""A caller's datagram on its way through the instances."""
+"""A caller's datagram and its conversion to and from redirects."""
 
 from __future__ import annotations
 
@@ -12,21 +12,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Packet:
-    """A datagram and where it has been.
+    """A datagram and its path through the instances.
 
-    :param service: the name of the service that the first receiver found;
-        no later one looks the address up again.
-    :param address: the address that it was sent to; None where another
-        instance received it.
-    :param caller: who sent it.
-    :param payload: its bytes.
-    :param is_first: the mark of a beginning flow, None without marks.
-    :param visited: the instances that could not answer.
+    See :class:`~skylarkfold.flows._messages.Redirect` for the fields that
+    are not described here.
+
+    :param service: the name of the service, as looked up by the instance
+        that received the datagram from the caller.
+    :param address: the address that it was sent to; None if it was
+        redirected by another instance.
+    :param caller: the sender.
+    :param payload: the payload.
+    :param is_first: whether it begins a flow; None if the protocol has no
+        mark for that.
+    :param visited: the instances that could not route it.
     :param wants_answer: whether the first of them asks for the upstream.
-    :param hint: the index of the upstream that one of them knows the flow
-        on, ``NO_HINT`` for none.
-    :param is_returned: whether all that might know the flow were asked.
-    :param home: the first of them that found itself the flow's home.
+    :param hint: the index of the upstream that one of them has for the flow,
+        ``NO_HINT`` for none.
+    :param is_returned: whether this instance has to place the flow.
+    :param home: the first of them that is the flow's home in its own view.
     """
 
     service: str
@@ -42,9 +46,9 @@
 
 
 def unpack_redirect(redirect: _messages.Redirect) -> Packet:
-    """Unpack a datagram that another instance passed on.
+    """Build the packet of a redirected datagram.
 
-    :param redirect: the message.
+    :param redirect: the message of the other instance.
     :returns: the datagram.
     """
     return Packet(
@@ -69,14 +73,14 @@
     is_returned: bool,
     home: str,
 ) -> _messages.Redirect:
-    """Pack a datagram for another instance.
+    """Build the message that redirects a datagram to another instance.
 
     :param packet: the datagram.
-    :param name: this instance.
-    :param wants_answer: whether the first receiver wants the answer.
-    :param hint: where this instance knows the flow, or what it was told.
-    :param is_returned: whether the receiver has to decide.
-    :param home: the first that found itself the flow's home.
+    :param name: this instance's name.
+    :param wants_answer: whether the first receiver asks for the upstream.
+    :param hint: the index of the upstream of the flow, ``NO_HINT`` for none.
+    :param is_returned: whether the receiver has to place the flow.
+    :param home: the first instance that is the flow's home in its own view.
     :returns: the message.
     """
     return _messages.Redirect(
--- a/skylarkfold/flows/_packet_buffer.py
+++ b/skylarkfold/flows/_packet_buffer.py
@@ -1,4 +1,4 @@
-"""Datagrams that wait a short time for news."""
+"""A buffer for datagrams that can't be routed yet."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PacketBuffer:
-    """Datagrams held in order, bounded by count, bytes and age.
+    """A FIFO buffer of datagrams, bounded by count, bytes and age.
 
     :param settings: the flow settings.
     """
@@ -25,11 +25,11 @@
         return len(self._buffered)
 
     def add(self, now: float, packet: _packet.Packet) -> bool:
-        """Hold a datagram.
+        """Add a datagram if the limits allow it.
 
-        :param now: the time.
+        :param now: the current time.
         :param packet: the datagram.
-        :returns: whether there was room.
+        :returns: whether it was added.
         """
         size = len(packet.payload)
         if len(self._buffered) >= self._settings.hold_count:
@@ -41,17 +41,17 @@
         return True
 
     def take_all(self) -> list[_packet.Packet]:
-        """Take out all datagrams, for there is news."""
+        """Remove and return all datagrams."""
         packets = [packet for _, packet in self._buffered]
         self._buffered.clear()
         self._buffered_bytes = 0
         return packets
 
     def expire(self, now: float) -> list[_packet.Packet]:
-        """Take out the datagrams whose time is over.
+        """Remove and return the datagrams that have expired.
 
-        :param now: the time.
-        :returns: the datagrams, to be dropped.
+        :param now: the current time.
+        :returns: the datagrams, which the caller has to drop.
         """
         expired = []
         while self._buffered and self._buffered[0][0] <= now:
--- a/skylarkfold/flows/_pin_maintenance.py
+++ b/skylarkfold/flows/_pin_maintenance.py
@@ -1,4 +1,4 @@
-"""What happens to pins as time passes and notes arrive."""
+"""Expiry, refresh and merging of pins."""
 
 from __future__ import annotations
 
@@ -36,12 +36,15 @@
 
 
 class PinMaintenance:
-    """Expires, refreshes and merges pins, and finds settled buckets.
+    """Expires, refreshes and merges pins, and finds migrated buckets.
 
     :param settings: the flow settings.
-    :param members: the other instances.
-    :param proposer: knows where settled buckets are reported.
-    :param queue: takes refreshes for replicas.
+    :param members: this instance's view of the members.
+    :param proposer: unused.
+    :param queue: the queue for refreshes of replicas.
+    :ivar is_pin_limit_reached: whether this instance has ``flow_limit`` pins.
+    :ivar must_rotate_firsts: whether the router's record of recent first
+        datagrams is due for rotation since the last run.
     """
 
     def __init__(
@@ -60,28 +63,29 @@
         self._next_firsts_rotation = 0.0
         self._now = 0.0
 
-    def run_due(
+    def run(
         self, now: float, states: list[_state.ServiceState]
     ) -> Iterator[tuple[str, _messages.BucketsMigrated]]:
-        """Do what is due.
+        """Run the tasks that are due.
 
-        :param now: the time.
-        :param states: all services.
-        :returns: for services with settled buckets, what to report.
+        :param now: the current time.
+        :param states: the states of all services.
+        :returns: the names of services with migrated buckets, each with the
+            report for the proposers.
         """
         self._now = now
         self.must_rotate_firsts = now >= self._next_firsts_rotation
         if self.must_rotate_firsts:
             self._next_firsts_rotation = now + _router.RECENT_FIRSTS_SECONDS
-            kept = sum(state.count_pins() for state in states)
-            self.is_pin_limit_reached = kept >= self._settings.flow_limit
+            pin_count = sum(state.count_pins() for state in states)
+            self.is_pin_limit_reached = pin_count >= self._settings.flow_limit
         for state in states:
             yield from self._maintain_service(now, state)
 
     def update_home_pins(self, state: _state.ServiceState) -> None:
-        """Find the buckets whose home this instance is.
+        """Update which buckets this instance is the home of.
 
-        :param state: the service.
+        :param state: the service's state.
         """
         name = self._members.name
         home_pins = {}
@@ -99,11 +103,11 @@
         sender: str,
         groups: list[_messages.PinGroup],
     ) -> None:
-        """Take pins from another instance.
+        """Merge pins that another instance sent.
 
-        :param state: the service.
-        :param sender: who sent them.
-        :param groups: the flows by upstream.
+        :param state: the service's state.
+        :param sender: the name of the sender.
+        :param groups: the flows, grouped by upstream.
         """
         for group in groups:
             for flow in group.flows:
@@ -120,13 +124,13 @@
         if state.table.states[bucket] == _table.BucketState.CLOSED:
             return
         pins = state.pins.setdefault(bucket, _pins.PinSet())
-        known = pins.peek(flow)
-        if known is None or known == index:
+        current = pins.peek(flow)
+        if current is None or current == index:
             pins.put(flow, index)
             return
-        # Without a pin a flow was taken for an old one of the unpinned
-        # upstream, which was a guess; a pin is knowledge.
-        if known == state.table.unpinned[bucket]:
+        # A known pin to the unpinned upstream may only be the default for a
+        # flow that was unknown here, so any other pin replaces it.
+        if current == state.table.unpinned[bucket]:
             pins.put(flow, index)
         elif self._outranks(state.find_slot(bucket), sender):
             pins.put(flow, index)
--- a/skylarkfold/flows/_pins.py
+++ b/skylarkfold/flows/_pins.py
@@ -1,8 +1,8 @@
-"""Flows that are known one by one, kept in two generations.
+"""A set of pins that expires idle flows in two generations.
 
-A flow that is seen moves to the younger generation; the older one is
-dropped as a whole at each rotation. So a flow lives at least one period
-and at most two after it was last seen, without a time kept for each.
+A flow that is seen moves to the young generation; each rotation drops the
+old one. A flow thus expires one to two periods after it was last seen,
+without a timestamp for each flow.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class PinSet:
-    """Flow hashes with the indexes of their upstreams."""
+    """A mapping from flow hashes to upstream indexes."""
 
     __slots__ = ('_old', '_young')
 
@@ -27,10 +27,10 @@
         yield from self._old.items()
 
     def get(self, flow: int) -> int | None:
-        """Find a flow and mark it as seen.
+        """Return the upstream of a flow and mark the flow as seen.
 
         :param flow: the flow's hash.
-        :returns: its upstream's index, or None if it is not known.
+        :returns: the upstream's index, or None if the flow is unknown.
         """
         upstream = self._young.get(flow)
         if upstream is None and self._old:
@@ -40,28 +40,28 @@
         return upstream
 
     def peek(self, flow: int) -> int | None:
-        """Find a flow without marking it as seen.
+        """Return the upstream of a flow without marking the flow as seen.
 
         :param flow: the flow's hash.
-        :returns: its upstream's index, or None if it is not known.
+        :returns: the upstream's index, or None if the flow is unknown.
         """
         upstream = self._young.get(flow)
         return self._old.get(flow) if upstream is None else upstream
 
     def put(self, flow: int, upstream: int) -> None:
-        """Keep a flow as just seen.
+        """Add a flow, or replace its upstream, and mark it as seen.
 
         :param flow: the flow's hash.
-        :param upstream: its upstream's index.
+        :param upstream: the upstream's index.
         """
         self._old.pop(flow, None)
         self._young[flow] = upstream
 
     def rotate(self) -> dict[int, int]:
-        """Begin a new generation.
+        """Begin a new generation and drop the old one.
 
-        :returns: the flows that were not seen for a whole period; they
-            are no longer kept.
+        :returns: the dropped flows with their upstreams; they were not seen
+            for at least one period.
         """
         expired = self._old
         self._old = self._young
@@ -69,19 +69,19 @@
         return expired
 
     def list_upstreams(self) -> set[int]:
-        """List the upstreams that any kept flow is on."""
+        """Return the indexes of all upstreams that have flows."""
         return {*self._young.values(), *self._old.values()}
 
     def remove_upstreams(self, upstreams: set[int]) -> None:
-        """Forget all flows on some upstreams.
+        """Remove all flows of some upstreams.
 
-        :param upstreams: their indexes.
+        :param upstreams: the upstreams' indexes.
         """
         self._young = _exclude_upstreams(self._young, upstreams)
         self._old = _exclude_upstreams(self._old, upstreams)
 
     def clear(self) -> None:
-        """Forget all flows."""
+        """Remove all flows."""
         self._young = {}
         self._old = {}
 
--- a/skylarkfold/flows/_placement.py
+++ b/skylarkfold/flows/_placement.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream for a new flow."""
+"""Selection of the upstream for a new flow."""
 
 from __future__ import annotations
 
@@ -18,15 +18,20 @@
 ) -> service_module.Upstream | None:
     """Choose the upstream of a new flow by load.
 
-    :param now: the time.
+    All upstreams within ``placement_margin`` of the lowest load qualify. Of
+    these the preferred one is chosen, else one in this instance's zone, else
+    the least loaded one.
+
+    :param now: the current time.
     :param candidates: the upstreams that may take new flows.
-    :param load: how loaded they are.
+    :param load: the upstreams' load.
     :param settings: the flow settings.
-    :param zone: this instance's zone; it decides between equals only.
-    :param owner_count: instances that place flows of this service.
-    :param favourite: the upstream whose choice costs no pin; it is taken
-        unless it is above the least loaded one by more than the margin.
-    :returns: the upstream, or None if none has room.
+    :param zone: this instance's zone.
+    :param owner_count: the number of instances that place flows of this
+        service.
+    :param preferred: the name of the upstream that needs no pin, empty for
+        none.
+    :returns: the upstream, or None if none has capacity left.
     """
     usable = [each for each in candidates if load.is_usable(now, each.name)]
     usable = usable or candidates
--- a/skylarkfold/flows/_plan.py
+++ b/skylarkfold/flows/_plan.py
@@ -1,7 +1,7 @@
-"""The next table of a service, worked out from what is known.
+"""Planning of a service's next bucket table.
 
-A pure function: every instance that knows the same comes to the same
-table, and each step leaves established flows where they are.
+Planning is a pure function, so that instances with the same data plan the
+same table. Each step leaves established flows on their upstream.
 """
 
 from __future__ import annotations
@@ -20,15 +20,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlanInput:
-    """What a table has to answer to.
+    """The data that a table is planned from.
 
     :param service: the service as configured.
-    :param dead: names of upstreams that are dead.
-    :param prepared: buckets whose preparation is in force everywhere.
-    :param emptied: buckets whose flows were all on their target lately.
-    :param settled: those of them where that can't change any more.
-    :param free_count: how many buckets are to place new flows by load;
-        None for the number that the preference asks for.
+    :param dead: the names of dead upstreams.
+    :param prepared: the preparing buckets that all instances know of.
+    :param migrated: the buckets whose flows were all on their target
+        according to a recent report.
+    :param settled: those of them for which all instances had applied the
+        bucket's last change by then, so that the report stays true.
+    :param balanced_count: how many buckets should place new flows by load;
+        None for the default of the service's preference.
     """
 
     service: service_module.Service
@@ -44,12 +46,12 @@
     plan_input: PlanInput,
     settings: _settings.FlowSettings,
 ) -> _table.BucketTable | None:
-    """Work out the table that should follow.
+    """Plan the table that should follow the current one.
 
-    :param table: the table in force.
-    :param situation: what it has to answer to.
+    :param table: the current table.
+    :param plan_input: the data to plan from.
     :param settings: the flow settings.
-    :returns: the next table, or None if this one can stay.
+    :returns: the next table, or None if no change is due.
     """
     edit = _TableEdit(table, plan_input, settings)
     edit.apply()
@@ -58,7 +60,7 @@
 
 
 class _TableEdit:
-    """A table under change; each method is one step."""
+    """A table being edited; each method called by apply is one step."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
         self._deficits: dict[int, int] = {}
 
     def build(self) -> _table.BucketTable:
-        """Give the changed table."""
+        """Return the edited table."""
         return _table.BucketTable(
             upstreams=self._upstreams,
             dead=self._dead,
@@ -90,7 +92,7 @@
         )
 
     def apply(self) -> None:
-        """Take all steps in order."""
+        """Apply all steps in order."""
         self._add_upstreams()
         self._mark_dead()
         self._close_migrated()
@@ -123,11 +125,11 @@
         ]
 
     def _close_migrated(self) -> None:
-        """Close buckets in two steps.
+        """Close migrated buckets in two steps.
 
-        First flows without a pin go to the target as well, so that no
-        home puts one elsewhere. Once that is in force everywhere and the
-        home still finds all flows on the target, the bucket closes.
+        First the target also becomes the upstream of flows without a pin, so
+        that no home sends one elsewhere. The bucket closes once all instances
+        have applied that and the home still finds all flows on the target.
         """
         for bucket in sorted(self._input.migrated):
             target = self._targets[bucket]
--- a/skylarkfold/flows/_proposer.py
+++ b/skylarkfold/flows/_proposer.py
@@ -1,4 +1,4 @@
-"""Proposals of tables: when this instance writes one, and which."""
+"""Proposals of bucket tables: when this instance writes which table."""
 
 from __future__ import annotations
 
@@ -27,19 +27,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _ProposalState:
-    """One service's proposing, as it stands on this instance."""
+    """The state of this instance's proposals for one service."""
 
     due_since: float | None = None
     next_attempt_at: float = 0.0
     writing_until: float = 0.0
-    pending_table: _table.BucketTable | None = None
+    pending: _table.BucketTable | None = None
     failures: int = 0
     unchanged_for: tuple[int, _plan.PlanInput] | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _MigrationReport:
-    """A home's word that all flows of a bucket are on its target."""
+    """A home's report that all flows of a bucket are on its target.
+
+    :param version: the table version that the home had applied.
+    :param received_at: when the report arrived.
+    :param is_applied: whether all instances had applied the bucket's last
+        change by then.
+    """
 
     version: int
     received_at: float
@@ -47,14 +53,16 @@
 
 
 class Proposer:
-    """Writes the tables of the services that this instance is in charge of.
+    """Plans and writes the tables of services that this instance proposes for.
 
-    The live instances are ranked for each service. The first proposes;
-    the next ones do so when a due change stays out for too long. Two that
-    propose at once are told apart by the platform: the second write fails.
+    The live instances are ranked for each service. The first one proposes
+    changes; each of the next ones steps in if a due change is not written for
+    ``backup_seconds`` longer. If two instances propose at the same time, the
+    platform's conditional write rejects the second one.
 
-    :param members: the other instances.
+    :param members: this instance's view of the members.
     :param settings: the flow settings.
+    :ivar health: the instances' votes on the health of upstreams.
     """
 
     def __init__(
@@ -69,23 +77,23 @@
         self.health = _health.HealthView(settings)
 
     def clear_proposers(self) -> None:
-        """Work out anew who is in charge, for the members changed."""
+        """Discard the proposers' order after a change of the ranking."""
         self._proposers.clear()
 
     def remove_service(self, name: str) -> None:
-        """Drop what is kept of a service that is gone."""
-        for kept in (
+        """Discard the data of a removed service."""
+        for by_service in (
             self._proposals,
             self._applied_versions,
             self._migration_reports,
         ):
-            kept.pop(name, None)
+            by_service.pop(name, None)
 
     def list_proposers(self, service_name: str) -> list[str]:
-        """List the first instances in charge of a service's table.
+        """List the instances that may propose tables of a service.
 
         :param service_name: the service's name.
-        :returns: instance names, the first in charge first.
+        :returns: the instances' names in order of rank.
         """
         proposers = self._proposers.get(service_name)
         if proposers is None:
@@ -99,19 +107,19 @@
     def record_applied_version(
         self, peer: str, service_name: str, version: int
     ) -> None:
-        """Note which table version is in force on an instance."""
+        """Record the table version that an instance has applied."""
         versions = self._applied_versions.setdefault(service_name, {})
         versions[peer] = max(version, versions.get(peer, 0))
 
     def find_prepared_version(
         self, now: float, state: _state.ServiceState
     ) -> int:
-        """Find the last preparation that is in force everywhere.
+        """Return the last preparing version that all instances have applied.
 
-        :param now: the time.
-        :param state: the service.
-        :returns: the table version, 0 for none; only from the instance
-            that is the first in charge.
+        :param now: the current time.
+        :param state: the service's state.
+        :returns: the table version; 0 for none, and on instances that are
+            not the first proposer.
         """
         if not state.preparing_since:
             return 0
@@ -132,12 +140,12 @@
         version: int,
         buckets: list[int],
     ) -> None:
-        """Note buckets whose home found all flows on their target.
+        """Record a home's report of migrated buckets.
 
-        :param now: the time.
-        :param state: the service.
-        :param version: of the table that the home went by.
-        :param buckets: the buckets.
+        :param now: the current time.
+        :param state: the service's state.
+        :param version: the version of the table that the home had applied.
+        :param buckets: the bucket numbers.
         """
         reports = self._migration_reports.setdefault(state.name, {})
         common_version = self._find_common_version(state)
@@ -149,11 +157,11 @@
             reports[bucket] = _MigrationReport(version, now, is_applied)
 
     def propose(self, now: float, state: _state.ServiceState) -> list[object]:
-        """Propose the next table of a service, if it is due.
+        """Write the next table of a service if a change is due.
 
-        :param now: the time.
-        :param state: the service.
-        :returns: effects.
+        :param now: the current time.
+        :param state: the service's state.
+        :returns: the effects.
         """
         proposers = self.list_proposers(state.name)
         if self._members.name not in proposers:
@@ -177,21 +185,21 @@
     def finish_write(
         self, now: float, state: _state.ServiceState, ended: event.WriteEnded
     ) -> platform_api.StoredObject | None:
-        """Take the outcome of a write of this instance.
+        """Handle the outcome of a write by this instance.
 
-        :param now: the time.
-        :param state: the service.
+        :param now: the current time.
+        :param state: the service's state.
         :param ended: the outcome.
-        :returns: the object that is now known to be stored, if any.
+        :returns: the object that the store now has, None if unknown.
         """
         proposal = self._proposals.setdefault(state.name, _ProposalState())
-        pending_table = proposal.pending_table
-        proposal.pending_table = None
+        pending = proposal.pending
+        proposal.pending = None
         proposal.writing_until = 0.0
         proposal.due_since = None
         if ended.status is platform_api.PlatformStatus.OK:
             proposal.failures = 0
-            return ended.current or _build_stored(state, pending_table)
+            return ended.current or _build_stored(state, pending)
         if ended.status is platform_api.PlatformStatus.CONFLICT:
             proposal.failures = 0
             return ended.current
@@ -220,11 +228,11 @@
                 now, state, self._settings
             ),
         )
-        known = (state.version, plan_input)
-        if proposal.unchanged_for == known:
+        plan_key = (state.version, plan_input)
+        if proposal.unchanged_for == plan_key:
             return None
         planned = _plan.plan_table(state.table, plan_input, self._settings)
-        proposal.unchanged_for = known if planned is None else None
+        proposal.unchanged_for = plan_key if planned is None else None
         return planned
 
     def _find_prepared(
@@ -291,7 +299,7 @@
         if planned is not state.table or state.is_provisional:
             serial += 1
         planned = msgspec.structs.replace(planned, serial=serial)
-        proposal.pending_table = planned
+        proposal.pending = planned
         proposal.writing_until = now + WRITE_TIMEOUT_SECONDS
         write = platform_api.WriteObject(
             path=_table.build_path(state.name),
@@ -315,13 +323,13 @@
 
 
 def _build_stored(
-    state: _state.ServiceState, pending_table: _table.BucketTable | None
+    state: _state.ServiceState, pending: _table.BucketTable | None
 ) -> platform_api.StoredObject | None:
-    if pending_table is None:
+    if pending is None:
         return None
     return platform_api.StoredObject(
         path=_table.build_path(state.name),
         version=state.stored_table.version + 1,
         revision=0,
-        value=_table.encode(pending_table),
+        value=_table.encode(pending),
     )
--- a/skylarkfold/flows/_ranking.py
+++ b/skylarkfold/flows/_ranking.py
@@ -1,8 +1,8 @@
-"""Which instances keep the pins of a part of all flows.
+"""The ranking of instances for each slot.
 
-All flows are divided into slots. The live instances are ranked for each
-slot by rendezvous hashing: the first is the slot's home, the next ones its
-replicas, the first of them in another zone where there is one.
+Flows are divided into slots. The live instances are ranked for each slot by
+rendezvous hashing: the first one is the slot's home, the next ones are its
+replicas. The first replica is in another zone than the home if possible.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 def rank_names(subject: str, names: list[str]) -> list[str]:
-    """Rank instances for a subject, alike wherever the names are alike.
+    """Rank instances for a subject by rendezvous hashing.
 
     :param subject: what they are ranked for.
-    :param names: the instances.
-    :returns: the names, the first in charge first.
+    :param names: the names of the instances.
+    :returns: the names in order of rank; the same on all instances.
     """
     return sorted(
         names,
@@ -45,12 +45,12 @@
 
 
 class Ranking:
-    """The ranking of live instances for every slot.
+    """The ranking of the live instances for each slot.
 
-    An object's members never change: :meth:`replace` makes a new one, so
-    that the former holders of a slot can still be asked for.
+    A ranking's instances never change. :meth:`replace` returns a new ranking,
+    so that the former holders of a slot remain available.
 
-    :param zones: each instance's zone, by name.
+    :param zones: the zone of each instance, by name.
     """
 
     __slots__ = ('_candidates', '_orders', '_scores', '_zones')
@@ -63,14 +63,14 @@
 
     @property
     def names(self) -> set[str]:
-        """The instances that are ranked."""
+        """The names of the ranked instances."""
         return set(self._zones)
 
     def replace(self, zones: dict[str, str]) -> Ranking:
         """Rank another set of instances.
 
-        :param zones: each instance's zone, by name.
-        :returns: a ranking that takes over what is unchanged.
+        :param zones: the zone of each instance, by name.
+        :returns: the new ranking; it reuses scores and unaffected slots.
         """
         ranking = Ranking({})
         ranking._zones = dict(zones)
@@ -86,10 +86,11 @@
         return ranking
 
     def list_ranked(self, slot: int) -> tuple[str, ...]:
-        """List the first instances of a slot.
+        """List the highest ranked instances of a slot.
 
-        :param slot: its number.
-        :returns: home, replica and the next ones, ``DEPTH`` at most.
+        :param slot: the slot's number.
+        :returns: the home, the replicas and the next ones, at most
+            ``MAX_RANKED`` names.
         """
         order = self._orders[slot]
         if order is None:
--- a/skylarkfold/flows/_router.py
+++ b/skylarkfold/flows/_router.py
@@ -1,4 +1,4 @@
-"""The way of one datagram: answer it, pass it on, or place its flow."""
+"""Routing of a datagram: forward it, redirect it, or place its flow."""
 
 from __future__ import annotations
 
@@ -24,13 +24,14 @@
 
 
 class Router:
-    """Routes datagrams of all services.
+    """Routes the datagrams of all services.
 
     :param instance: this instance.
     :param settings: the flow settings.
-    :param members: the other instances.
-    :param queue: where new pins wait for peers.
-    :param held: datagrams that wait for news.
+    :param members: this instance's view of the members.
+    :param pin_queue: the queue of new pins for the replicas.
+    :param buffer: datagrams that can't be routed yet.
+    :ivar is_pin_limit_reached: whether no more pins should be added.
     """
 
     def __init__(
@@ -51,18 +52,21 @@
         self._recent_firsts = _pins.PinSet()
 
     def rotate_recent_firsts(self) -> None:
-        """Forget first datagrams that can't come twice any more."""
+        """Expire the record of recent first datagrams.
+
+        They only have to be known for as long as a duplicate may arrive.
+        """
         self._recent_firsts.rotate()
 
     def route(
         self, now: float, state: _state.ServiceState, packet: _packet.Packet
     ) -> list[object]:
-        """Decide on one datagram.
+        """Route a datagram.
 
-        :param now: the time.
-        :param state: its service.
+        :param now: the current time.
+        :param state: the state of its service.
         :param packet: the datagram.
-        :returns: effects.
+        :returns: the effects.
         """
         flow = flow_module.hash_caller(state.name, packet.caller)
         context = _RoutingContext(now, state, packet, flow, flow & state.mask)
@@ -97,10 +101,10 @@
         return self._place(context)
 
     def _find_home_to_place(self, context: _RoutingContext) -> str | None:
-        """Name the home that has to decide after all were asked.
+        """Return the home that has to place a flow which no instance knows.
 
-        Wherever the chain of the asked ends, one instance orders the
-        datagrams of a flow.
+        Only the home places it, so that the datagrams of a flow are placed
+        alike whichever instance was the last to be asked.
         """
         home = context.packet.home or self._members.find_home(context.slot)
         if context.packet.is_returned or home in (self._name, ''):
@@ -115,10 +119,11 @@
         )
 
     def _may_use_pin(self, context: _RoutingContext) -> bool:
-        """Tell whether this instance may answer from a pin.
+        """Return whether this instance may forward by its own pin.
 
-        Others than the home do so only when the home has been asked, for
-        the home must see the flow to know that it lives.
+        An instance other than the home may do so only after the home was
+        asked: the home has to see the flow's datagrams, or it would expire
+        the pin as idle.
         """
         home = self._members.find_home(context.slot)
         return home in (self._name, '', *context.packet.visited)
@@ -143,10 +148,10 @@
     def _begins_another_flow(
         self, context: _RoutingContext, index: int
     ) -> bool:
-        """Tell whether a known caller begins another flow.
+        """Return whether a caller with a pin begins another flow.
 
-        A first datagram that comes twice within seconds is the same
-        flow's. Later it is another flow's, which must not go to an
+        A first datagram that is repeated within seconds belongs to the same
+        flow. A later one begins another flow, which must not go to an
         upstream that takes no new work.
         """
         if not context.packet.is_first:
@@ -171,20 +176,20 @@
     def _update_home(
         self, context: _RoutingContext, index: int
     ) -> list[object]:
-        """Note a pin at once to a home that did not know it."""
+        """Send a pin at once to a home that was asked and did not have it."""
         home = self._members.find_home(context.slot)
         if home == self._name or home not in context.packet.visited:
             return []
         groups = [_messages.PinGroup(index, [context.flow])]
-        note = _messages.PinUpdate(context.state.name, groups)
-        return [effect.SendToPeer(home, note)]
+        pin_update = _messages.PinUpdate(context.state.name, groups)
+        return [effect.SendToPeer(home, pin_update)]
 
     def _forward_to(
         self, context: _RoutingContext, index: int, reason: effect.Reason
     ) -> list[object]:
         upstream = context.state.find_upstream(index)
         if upstream is None:
-            return self._hold_packet(context)
+            return self._buffer_packet(context)
         return [context.forward(upstream, reason)]
 
     def _build_answer(
@@ -201,7 +206,7 @@
         )
         return [effect.SendToPeer(visited[0], answer)]
 
-    def _hold_packet(self, context: _RoutingContext) -> list[object]:
+    def _buffer_packet(self, context: _RoutingContext) -> list[object]:
         if self._buffer.add(context.now, context.packet):
             return [effect.CountMetric(metric.FLOWS_HELD)]
         return context.drop(Reason.OVER_LIMIT)
@@ -253,10 +258,11 @@
         return self._pin_flow(context, upstream, index)
 
     def _is_new(self, context: _RoutingContext) -> bool:
-        """Tell whether an unknown flow begins with this datagram.
+        """Return whether an unknown flow begins with this datagram.
 
-        Without marks it is taken for new once the bucket has been watched
-        here for so long that every older flow would have been seen.
+        If the protocol does not mark first datagrams, the flow counts as new
+        once this instance has been the home of the open bucket for the idle
+        timeout: any older flow would have been seen by then.
         """
         if context.unpinned is None or context.is_unpinned_dead:
             return True
@@ -279,7 +285,7 @@
             return context.drop(Reason.NO_UPSTREAM)
         if not self.is_pin_limit_reached:
             context.state.add_pin(context.bucket, context.flow, index)
-            # A first datagram that comes after the second one stays too.
+            # Keeps the flow here if its first datagram arrives late.
             self._recent_firsts.put(context.flow, index)
         if context.packet.is_first is None:
             self._queue_pin_update(context, index)
@@ -300,8 +306,10 @@
         if preferred and (
             self.is_pin_limit_reached or self._is_pin_queue_full()
         ):
-            kept = [each for each in candidates if each.name == preferred]
-            candidates = kept or candidates
+            preferred_only = [
+                each for each in candidates if each.name == preferred
+            ]
+            candidates = preferred_only or candidates
         target = state.find_upstream(state.table.targets[context.bucket])
         if target in candidates and self._can_accept(context, target):
             return target
@@ -362,7 +370,7 @@
 
 
 class _RoutingContext:
-    """One datagram with what its routing needs."""
+    """A datagram with the data that its routing needs."""
 
     __slots__ = ('bucket', 'flow', 'now', 'packet', 'slot', 'state')
 
@@ -383,19 +391,19 @@
 
     @property
     def unpinned(self) -> service_module.Upstream | None:
-        """The upstream of flows of this bucket without a pin."""
+        """The upstream of the bucket's flows without a pin."""
         return self.state.find_upstream(self.state.table.unpinned[self.bucket])
 
     @property
     def is_unpinned_dead(self) -> bool:
-        """Whether that upstream is dead."""
+        """Whether the upstream of flows without a pin is dead."""
         table = self.state.table
         return table.unpinned[self.bucket] in table.dead
 
     def forward(
         self, upstream: service_module.Upstream, reason: effect.Reason
     ) -> effect.ForwardDatagram:
-        """Send the datagram to an upstream."""
+        """Return the effect that forwards the datagram to an upstream."""
         return effect.ForwardDatagram(
             service=self.state.service,
             upstream=upstream,
@@ -405,7 +413,7 @@
         )
 
     def drop(self, reason: effect.Reason) -> list[object]:
-        """Drop the datagram."""
+        """Return the effects that drop and count the datagram."""
         address = self.packet.address or self.state.service.address
         return [
             effect.DropDatagram(address, self.packet.caller, reason),
--- a/skylarkfold/flows/_send_queues.py
+++ b/skylarkfold/flows/_send_queues.py
@@ -1,4 +1,4 @@
-"""Messages to peers that wait for their share of the byte budget."""
+"""Send queues for messages to peers, limited by byte budgets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ByteRateLimiter:
-    """A token bucket of bytes.
+    """A token bucket that limits the bytes sent per second.
 
     :param bytes_per_second: the rate.
     """
@@ -27,38 +27,38 @@
         self._refilled_at: float | None = None
 
     def refill(self, now: float) -> None:
-        """Add what the time since the last call allows.
+        """Add the tokens for the time since the last call.
 
-        :param now: the time.
+        :param now: the current time.
         """
-        passed = 0.0 if self._refilled_at is None else now - self._refilled_at
+        elapsed = 0.0 if self._refilled_at is None else now - self._refilled_at
         self._refilled_at = now
-        self._tokens += max(0.0, passed) * self._rate
+        self._tokens += max(0.0, elapsed) * self._rate
         self._tokens = min(self._tokens, self._rate * _BURST_SECONDS)
 
     @property
     def has_tokens(self) -> bool:
-        """Tell whether anything may be sent now."""
+        """Whether a message may be sent now."""
         return self._tokens > 0
 
     def spend(self, size: int) -> None:
-        """Take bytes away; the last message may overdraw.
+        """Subtract the bytes of a message; the balance may become negative.
 
-        :param size: how many.
+        :param size: the number of bytes.
         """
         self._tokens -= size
 
 
 class PinQueue:
-    """New pins on their way to peers, batched by peer and service.
+    """A queue of new pins, batched by peer and service.
 
-    :param budget: what may be sent.
-    :param note_seconds: the shortest time between two batches.
+    :param limiter: the rate limiter.
+    :param note_seconds: the minimum time between two batches.
     """
 
-    def __init__(self, limiter: ByteRateLimiter, batch_seconds: float) -> None:
+    def __init__(self, limiter: ByteRateLimiter, note_seconds: float) -> None:
         self._limiter = limiter
-        self._batch_seconds = batch_seconds
+        self._note_seconds = note_seconds
         self._drained_at: float | None = None
         self._waiting: dict[str, dict[str, dict[int, list[int]]]] = {}
         self._count = 0
@@ -67,9 +67,9 @@
         return self._count
 
     def add(self, peer: str, service: str, upstream: int, flow: int) -> None:
-        """Queue one pin.
+        """Add a pin.
 
-        :param peer: who is to know.
+        :param peer: the name of the recipient.
         :param service: the service's name.
         :param upstream: the upstream's index in the service's table.
         :param flow: the flow's hash.
@@ -80,20 +80,20 @@
         self._count += 1
 
     def is_waiting(self, peer: str) -> bool:
-        """Tell whether pins wait for a peer."""
+        """Return whether the queue has pins for a peer."""
         return peer in self._waiting
 
-    def drop_peer(self, peer: str) -> None:
-        """Forget what waits for a peer that is gone."""
+    def drop(self, peer: str) -> None:
+        """Discard the messages for a lost peer."""
         services = self._waiting.pop(peer, {})
         self._count -= _count_flows(services)
 
     def drain(self, now: float) -> Iterator[effect.SendToPeer]:
-        """Send what the budget allows.
+        """Take the messages that the byte budget allows.
 
-        :param now: the time.
-        :returns: messages; peers take turns. None while the last batch is
-            too fresh.
+        :param now: the current time.
+        :returns: the effects that send them, one message per peer in turn;
+            nothing before the next batch is due.
         """
         if not self._waiting or not self._is_batch_due(now):
             return
@@ -114,7 +114,7 @@
     def _is_batch_due(self, now: float) -> bool:
         if self._drained_at is None:
             return True
-        return now - self._drained_at >= self._batch_seconds
+        return now - self._drained_at >= self._note_seconds
 
 
 def _count_flows(services: dict[str, dict[int, list[int]]]) -> int:
@@ -131,9 +131,9 @@
 
 
 class BulkQueue:
-    """Messages of hand-ons and refreshes, in order for each peer.
+    """A queue of handover and refresh messages, in order for each peer.
 
-    :param budget: what may be sent.
+    :param limiter: the rate limiter.
     """
 
     def __init__(self, limiter: ByteRateLimiter) -> None:
@@ -148,11 +148,11 @@
     def add_pins(
         self, peer: str, service: str, pins: list[tuple[int, int]]
     ) -> None:
-        """Queue pins of one service.
+        """Add pins of a service, split into messages of limited size.
 
-        :param peer: who is to know.
+        :param peer: the name of the recipient.
         :param service: the service's name.
-        :param pins: flow hashes with their upstreams' indexes.
+        :param pins: pairs of flow hash and upstream index.
         """
         for start in range(0, len(pins), FLOWS_PER_MESSAGE):
             groups: dict[int, list[int]] = {}
@@ -161,25 +161,26 @@
             self.add(peer, _build_pin_update(service, groups))
 
     def add(self, peer: str, message: message_module.PeerMessage) -> None:
-        """Queue a message behind those that wait for the same peer.
+        """Add a message behind the others for the same peer.
 
-        :param peer: who is to know.
+        :param peer: the name of the recipient.
         :param message: the message.
         """
         waiting = self._waiting.setdefault(peer, collections.deque())
         waiting.append(message)
 
-    def drop_peer(self, peer: str) -> None:
-        """Forget what waits for a peer that is gone."""
+    def drop(self, peer: str) -> None:
+        """Discard the messages for a lost peer."""
         self._waiting.pop(peer, None)
 
     def drain(self, now: float, pins: PinQueue) -> Iterator[effect.SendToPeer]:
-        """Send what the budget allows.
+        """Take the messages that the byte budget allows.
 
-        :param now: the time.
-        :param pins: new pins; no peer is told that it has all while some
-            of them wait for it.
-        :returns: messages; peers take turns.
+        :param now: the current time.
+        :param pins: the queue of new pins; a
+            :class:`~skylarkfold.flows._messages.HandoverDone` waits until it
+            has none for the same peer.
+        :returns: the effects that send them, one message per peer in turn.
         """
         self._limiter.refill(now)
         ready = [each for each in self._waiting if self._is_ready(each, pins)]
--- a/skylarkfold/flows/_service_registry.py
+++ b/skylarkfold/flows/_service_registry.py
@@ -1,4 +1,4 @@
-"""The services in force on this instance, each with its table."""
+"""The services of the current configuration and their tables."""
 
 from __future__ import annotations
 
@@ -14,31 +14,32 @@
 
 
 class ServiceRegistry:
-    """Services by name and by address, and the newest tables.
+    """Service states by name and address, with the newest known tables.
 
     :param settings: the flow settings.
+    :ivar states: the state of each configured service, by name.
     """
 
     def __init__(self, settings: _settings.FlowSettings) -> None:
         self.states: dict[str, _state.ServiceState] = {}
         self._settings = settings
         self._names_by_address: dict[endpoint.Endpoint, str] = {}
-        # Of each table the newest form, and what the store has of it.
+        # Kept also for services that are not configured here yet.
         self._newest_tables: dict[str, _table.BucketTable] = {}
         self._stored_tables: dict[str, _state.StoredTable] = {}
         self._has_configuration = False
 
     def get(self, name: str) -> _state.ServiceState | None:
-        """Find a service by name."""
+        """Return a service by name, or None."""
         return self.states.get(name)
 
     def find_by_address(
         self, address: endpoint.Endpoint
     ) -> _state.ServiceState | None:
-        """Find the service that owns an address.
+        """Return the service that listens on an address.
 
-        :param address: what a caller sent to.
-        :returns: the service, or None if no team claims the address.
+        :param address: the address that a caller sent to.
+        :returns: the service, or None if no service has the address.
         """
         name = self._names_by_address.get(address)
         return None if name is None else self.states[name]
@@ -46,11 +47,11 @@
     def configure(
         self, now: float, configuration: configuration_module.Configuration
     ) -> list[str]:
-        """Put a newer configuration in force.
+        """Apply a newer configuration.
 
-        :param now: the time.
-        :param configuration: all services.
-        :returns: names of services that are gone.
+        :param now: the current time.
+        :param configuration: the configuration with all services.
+        :returns: the names of removed services.
         """
         services = configuration.services
         removed = [name for name in self.states if name not in services]
@@ -87,12 +88,12 @@
     def apply_object(
         self, now: float, stored: platform_api.StoredObject
     ) -> _state.ServiceState | None:
-        """Take an object of the platform.
+        """Apply a stored object if it is a newer table.
 
-        :param now: the time.
-        :param known: the object.
+        :param now: the current time.
+        :param stored: an object of the platform's store.
         :returns: the service whose table changed, or None.
-        :raises DecodeError: if the object is no good table.
+        :raises DecodeError: if the object is not a valid table.
         """
         name = parse_service_name(stored.path)
         if not name:
@@ -121,9 +122,10 @@
         version: int,
         serial: int,
     ) -> None:
-        """Note what the store has, also where it is no news here."""
+        """Record which version the store has, even if it is not newer."""
         last = self._stored_tables.get(name)
-        # A write of this instance whose answer holds no object is the last.
+        # An object built for this instance's own write has revision 0 and
+        # counts as the newest.
         revision = stored.revision or (last.revision if last else 0)
         if last is not None and revision < last.revision:
             return
@@ -135,10 +137,10 @@
 
 
 def parse_service_name(path: str) -> str:
-    """Name the service whose table a path holds.
+    """Return the name of the service whose table is stored at a path.
 
-    :param path: an object's path.
-    :returns: the service's name, empty for other objects.
+    :param path: the object's path.
+    :returns: the service's name, or an empty string if it is no table.
     """
     if not path.startswith(_table.PATH_PREFIX):
         return ''
--- a/skylarkfold/flows/_settings.py
+++ b/skylarkfold/flows/_settings.py
@@ -1,4 +1,4 @@
-"""What an operator can set about flows."""
+"""Settings of the flow core."""
 
 from __future__ import annotations
 
@@ -7,60 +7,62 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FlowSettings:
-    """Limits and intervals of the flow core, alike on all instances.
+    """Limits and intervals of the flow core; the same on all instances.
 
-    :param bucket_count: buckets of each service's table, a power of two.
-    :param replica_count: instances that hold each pin besides its home;
-        flows survive so many unplanned deaths at the same time.
-    :param control_bytes_per_second: budget for notes of new pins.
-    :param hand_on_bytes_per_second: budget for handing pins on and for
-        refreshing replicas.
-    :param note_seconds: shortest time between two batches to one peer.
-    :param note_limit: pins that may wait to be noted; beyond it new
-        flows stay on their bucket's unpinned upstream where they can.
-    :param propagation_seconds: after so long, a table is taken to be in
-        force on the instances that did not confirm it.
-    :param proposal_seconds: shortest time between two proposals for one
+    :param bucket_count: number of buckets in each service's table, a power
+        of two.
+    :param replica_count: number of instances that hold each pin besides its
+        home; flows survive that many simultaneous unplanned deaths.
+    :param control_bytes_per_second: byte budget for sending new pins to
+        replicas.
+    :param hand_on_bytes_per_second: byte budget for handovers of pins and
+        for refreshing replicas.
+    :param note_seconds: minimum time between two batches of new pins.
+    :param note_limit: maximum number of new pins waiting to be sent; beyond
+        it new flows go to their bucket's unpinned upstream if possible.
+    :param propagation_seconds: time after which a table counts as applied on
+        instances that have not confirmed it.
+    :param proposal_seconds: minimum time between two proposals for a
         service.
-    :param backup_seconds: how long each further instance waits for the
-        ones before it to propose a due change.
-    :param settle_seconds: how long an instance asks the former holders of
-        pins before it trusts its own.
-    :param hop_limit: instances that a datagram may pass through.
-    :param hold_count: datagrams held at the same time.
-    :param hold_bytes: payload bytes held at the same time.
-    :param hold_seconds: the longest time that a datagram is held.
-    :param flow_limit: pins kept on one instance.
-    :param cache_limit: answers of other instances kept on one instance.
-    :param cache_request_count: datagrams of one flow, passed on within
-        ``cache_request_seconds``, after which the answer is asked for.
+    :param backup_seconds: additional time that each lower ranked proposer
+        waits before it proposes a due change.
+    :param settle_seconds: maximum time that a new holder of a slot asks the
+        former holders about unknown flows.
+    :param hop_limit: maximum number of instances that a datagram may pass
+        through.
+    :param hold_count: maximum number of buffered datagrams.
+    :param hold_bytes: maximum payload bytes of buffered datagrams.
+    :param hold_seconds: maximum time that a datagram is buffered.
+    :param flow_limit: maximum number of pins on one instance.
+    :param cache_limit: maximum number of cached answers of other instances.
+    :param cache_request_count: number of redirected datagrams of a flow
+        within ``cache_request_seconds`` from which the flow's upstream is
+        requested for the cache.
     :param cache_request_seconds: see ``cache_request_count``.
-    :param continuity_open_share: the share of buckets that may be moving
-        at once, or place new flows by load, for services that prefer
+    :param continuity_open_share: maximum share of buckets that may move, or
+        place new flows by load, at the same time, for services that prefer
         continuity.
-    :param balance_open_share: the same, for those that prefer balance.
-    :param balance_free_share: the share of buckets whose new flows are
-        placed by load, for services that prefer balance.
-    :param continuity_imbalance: the load of the fullest upstream over the
-        mean from which further buckets place new flows by load, for
-        services that prefer continuity.
-    :param balance_imbalance: the same, for those that prefer balance.
-    :param free_step_share: the share of buckets by which their number
-        grows or shrinks at once.
-    :param free_step_seconds: the time between two such steps.
-    :param placement_margin: how far above the least loaded upstream the
-        unpinned one may be and still get a new flow.
-    :param load_stale_seconds: after so long a load report is ignored.
-    :param unreachable_seconds: how long an upstream that failed here gets
-        no new flows.
-    :param dead_seconds: how long an upstream must be reported unhealthy
-        before its flows are released.
-    :param cold_ramp_seconds: the time in which a new upstream comes up to
-        its full share.
-    :param stop_seconds: the longest time that a planned stop takes to
-        hand on.
-    :param stop_linger_seconds: the shortest time that a planned stop
-        takes, in which the others learn of it.
+    :param balance_open_share: the same for services that prefer balance.
+    :param balance_free_share: minimum share of buckets that place new flows
+        by load, for services that prefer balance.
+    :param continuity_imbalance: highest load divided by mean load above
+        which more buckets place new flows by load, for services that prefer
+        continuity.
+    :param balance_imbalance: the same for services that prefer balance.
+    :param free_step_share: share of buckets by which the number of buckets
+        that place by load changes in one step.
+    :param free_step_seconds: minimum time between two such steps.
+    :param placement_margin: relative excess over the lowest load up to which
+        the unpinned upstream still gets a new flow.
+    :param load_stale_seconds: age from which a load report is ignored.
+    :param unreachable_seconds: time for which an upstream that this instance
+        failed to reach gets no new flows.
+    :param dead_seconds: time for which an upstream must be reported
+        unreachable before its flows are reassigned.
+    :param cold_ramp_seconds: duration of the slow start of a new upstream.
+    :param stop_seconds: maximum duration of the handovers of a planned stop.
+    :param stop_linger_seconds: minimum duration of a planned stop, in which
+        the other instances learn of it.
     """
 
     bucket_count: int = 1024
--- a/skylarkfold/flows/_state.py
+++ b/skylarkfold/flows/_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows about one service's flows."""
+"""The state of one service on this instance."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 
 class StoredTable:
-    """What the platform's store has of a table.
+    """The version of a table in the platform's store.
 
-    :param revision: where in the store's history it was written.
-    :param version: what the next write must expect; 0 for no table.
-    :param serial: of the table.
+    :param revision: the store's revision at which it was written.
+    :param version: the version that the next write must expect; 0 if no
+        table is stored.
+    :param serial: the table's serial.
     """
 
     __slots__ = ('revision', 'serial', 'version')
@@ -42,13 +43,31 @@
 
 
 class ServiceState:
-    """One service: its table in force, its pins, and its load.
+    """A service with its current table, its pins and its load.
 
     :param service: the service as configured.
-    :param table: its first table, while none is known to be stored.
+    :param table: the initial table, used until a stored one is known.
     :param settings: the flow settings.
-    :param is_guess: whether the service is older than this instance's
-        view of it, so that another table may be in force elsewhere.
+    :param may_be_stale: whether other instances may have applied a newer
+        table, because the service is older than this instance.
+    :ivar version: the current table's serial, 0 for the initial table.
+    :ivar stored_table: the version of the table in the platform's store.
+    :ivar applied_at: when the current table was applied.
+    :ivar prepared_version: the last table version known to be applied on all
+        instances.
+    :ivar cache: upstreams of flows as answered by other instances.
+    :ivar pins: the pins of each bucket.
+    :ivar home_pins: those of the open buckets whose home is this instance.
+    :ivar redirect_counts: recently redirected datagrams of each flow.
+    :ivar opened_at: when each bucket that is not closed got its state.
+    :ivar home_since: when this instance became the home of each bucket.
+    :ivar preparing_since: for each preparing bucket the table version and the
+        time since which it is.
+    :ivar changed_since: for each bucket the table version and the time of its
+        last change.
+    :ivar mask: the mask that turns a flow's hash into its bucket.
+    :ivar closed_routes: the upstream of each closed bucket, None for others.
+    :ivar resolved_upstreams: the upstreams of the table, by index.
     """
 
     def __init__(
@@ -87,14 +106,14 @@
 
     @property
     def is_provisional(self) -> bool:
-        """Tell whether no stored table is known yet."""
+        """Whether the current table is the initial one."""
         return self.version == 0
 
     @property
     def is_missing_in_store(self) -> bool:
-        """Tell whether the store lacks the table in force.
+        """Whether the store lacks the current table.
 
-        It has come back from an older copy, or nothing was written yet.
+        It was restored from an older copy, or no table was written yet.
         """
         return self.stored_table.serial < self.version
 
@@ -105,7 +124,7 @@
         return _table.list_eligible(self.service, dead)
 
     def find_slot(self, bucket: int) -> int:
-        """Name the slot whose holders keep a bucket's pins."""
+        """Return the slot that a bucket belongs to."""
         return (bucket ^ self._salt) % _ranking.SLOT_COUNT
 
     def list_buckets(self, slot: int) -> range:
@@ -120,22 +139,23 @@
         return [each for each, state in enumerate(states) if state != closed]
 
     def find_upstream(self, index: int) -> service_module.Upstream | None:
-        """Find an upstream by its index in the table.
+        """Return an upstream by its index in the table.
 
-        :param index: the index, perhaps of a table not yet known here.
-        :returns: the upstream, or None.
+        :param index: the index; it may be from a newer table.
+        :returns: the upstream, or None if the index is unknown.
         """
         if 0 <= index < len(self.resolved_upstreams):
             return self.resolved_upstreams[index]
         return None
 
     def is_open(self, bucket: int) -> bool:
-        """Tell whether new flows of a bucket may leave its upstream.
+        """Return whether new flows of a bucket may go to another upstream.
 
-        A home need not wait for the table that says so, once it knows
-        that all instances ask it.
+        That also holds for a preparing bucket once all instances have applied
+        the table that prepares it, because they all ask the home then.
 
         :param bucket: the bucket.
+        :returns: whether they may.
         """
         state = self.table.states[bucket]
         if state != _table.BucketState.PREPARING:
@@ -143,10 +163,10 @@
         return self.preparing_since[bucket][0] <= self.prepared_version
 
     def record_prepared_version(self, version: int) -> None:
-        """Note a version whose preparations all others have in force.
+        """Record a table version that all instances have applied.
 
-        An instance that does not have it trusts its own table no more
-        and asks others until it catches up.
+        If this instance has missed it, its own table is stale, and it asks
+        the others about flows until it has a newer one.
 
         :param version: the table version.
         """
@@ -156,7 +176,7 @@
     def find_local(
         self, caller: endpoint.Endpoint
     ) -> tuple[service_module.Upstream | None, effect.Reason]:
-        """Find a flow's upstream as far as this instance knows it alone.
+        """Return a flow's upstream if it is known without asking a peer.
 
         :param caller: the flow's caller.
         :returns: the upstream or None, and the reason.
@@ -180,11 +200,11 @@
         return self.find_upstream(index), reason
 
     def add_pin(self, bucket: int, flow: int, index: int) -> None:
-        """Keep a flow's pin.
+        """Add a pin.
 
         :param bucket: the flow's bucket.
-        :param flow: its hash.
-        :param index: its upstream's index.
+        :param flow: the flow's hash.
+        :param index: the upstream's index.
         """
         pins = self.pins.get(bucket)
         if pins is None:
@@ -192,13 +212,13 @@
         pins.put(flow, index)
 
     def count_pins(self) -> int:
-        """Count all pins kept here."""
+        """Return the number of pins on this instance."""
         return sum(map(len, self.pins.values()))
 
     def configure(self, now: float, service: service_module.Service) -> None:
-        """Take a newer configuration of the service.
+        """Apply a newer configuration of the service.
 
-        :param now: the time.
+        :param now: the current time.
         :param service: the service as configured now.
         """
         if service == self.service:
@@ -213,11 +233,11 @@
     def apply_table(
         self, now: float, table: _table.BucketTable, version: int
     ) -> None:
-        """Put a newer table in force.
+        """Apply a newer table.
 
-        :param now: the time.
+        :param now: the current time.
         :param table: the table.
-        :param version: its serial.
+        :param version: the table's serial.
         """
         former = self.table
         self.table = table
--- a/skylarkfold/flows/_streams.py
+++ b/skylarkfold/flows/_streams.py
@@ -1,7 +1,7 @@
-"""Streams: placed by load, and kept by the instance that relays them.
+"""Placement of TCP streams by load.
 
-A stream ends with the instance that relays it, so no other instance has
-to know its upstream.
+A stream ends when the instance that relays it stops, so no other instance has
+to know the stream's upstream.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class StreamPlacer:
-    """Places streams and counts them while they last.
+    """Places streams and counts the open ones.
 
     :param settings: the flow settings.
     :param zone: this instance's zone.
@@ -32,13 +32,15 @@
         state: _state.ServiceState | None,
         owner_count: int,
     ) -> list[object]:
-        """Choose a stream's upstream.
+        """Choose the upstream of a new stream.
 
-        :param now: the time.
+        :param now: the current time.
         :param opened: the stream.
-        :param state: its service, None if no team claims the address.
-        :param owner_count: instances that place flows of this service.
-        :returns: effects.
+        :param state: the state of its service, None if no service has the
+            address.
+        :param owner_count: the number of instances that place flows of this
+            service.
+        :returns: the effects.
         """
         if state is None:
             reason = effect.Reason.NO_SERVICE
@@ -70,15 +72,15 @@
         return [connect, decision]
 
     def close(self, now: float, closed: event.StreamClosed) -> None:
-        """Forget a stream that ended.
+        """Stop counting a stream that has ended.
 
-        :param now: the time.
-        :param closed: the stream, and whether its upstream failed.
+        :param now: the current time.
+        :param closed: the stream and whether its upstream failed.
         """
-        found = self._open.pop(closed.stream, None)
-        if found is None:
+        entry = self._open.pop(closed.stream, None)
+        if entry is None:
             return
-        state, upstream = found
+        state, upstream = entry
         state.load.count_expired(upstream, 1)
         if closed.failed:
             state.load.record_failure(now, upstream)
--- a/skylarkfold/flows/_table.py
+++ b/skylarkfold/flows/_table.py
@@ -1,10 +1,14 @@
-"""Bucket tables: which upstream a part of a service's flows belongs to.
+"""Bucket tables, which map hash buckets of flows to upstreams.
 
-A flow's hash names its bucket. A bucket is *closed* (all its flows go to
-its unpinned upstream), *preparing* (the same, but every instance asks the
-bucket's home) or *open*: a flow goes where it is pinned, a new one to the
-target or, where the target is free, to the upstream that the load favours,
-and one without a pin to the unpinned upstream.
+A flow's hash determines its bucket. A bucket has an *unpinned* upstream, which
+gets flows without a pin, and a target for new flows. It is in one of these
+states:
+
+- *closed*: all flows go to the unpinned upstream;
+- *preparing*: the same, but every instance asks the bucket's home;
+- *open*: a flow with a pin goes to its pinned upstream, a new flow to the
+  target (or to an upstream chosen by load, if the target is ``BY_LOAD``), and
+  any other flow to the unpinned upstream.
 """
 
 from __future__ import annotations
@@ -26,7 +30,7 @@
 
 
 class BucketState(enum.IntEnum):
-    """How flows of a bucket find their upstream."""
+    """How the upstream of a bucket's flows is found; see the module."""
 
     CLOSED = 0
     PREPARING = 1
@@ -34,10 +38,10 @@
 
 
 class TableUpstream(msgspec.Struct, frozen=True, array_like=True):
-    """An upstream as a table remembers it.
+    """An upstream of a table.
 
-    The address is kept so that flows reach an upstream which the
-    configuration in force here does not know yet or no longer.
+    With its address, flows can be forwarded to it even if this instance's
+    configuration does not have it yet or any more.
     """
 
     name: str
@@ -46,20 +50,20 @@
 
 
 class BucketTable(msgspec.Struct, frozen=True, array_like=True):
-    """A service's buckets.
+    """The bucket table of a service.
 
-    :param upstreams: all upstreams since the table's beginning; their
+    :param upstreams: all upstreams that the service has ever had; their
         indexes never change.
-    :param dead: indexes of upstreams whose flows are released.
-    :param states: a :class:`BucketState` for each bucket.
-    :param unpinned: for each bucket the index of the upstream of flows
-        without a pin.
-    :param targets: for each bucket the index of the upstream of new
-        flows, or ``FREE``.
-    :param serial: how often the table has been changed; of two tables the
-        one with the higher serial is the later one. The version that the
-        store counts goes back when the store does. 0 in tables that were
-        written before there was one: their version stands for it.
+    :param dead: the indexes of dead upstreams, whose flows are reassigned.
+    :param states: the :class:`BucketState` of each bucket.
+    :param unpinned: the index of each bucket's upstream for flows without a
+        pin.
+    :param targets: the index of each bucket's upstream for new flows, or
+        ``BY_LOAD``.
+    :param serial: the number of changes of the table; the higher serial is
+        newer. Unlike the store's version it does not go back when the store
+        is restored from an older copy. 0 in tables of an older format, for
+        which the version is used instead.
     """
 
     upstreams: list[TableUpstream]
@@ -70,10 +74,10 @@
     serial: int = 0
 
     def find_index(self, name: str) -> int:
-        """Find an upstream's index.
+        """Return the index of an upstream.
 
         :param name: the upstream's name.
-        :returns: its index, or ``NO_UPSTREAM``.
+        :returns: the index, or ``NO_UPSTREAM``.
         """
         for index, upstream in enumerate(self.upstreams):
             if upstream.name == name:
@@ -81,7 +85,7 @@
         return NO_UPSTREAM
 
     def count_balanced(self) -> int:
-        """Count the buckets whose new flows are placed by load."""
+        """Return the number of buckets that place new flows by load."""
         closed = BucketState.CLOSED
         return sum(
             target == BY_LOAD and state != closed
@@ -94,7 +98,7 @@
 
 
 def build_path(service_name: str) -> str:
-    """Tell where a service's table is stored.
+    """Return the path at which a service's table is stored.
 
     :param service_name: the service's name.
     :returns: the object's path.
@@ -103,7 +107,7 @@
 
 
 def encode(table: BucketTable) -> bytes:
-    """Encode a table for the platform.
+    """Encode a table for the platform's store.
 
     :param table: the table.
     :returns: the object's value.
@@ -112,11 +116,11 @@
 
 
 def decode(value: bytes) -> BucketTable:
-    """Decode and check a table.
+    """Decode and validate a table.
 
     :param value: the object's value.
     :returns: the table.
-    :raises DecodeError: if it is no table or does not fit together.
+    :raises DecodeError: if the value is not a valid table.
     """
     try:
         table = _decoder.decode(value)
@@ -128,15 +132,15 @@
 
 def _check(table: BucketTable) -> None:
     if table.serial < 0:
-        raise errors.DecodeError(f'serial {table.serial}')
+        raise errors.DecodeError(f'table serial {table.serial} is negative')
     count = len(table.states)
     if count == 0 or count & (count - 1):
-        raise errors.DecodeError(f'{count} buckets are no power of two')
+        raise errors.DecodeError(f'bucket count {count} is not a power of two')
     if len(table.unpinned) != count or len(table.targets) != count:
         raise errors.DecodeError('bucket columns differ in length')
     indexes = {*table.unpinned, *table.targets, *table.dead}
     if min(indexes) < BY_LOAD or max(indexes) >= len(table.upstreams):
-        raise errors.DecodeError('an index names no upstream')
+        raise errors.DecodeError('upstream index is out of range')
     if not set(table.states) <= set(BucketState):
         raise errors.DecodeError('unknown bucket state')
     for upstream in table.upstreams:
@@ -153,24 +157,26 @@
 def list_eligible(
     service: service_module.Service, dead: Iterable[str] = ()
 ) -> list[service_module.Upstream]:
-    """List the upstreams that may be given new flows.
+    """List the upstreams that may get new flows.
 
     :param service: the service.
-    :param dead: names of upstreams that are known to be dead.
-    :returns: upstreams that take new work; where none does, all that are
-        not dead, for a drain of all of them can't be meant.
+    :param dead: the names of dead upstreams.
+    :returns: the live upstreams that take new work; if there is none, all
+        live upstreams, because draining them all can't be intended.
     """
     alive = [each for each in service.upstreams if each.name not in dead]
     return [each for each in alive if each.takes_new_work] or alive
 
 
 def apportion(weights: dict[str, float], count: int) -> dict[str, int]:
-    """Divide a number of buckets by weight, exactly.
+    """Divide a number of buckets by weight.
+
+    Uses the largest remainder method; ties are broken by name.
 
-    :param weights: each upstream's weight, by name.
-    :param count: how many buckets there are.
-    :returns: whole shares that add up to ``count``, by the method of the
-        largest remainder; ties go by name.
+    :param weights: the weight of each upstream, by name.
+    :param count: the number of buckets.
+    :returns: the number of buckets of each upstream, by name; they add up to
+        ``count``.
     """
     total = sum(weights.values())
     if total <= 0:
@@ -178,20 +184,20 @@
         total = float(len(weights))
     exact = {name: count * each / total for name, each in weights.items()}
     shares = {name: int(each) for name, each in exact.items()}
-    rest = count - sum(shares.values())
+    remaining = count - sum(shares.values())
     remainders = sorted(
         exact, key=lambda name: (shares[name] - exact[name], name)
     )
-    for name in remainders[:rest]:
+    for name in remainders[:remaining]:
         shares[name] += 1
     return shares
 
 
 def describe_upstream(upstream: service_module.Upstream) -> TableUpstream:
-    """Describe an upstream for the table.
+    """Convert a configured upstream to a table's upstream.
 
-    :param upstream: an upstream of the configuration.
-    :returns: what the table remembers of it.
+    :param upstream: the configured upstream.
+    :returns: the table's upstream.
     """
     return TableUpstream(upstream.name, str(upstream.address), upstream.zone)
 
@@ -199,7 +205,7 @@
 def build_initial(
     service: service_module.Service, settings: _settings.FlowSettings
 ) -> BucketTable:
-    """Build a new service's table, alike on all instances.
+    """Build the initial table of a service; the same on all instances.
 
     :param service: the service's first configuration.
     :param settings: the flow settings.
@@ -226,11 +232,11 @@
 def count_balanced(
     service: service_module.Service, settings: _settings.FlowSettings
 ) -> int:
-    """Tell how many buckets of a service place new flows by load.
+    """Return how many buckets place new flows by load by default.
 
     :param service: the service.
     :param settings: the flow settings.
-    :returns: a number of buckets, 0 where continuity is preferred.
+    :returns: the number of buckets; 0 if the service prefers continuity.
     """
     if service.preference is not service_module.Preference.BALANCE:
         return 0
@@ -240,11 +246,11 @@
 
 
 def spread_evenly(part: int, count: int) -> list[int]:
-    """Pick buckets at even distances.
+    """Pick evenly spaced buckets.
 
     :param part: how many to pick.
-    :param count: how many there are.
-    :returns: their numbers, rising.
+    :param count: the number of buckets.
+    :returns: the numbers of the picked buckets in ascending order.
     """
     return [number * count // part for number in range(part)]
 
--- a/skylarkfold/tests/flows/test_send_queues.py
+++ b/skylarkfold/tests/flows/test_send_queues.py
@@ -57,7 +57,7 @@
     def test_pins_for_a_lost_peer_are_forgotten(self):
         self.add([1, 2])
         self.add([3], 'i2')
-        self.queue.drop_peer('i1')
+        self.queue.drop('i1')
         self.assertEqual(1, len(self.queue))
 
 
