--- a/skylarkfold/flows/_load.py
+++ b/skylarkfold/flows/_load.py
@@ -8,13 +8,25 @@
 from skylarkfold.flows import _settings
 from skylarkfold import service as service_module
 
-_MIN_SLOW_START = 0.1
+_MIN_SLOW_START_FACTOR = 0.1
 _MIN_WEIGHT = 1e-6
 _MIN_FLOWS_PER_UPSTREAM = 50
 
 
 @dataclasses.dataclass(slots=True)
 class _UpstreamLoad:
+    """The load of one upstream.
+
+    :param pinned: flows that this instance placed and that did not expire.
+    :param reported: flows according to the last report.
+    :param reported_at: when the last report arrived.
+    :param placed_since: flows that this instance placed since then.
+    :param healthy: whether the upstream reported itself healthy.
+    :param reachable: whether the upstream answered.
+    :param failed_at: when this instance last failed to connect to it.
+    :param slow_start_began_at: when its slow start began.
+    """
+
     pinned: int = 0
     reported: int = 0
     reported_at: float | None = None
@@ -22,7 +34,7 @@
     healthy: bool = True
     reachable: bool = True
     failed_at: float | None = None
-    slow_start_at: float | None = None
+    slow_start_began_at: float | None = None
 
 
 class LoadView:
@@ -45,7 +57,7 @@
         :param now: the current time.
         :param name: the upstream's name.
         """
-        self._get(name).slow_start_at = now
+        self._get(name).slow_start_began_at = now
 
     def count_placed(self, name: str) -> None:
         """Count a flow that this instance placed on an upstream."""
@@ -53,10 +65,10 @@
         load.placed_since += 1
         load.pinned += 1
 
-    def count_expired(self, name: str, amount: int) -> None:
+    def count_expired(self, name: str, count: int) -> None:
         """Subtract flows of this instance that ended or expired."""
         load = self._get(name)
-        load.pinned = max(0, load.pinned - amount)
+        load.pinned = max(0, load.pinned - count)
 
     def record_report(self, now: float, report: event.LoadReported) -> bool:
         """Record a load report of an upstream.
@@ -127,7 +139,7 @@
                 flows = load.reported + load.placed_since * owner_count
             weight = max(upstream.weight, _MIN_WEIGHT)
             ratios[upstream.name] = flows / (
-                weight * self._compute_slow_start(now, load)
+                weight * self._compute_slow_start_factor(now, load)
             )
         return ratios
 
@@ -178,11 +190,15 @@
             return False
         return now - reported_at <= self._settings.load_stale_seconds
 
-    def _compute_slow_start(self, now: float, load: _UpstreamLoad) -> float:
-        if load.slow_start_at is None:
+    def _compute_slow_start_factor(
+        self, now: float, load: _UpstreamLoad
+    ) -> float:
+        if load.slow_start_began_at is None:
             return 1.0
-        elapsed = (now - load.slow_start_at) / self._settings.cold_ramp_seconds
-        return min(1.0, max(_MIN_SLOW_START, elapsed))
+        elapsed = (
+            now - load.slow_start_began_at
+        ) / self._settings.cold_ramp_seconds
+        return min(1.0, max(_MIN_SLOW_START_FACTOR, elapsed))
 
     def _get(self, name: str) -> _UpstreamLoad:
         load = self._loads.get(name)
--- a/skylarkfold/flows/_members.py
+++ b/skylarkfold/flows/_members.py
@@ -68,9 +68,12 @@
         self._disconnected: set[str] = set()
         self._reachable: set[str] = set()
         self._joined_at: dict[str, float] = {}
+        # By peer and slot: when the peer's handover to this instance ended,
+        # and since when the peer has had this instance's pins.
         self._handover_done_at: dict[tuple[str, int], float] = {}
         self._synced_at: dict[tuple[str, int], float] = {}
         self._ranking_before_stop: _ranking.Ranking | None = None
+        # For each slot the peers to wait for, with their deadlines.
         self._pending_handovers: dict[int, dict[str, float]] = {}
         self.is_stopping = False
         self._has_warmed_up = False
@@ -323,6 +326,12 @@
     def _update_pending_handover(
         self, now: float, slot: int, change: RankingChange
     ) -> None:
+        """Determine which peers' handovers of a held slot to wait for.
+
+        They are those of peers that joined; of the former holders, if this
+        instance was none; and of all ranked peers, if one that it was waiting
+        for has departed.
+        """
         ranked = change.current.list_ranked(slot)
         former = change.list_former_holders(slot)
         pending = self._pending_handovers.get(slot, {})
--- a/skylarkfold/flows/_pin_maintenance.py
+++ b/skylarkfold/flows/_pin_maintenance.py
@@ -136,6 +136,7 @@
             pins.put(flow, index)
 
     def _outranks(self, slot: int, sender: str) -> bool:
+        """Return whether a sender ranks above this instance for a slot."""
         ranked = self._members.ranking.list_ranked(slot)
         name = self._members.name
         if sender not in ranked:
@@ -182,10 +183,10 @@
     def _count_expired(
         self, state: _state.ServiceState, expired: dict[int, int]
     ) -> None:
-        for index, amount in collections.Counter(expired.values()).items():
+        for index, count in collections.Counter(expired.values()).items():
             upstream = state.find_upstream(index)
             if upstream is not None:
-                state.load.count_expired(upstream.name, amount)
+                state.load.count_expired(upstream.name, count)
 
     def _refresh(
         self, state: _state.ServiceState, bucket: int, pins: _pins.PinSet
--- a/skylarkfold/flows/_plan.py
+++ b/skylarkfold/flows/_plan.py
@@ -146,6 +146,7 @@
                 self._states[bucket] = OPEN
 
     def _adjust_balanced(self) -> None:
+        """Change how many buckets place new flows by load, if necessary."""
         wanted = self._input.balanced_count
         if wanted is None:
             wanted = _table.count_balanced(self._service, self._settings)
@@ -171,6 +172,7 @@
             self._targets[closed[position]] = _table.BY_LOAD
 
     def _compute_deficits(self) -> None:
+        """Compute how many buckets each eligible upstream lacks by weight."""
         eligible = _table.list_eligible(self._service, self._input.dead)
         weights = {each.name: each.weight for each in eligible}
         assigned = list(self._list_assigned())
@@ -186,6 +188,7 @@
                 self._deficits[owner] -= 1
 
     def _list_assigned(self) -> Iterator[int]:
+        """List the buckets whose target is an upstream."""
         for bucket, target in enumerate(self._targets):
             if target != _table.BY_LOAD or self._states[bucket] == CLOSED:
                 yield bucket
@@ -210,11 +213,13 @@
             self._unpinned[bucket] = target
 
     def _move_off_ineligible(self) -> None:
+        """Move buckets from upstreams that take no new flows."""
         for bucket in list(self._list_assigned()):
             if self._deficits and self._targets[bucket] not in self._deficits:
                 self._move(bucket, self._take_largest_deficit())
 
     def _rebalance(self) -> None:
+        """Move buckets from upstreams that have too many by weight."""
         allowed = self._count_allowed_moves()
         for bucket in self._list_move_order():
             owner = self._targets[bucket]
@@ -228,6 +233,7 @@
             self._move(bucket, self._take_largest_deficit())
 
     def _list_move_order(self) -> list[int]:
+        """List the buckets to move, those that are already moving first."""
         return sorted(
             self._list_assigned(),
             key=lambda bucket: self._states[bucket] == CLOSED,
--- a/skylarkfold/flows/_proposer.py
+++ b/skylarkfold/flows/_proposer.py
@@ -27,7 +27,16 @@
 
 @dataclasses.dataclass(slots=True)
 class _ProposalState:
-    """The state of this instance's proposals for one service."""
+    """The state of this instance's proposals for one service.
+
+    :param due_since: since when a change has been due; None if none is.
+    :param next_attempt_at: the earliest time of the next proposal.
+    :param writing_until: until when to wait for the outcome of a write.
+    :param pending: the table being written.
+    :param failures: the number of successive failed writes.
+    :param unchanged_for: the version and input for which no change was due,
+        to skip planning while they stay the same.
+    """
 
     due_since: float | None = None
     next_attempt_at: float = 0.0
--- a/skylarkfold/flows/_state.py
+++ b/skylarkfold/flows/_state.py
@@ -16,8 +16,11 @@
 from skylarkfold.flows import _table
 from skylarkfold import service as service_module
 
+# Rotation periods of a home's pins and of the cache, as multiples of the
+# service's idle timeout.
 HOME_PERIOD_IDLE_FACTOR = 1.5
 CACHE_PERIOD_IDLE_FACTOR = 0.25
+# Rotations of the home's pins per rotation of replicas and per refresh.
 REPLICA_PERIOD_ROTATIONS = 5
 REFRESH_PERIOD_ROTATIONS = 3
 
--- a/skylarkfold/flows/_table.py
+++ b/skylarkfold/flows/_table.py
@@ -132,10 +132,10 @@
 
 def _check(table: BucketTable) -> None:
     if table.serial < 0:
-        raise errors.DecodeError(f'table serial {table.serial} is negative')
+        raise errors.DecodeError(f'negative serial {table.serial}')
     count = len(table.states)
     if count == 0 or count & (count - 1):
-        raise errors.DecodeError(f'bucket count {count} is not a power of two')
+        raise errors.DecodeError(f'{count} buckets are not a power of two')
     if len(table.unpinned) != count or len(table.targets) != count:
         raise errors.DecodeError('bucket columns differ in length')
     indexes = {*table.unpinned, *table.targets, *table.dead}
--- a/skylarkfold/tests/flows/_state_machines.py
+++ b/skylarkfold/tests/flows/_state_machines.py
@@ -1,4 +1,4 @@
-"""State machines that drive several cores against the simple oracle."""
+"""Hypothesis state machines that check a fleet of cores by an oracle."""
 
 import dataclasses
 import random
@@ -34,12 +34,12 @@
 
 
 def build_core(settings):
-    """Make a core with a table that is small enough to cover whole."""
+    """Build a core with a table small enough for tests to cover."""
     return flows.FlowCore(settings, CORE_SETTINGS)
 
 
 def build_rule(preference):
-    """Make the rule of this design with a small table."""
+    """Build the rule of the flow core with a small table."""
     own = _flow_rules.OWN_RULES[0]
     return dataclasses.replace(
         own, make_core=build_core, preference=preference
@@ -47,10 +47,10 @@
 
 
 class PlannedMachine(stateful.RuleBasedStateMachine):
-    """Planned changes, and a platform and links that are slow or double.
+    """Planned changes with slow links and platform and duplicate messages.
 
-    No flow may break: whatever the order of these changes, each packet
-    reaches the upstream that its flow first reached.
+    No flow may break: each packet has to reach the upstream that the first
+    packet of its flow reached.
     """
 
     rule = None
@@ -62,7 +62,7 @@
     )
     def open(self, preference, is_marked, seed):
         self.is_marked = is_marked
-        self.source = random.Random(seed)
+        self.random = random.Random(seed)
         address = _flow_scenario.ADDRESS
         self.fleet = _flow_fleet.Fleet(
             self.rule or build_rule(preference),
@@ -82,8 +82,8 @@
         self.site.open()
         self.flows = []
         self.sent = 0
-        self.begun = 0
-        self.started = INSTANCES
+        self.next_flow = 0
+        self.started_count = INSTANCES
         self.begin_flows(count=20, early=0.02, copies=1)
 
     # Packets.
@@ -94,8 +94,8 @@
         copies=strategies.integers(1, 2),
     )
     def begin_flows(self, count, early, copies):
-        numbers = range(self.begun, self.begun + count)
-        self.begun += count
+        numbers = range(self.next_flow, self.next_flow + count)
+        self.next_flow += count
         self.flows += numbers
         for number in numbers:
             for _ in range(copies):
@@ -110,7 +110,7 @@
     @stateful.rule(pick=PICKS)
     def end_flows(self, pick):
         kept = pick % (len(self.flows) + 1)
-        self.source.shuffle(self.flows)
+        self.random.shuffle(self.flows)
         del self.flows[kept:]
 
     @stateful.rule(seconds=strategies.floats(0.01, 10.0))
@@ -149,15 +149,15 @@
     @stateful.precondition(lambda self: len(self.fleet.nodes) < MAX_INSTANCES)
     @stateful.rule()
     def start_instance(self):
-        self.started += 1
-        self.fleet.start(f'entry-{self.started}')
+        self.started_count += 1
+        self.fleet.start(f'entry-{self.started_count}')
 
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS)
     def stop_instance(self, pick):
         self.fleet.stop(self._pick_remaining(pick))
 
-    # What the platform and the links may do at any time.
+    # Platform outages, lost answers, link delays and duplicates.
 
     @stateful.rule(is_down=strategies.booleans())
     def turn_platform(self, is_down):
@@ -176,7 +176,7 @@
             most_delay_seconds=most, doubled_share=doubled
         )
 
-    # What must hold after each step.
+    # Invariants.
 
     @stateful.invariant()
     def no_flow_is_broken(self):
@@ -210,7 +210,7 @@
             b'',
             is_first if self.is_marked else None,
         )
-        self.fleet.deliver(self.source.choice(serving), datagram)
+        self.fleet.deliver(self.random.choice(serving), datagram)
 
     def _pick_upstream(self, pick):
         return pick % len(self.site.upstreams) + 1
@@ -229,17 +229,17 @@
 
 
 class DeathMachine(PlannedMachine):
-    """Single deaths between planned changes; only exposed flows may break.
+    """Single instance deaths between planned changes.
 
-    The death of one instance, while no other fault is near, exposes only
-    the flows that began within ``EXPOSED_SECONDS`` before it, or within
-    ``SETTLED_SECONDS`` after it: all others have a replica of their pin.
-    The death of an upstream exposes its own flows only, by the oracle.
+    The death of an instance may break only the flows that began within
+    ``REPLICATION_SECONDS`` before it or ``SETTLED_SECONDS`` after it; the
+    pins of all others have a replica. The oracle itself excuses the flows of
+    dead upstreams.
     """
 
     def __init__(self):
         super().__init__()
-        self.exposed_until = 0.0
+        self.excused_until = 0.0
         self.excused = set()
 
     @stateful.precondition(lambda self: self._is_settled())
@@ -247,7 +247,7 @@
     @stateful.rule(pick=PICKS, resets=strategies.booleans())
     def kill_instance(self, pick, resets):
         self.fleet.kill(self._pick_remaining(pick), resets)
-        self._expose(self.fleet.now - REPLICATION_SECONDS)
+        self._excuse_flows(self.fleet.now - REPLICATION_SECONDS)
 
     @stateful.rule(pick=PICKS)
     def kill_upstream(self, pick):
@@ -257,13 +257,13 @@
             self.fleet.lose_upstream(_flow_scenario.SERVICE, upstream.name)
 
     def _is_settled(self):
-        return self.fleet.now >= self.exposed_until
+        return self.fleet.now >= self.excused_until
 
-    def _expose(self, begun_after):
+    def _excuse_flows(self, begun_after):
         for key, binding in self.fleet.oracle.bindings.items():
             if binding.begun >= begun_after:
                 self.excused.add(key)
-        self.exposed_until = self.fleet.now + SETTLED_SECONDS
+        self.excused_until = self.fleet.now + SETTLED_SECONDS
 
     def _send(self, number, is_first):
         if is_first and not self._is_settled():
@@ -279,12 +279,11 @@
 
 
 class FaultMachine(DeathMachine):
-    """All faults, together and twice, between planned changes.
+    """Any combination of faults between planned changes.
 
-    Every flow that is open at some time between a fault's beginning and
-    ``SETTLED_SECONDS`` after its end is exposed. Whatever fails, no packet
-    reaches another service or goes round, and a flow that begins after it
-    all has settled never breaks.
+    Flows may break if they are open at any time between the start of a fault
+    and ``SETTLED_SECONDS`` after its end. No packet may reach another service
+    or be redirected in a loop, and flows that begin later must not break.
     """
 
     def __init__(self):
@@ -295,67 +294,67 @@
     @stateful.rule(pick=PICKS, resets=strategies.booleans())
     def kill_another(self, pick, resets):
         self.fleet.kill(self._pick_remaining(pick), resets)
-        self._expose(0.0)
+        self._excuse_flows(0.0)
 
     @stateful.rule(share=strategies.sampled_from([0.0, 0.1]))
     def lose_messages(self, share):
         self.fleet.links.settings = dataclasses.replace(
             self.fleet.links.settings, lost_share=share, in_order=share == 0.0
         )
-        self._expose_during_faults()
+        self._excuse_during_faults()
 
     @stateful.rule(pick=PICKS)
     def cut_instances(self, pick):
         names = sorted(self.fleet.nodes)
         one = names[: pick % len(names)]
         self.fleet.cut(one, [each for each in names if each not in one])
-        self._expose_during_faults()
+        self._excuse_during_faults()
 
     @stateful.rule()
     def join_instances(self):
         self.fleet.join()
-        self._expose_during_faults()
+        self._excuse_during_faults()
 
     @stateful.rule(pick=PICKS, is_cut_off=strategies.booleans())
     def cut_platform(self, pick, is_cut_off):
         names = sorted(self.fleet.nodes)
         self.fleet.cut_platform(names[pick % len(names)], is_cut_off)
-        self._expose_during_faults()
+        self._excuse_during_faults()
 
-    def _expose_during_faults(self):
-        """Expose all flows while any lasting fault is there."""
+    def _excuse_during_faults(self):
+        """Excuse all open flows while a lasting fault is present."""
         has_lasting_fault = (
             self.fleet.links.settings.lost_share > 0
             or self.fleet.links.cut
             or any(each.is_cut_off for each in self.fleet.nodes.values())
         )
         self.has_lasting_fault = bool(has_lasting_fault)
-        self._expose(0.0)
+        self._excuse_flows(0.0)
 
     def _is_settled(self):
         return not self.has_lasting_fault and super()._is_settled()
 
     def _send(self, number, is_first):
         if self.has_lasting_fault:
-            self.exposed_until = self.fleet.now + SETTLED_SECONDS
+            self.excused_until = self.fleet.now + SETTLED_SECONDS
         super()._send(number, is_first)
 
 
 def build_flow_key(number):
-    """Give the key of a machine's flow."""
+    """Return the key of a numbered flow."""
     return flow.FlowKey(
         _flow_scenario.SERVICE, _flow_workload.make_caller(number)
     )
 
 
 def run(machine, examples, steps):
-    """Run a machine.
+    """Run a state machine.
 
-    A failing sequence is told as it was found: shrinking takes minutes.
+    Failing sequences are not shrunk, which would take minutes.
 
-    :param machine: the class.
-    :param examples: how many sequences of steps.
-    :param steps: the most steps of each.
+    :param machine: the state machine's class.
+    :param examples: the number of sequences of steps.
+    :param steps: the maximum number of steps of a sequence.
     """
     settings = hypothesis.settings(
         max_examples=examples,
--- a/skylarkfold/tests/flows/cluster.py
+++ b/skylarkfold/tests/flows/cluster.py
@@ -1,4 +1,4 @@
-"""Several flow cores with a store and a network between them."""
+"""A simulated cluster of flow cores with a store and a network."""
 
 import collections
 import dataclasses
@@ -47,13 +47,16 @@
 
 
 class Cluster:
-    """Cores that talk to each other over streams with delays.
+    """Flow cores that exchange messages with simulated delays.
 
-    :param count: how many instances there are at first.
+    :param count: the initial number of instances.
     :param settings: the flow settings.
-    :param seed: of delays.
-    :param delay: the longest delay of a peer's message; 0 for none.
-    :param uneven: the longest delay of news from the platform.
+    :param seed: the seed of the random delays.
+    :param message_delay: the maximum delay of a peer's message; 0 for none.
+    :param publish_delay: the maximum delay of updates from the platform.
+    :ivar unsubscribed: instances that get no updates from the platform.
+    :ivar cut_links: pairs of instances that can't exchange messages.
+    :ivar loses_write_answers: whether writes succeed without an answer.
     """
 
     def __init__(
@@ -76,7 +79,7 @@
         self.members = {}
         self.members_version = 0
         self.stored = None
-        # How often the store has come back from an older copy.
+        # Increases when the store is restored from an older copy.
         self.store_era = 0
         self.configuration = None
         self.is_store_down = False
@@ -91,7 +94,7 @@
             self.start_instance(f'i{number}')
 
     def start_instance(self, name):
-        """Start an instance, or start it anew with nothing."""
+        """Start an instance, or restart it without its state."""
         zone = ZONES[int(name[1:]) % len(ZONES)]
         address = endpoint.Endpoint('10.0.2.1', int(name[1:]))
         former = self.members.get(name)
@@ -115,17 +118,17 @@
         self.schedule(self.random.random() * 0.25, self.tick, name)
 
     def tick(self, name):
-        """Tell an instance the time, and again a quarter second later."""
+        """Send a tick to an instance and schedule the next one."""
         self.handle_event(name, event.Tick())
         self.schedule(0.25, self.tick, name)
 
     def kill(self, name):
-        """End an instance without notice."""
+        """Kill an instance without a planned stop."""
         del self.cores[name]
         self.set_state(name, member.MemberState.DEAD)
 
     def stop(self, name, limit=60):
-        """Stop an instance as planned."""
+        """Carry out a planned stop of an instance."""
         self.set_state(name, member.MemberState.LEAVING)
         self.handle_event(name, event.StopRequested())
         end = self.now + limit
@@ -135,25 +138,25 @@
         self.set_state(name, member.MemberState.LEFT)
 
     def set_state(self, name, state):
-        """Show an instance in another state to all."""
+        """Change an instance's member state and publish it."""
         self.members[name] = dataclasses.replace(
             self.members[name], state=state
         )
         self.publish_membership()
 
     def build_membership_event(self):
-        """Build what members learn of each other."""
+        """Build the event of the current membership."""
         self.members_version += 1
         return event.MembershipChanged(
             member.Membership(self.members_version, dict(self.members))
         )
 
     def publish_membership(self):
-        """Tell all instances of the members."""
+        """Publish the current membership to all instances."""
         self.publish(self.build_membership_event())
 
     def configure(self, new_service, only=None):
-        """Put a service in force on all or some instances."""
+        """Publish a configuration with one service to instances."""
         revision = self.configuration.revision + 1 if self.configuration else 1
         self.configuration = configuration.Configuration(
             revision, {new_service.name: new_service}
@@ -161,11 +164,11 @@
         self.publish(event.ConfigurationChanged(self.configuration), only)
 
     def publish_table(self, only=None):
-        """Tell instances of the stored table."""
+        """Publish the stored table to all or some instances."""
         self.publish(event.ObjectChanged(self.stored), only)
 
     def publish(self, occurred, only=None):
-        """Give news to instances, each after a delay of its own."""
+        """Deliver an event to instances, each after a random delay."""
         for name in only or sorted(self.cores):
             if name in self.unsubscribed:
                 continue
@@ -173,7 +176,7 @@
             self.deliver('', name, occurred, delay)
 
     def deliver(self, sender, name, occurred, delay):
-        """Give an event to an instance later; order is kept for a pair."""
+        """Deliver an event after a delay; in order for each pair and type."""
         if not delay and not self.message_delay:
             self.handle_event(name, occurred)
             return
@@ -183,7 +186,7 @@
         self.schedule(at - self.now, self.handle_event, name, occurred)
 
     def schedule(self, delay, call, name, *arguments):
-        """Do something for an instance later, unless it ended by then."""
+        """Schedule a call for an instance; skipped if it restarts before."""
         self.sequence += 1
         item = (
             self.now + delay,
@@ -196,14 +199,14 @@
         heapq.heappush(self.scheduled_calls, item)
 
     def handle_event(self, name, occurred):
-        """Give an event to a core and carry out its effects."""
+        """Handle an event in a core and apply its effects."""
         if name not in self.cores:
             return
         for produced in self.cores[name].handle(self.now, occurred):
             self.apply_effect(name, produced)
 
     def apply_effect(self, name, produced):
-        """Carry out one effect."""
+        """Apply one effect of an instance."""
         if isinstance(produced, effect.SendToPeer):
             self.messages[type(produced.message).__name__] += 1
             if frozenset((name, produced.peer)) in self.cut_links:
@@ -222,7 +225,7 @@
             self.write(name, produced.write)
 
     def write(self, name, write):
-        """Write conditionally to the store."""
+        """Apply a conditional write to the store."""
         version = self.stored.version if self.stored else 0
         status = platform_api.PlatformStatus.CONFLICT
         if not self.is_store_down and version == write.expected_version:
@@ -242,7 +245,7 @@
         self.deliver('platform', name, ended, self.message_delay)
 
     def restore(self, saved):
-        """Have the store come back with an older table, or with none."""
+        """Restore the store with an older table, or with none."""
         self.store_era += 1
         path, version, value = self.stored.path, 0, None
         if saved is not None:
@@ -253,7 +256,7 @@
         self.publish(event.ObjectChanged(found))
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the time and run the scheduled calls."""
         end = self.now + seconds
         while self.scheduled_calls and self.scheduled_calls[0][0] <= end:
             at, _, epoch, call, name, arguments = heapq.heappop(
@@ -265,7 +268,7 @@
         self.now = end
 
     def partition(self, side):
-        """Cut some instances off from the others."""
+        """Cut all links between some instances and the others."""
         self.cut_links = {
             frozenset((one, other))
             for one in side
@@ -274,7 +277,7 @@
         }
 
     def report_load(self, upstream, flows, reachable=True, only=None):
-        """Tell instances what an upstream says of itself."""
+        """Deliver an upstream's load report to all or some instances."""
         report = event.LoadReported(
             'press-desk', upstream, reachable, 0, flows, reachable
         )
@@ -282,9 +285,10 @@
             self.handle_event(name, report)
 
     def send(self, name, caller, is_first=False):
-        """Send a datagram; return the upstream that it reached, or None.
+        """Send a datagram and return the name of the upstream it reached.
 
-        Only for a network without delays.
+        Returns None if it was not forwarded. Only for clusters without
+        message delays.
         """
         count = len(self.forwarded)
         self.deliver_datagram(name, caller, is_first)
@@ -293,6 +297,6 @@
         return self.forwarded[-1][1].upstream.name
 
     def deliver_datagram(self, name, caller, is_first=False):
-        """Let the fabric hand a datagram to an instance."""
+        """Deliver a caller's datagram to an instance."""
         datagram = event.DatagramReceived(ADDRESS, caller, b'x', is_first)
         self.handle_event(name, datagram)
--- a/skylarkfold/tests/flows/test_core.py
+++ b/skylarkfold/tests/flows/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the flow core, several of them together."""
+"""Tests of several flow cores in a cluster."""
 
 import testtools
 
@@ -26,7 +26,7 @@
 
 
 class FlowSet:
-    """Flows and the upstream that each first reached."""
+    """Flows with the upstream that each reached first."""
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -88,11 +88,10 @@
         self.assertEqual([], self.flows.find_broken())
 
     def test_a_table_that_the_store_has_lost_is_written_again(self):
-        """The store came back from a copy of before some changes.
+        """Restoring an older copy must not block later table changes.
 
-        Its count of versions went back with it: a write that expected the
-        lost one was refused for good, so that no drain, death or addition
-        took effect any more.
+        The store's version goes back with the copy; writes that expect the
+        lost version would be rejected forever.
         """
         saved = self.cluster.stored
         for draining in ([1], [1, 2]):
@@ -136,7 +135,7 @@
                 core.route(self.cluster.now, 'press-desk', caller)
             )
 
-    def test_arrival_keeps_flows(self):
+    def test_added_upstream_keeps_flows(self):
         self.cluster.configure(build_service(5))
         self.cluster.run(3)
         self.flows.begin(200)
--- a/skylarkfold/tests/flows/test_faults.py
+++ b/skylarkfold/tests/flows/test_faults.py
@@ -1,4 +1,4 @@
-"""Flows through deaths, cuts, and upstreams that can't be reached."""
+"""Tests of flows under instance, network and upstream failures."""
 
 import collections
 import dataclasses
@@ -45,13 +45,13 @@
         self.cluster.kill('i1')
         self.assertEqual([], self.flows.find_broken())
 
-    def test_an_instance_comes_back_with_nothing(self):
+    def test_instance_restarts_without_state(self):
         self.start()
         self.begin_drain()
         self.cluster.start_instance('i0')
         self.assertEqual([], self.flows.find_broken())
 
-    def test_home_and_replicas_die_but_others_remember(self):
+    def test_cached_flows_survive_death_of_holders(self):
         self.start(8, flows.FlowSettings(replica_count=1))
         self.begin_drain()
         for caller in self.flows.first_upstreams:
@@ -70,8 +70,8 @@
         self.assertNotEqual([], self.flows.find_broken())
 
 
-class CutTest(FaultTest):
-    def cut_zone(self, state):
+class PartitionTest(FaultTest):
+    def partition_zone(self, state):
         side = ['i0', 'i3']
         self.cluster.partition(side)
         for name in sorted(self.cluster.cores):
@@ -89,26 +89,26 @@
                 name, event.MembershipChanged(membership)
             )
 
-    def rejoin(self):
+    def heal_partition(self):
         self.cluster.cut_links = set()
         self.cluster.publish_membership()
 
-    def test_zone_cut_off_and_joined_again(self):
+    def test_partition_of_a_zone_heals(self):
         self.start()
         self.begin_drain()
-        self.cut_zone(member.MemberState.DEAD)
+        self.partition_zone(member.MemberState.DEAD)
         for caller in self.flows.first_upstreams:
             for name in ('i0', 'i1'):
                 self.assertIsNotNone(self.cluster.send(name, caller))
         self.cluster.run(20)
-        self.rejoin()
+        self.heal_partition()
         self.cluster.run(10)
         self.assertEqual([], self.flows.find_broken())
 
-    def test_far_side_of_a_cut_keeps_its_flows(self):
+    def test_other_side_of_a_partition_keeps_its_flows(self):
         self.start()
         self.begin_drain()
-        self.cut_zone(member.MemberState.DEAD)
+        self.partition_zone(member.MemberState.DEAD)
         self.cluster.run(5)
         reached = {
             caller: self.cluster.send('i1', caller)
@@ -116,7 +116,7 @@
         }
         self.assertEqual(self.flows.first_upstreams, reached)
 
-    def test_instance_that_never_heard_of_the_table_asks_others(self):
+    def test_instance_without_the_table_asks_others(self):
         self.start()
         self.cluster.unsubscribed = {'i5'}
         self.configure([1])
@@ -192,7 +192,7 @@
         reasons = {each.reason for _, each in self.cluster.dropped}
         self.assertEqual({effect.Reason.OVER_LIMIT}, reasons)
 
-    def test_load_evens_out(self):
+    def test_new_flows_go_to_the_least_loaded_upstream(self):
         self.start(preference=BALANCE)
         loads = {'u0': 400, 'u1': 500, 'u2': 500, 'u3': 500, 'u4': 500}
         for name, count in loads.items():
@@ -228,7 +228,7 @@
         self.cluster.run(200)
         self.assertEqual(0, self.count_pins())
 
-    def test_datagram_of_a_service_not_yet_known_here_waits(self):
+    def test_datagram_of_an_unknown_service_is_buffered(self):
         self.start(3)
         core = self.cluster.cores['i0']
         redirect = _messages.Redirect(
@@ -243,7 +243,7 @@
         new = self.cluster.forwarded[first_forwarded:]
         self.assertEqual(['plano-vault'], [x.service.name for _, x in new])
 
-    def test_datagram_of_an_unknown_service_is_dropped_in_the_end(self):
+    def test_buffered_datagram_is_dropped_after_a_timeout(self):
         self.start(3)
         core = self.cluster.cores['i0']
         redirect = _messages.Redirect(
@@ -257,7 +257,7 @@
 
 
 class UnmarkedTest(FaultTest):
-    def test_flows_that_send_seldom(self):
+    def test_unmarked_flows_with_rare_datagrams(self):
         self.start(preference=BALANCE, flow_idle_seconds=20.0)
         self.flows.first_upstreams.clear()
         self.flows.begin(300, is_first=None)
--- a/skylarkfold/tests/flows/test_health.py
+++ b/skylarkfold/tests/flows/test_health.py
@@ -1,4 +1,4 @@
-"""Tests of upstreams that are unwell, unreachable from some, or dead."""
+"""Tests of flows on unhealthy, partly unreachable and dead upstreams."""
 
 import testtools
 
@@ -19,7 +19,7 @@
         self.flows.begin(400)
 
     def report(self, names, seconds, **reported):
-        """Let instances report on one upstream for some time."""
+        """Deliver a report on one upstream to instances each second."""
         for _ in range(seconds):
             for name in names:
                 report = event.LoadReported(
@@ -32,7 +32,7 @@
         first = self.flows.first_upstreams
         return {each for each in first if first[each] == UPSTREAM}
 
-    def test_unwell_upstream_keeps_its_flows(self):
+    def test_unhealthy_upstream_keeps_its_flows(self):
         everyone = sorted(self.cluster.cores)
         self.report(everyone, 20, healthy=False, reachable=True)
         self.assertEqual([], self.flows.find_broken())
--- a/skylarkfold/tests/flows/test_plan.py
+++ b/skylarkfold/tests/flows/test_plan.py
@@ -1,4 +1,4 @@
-"""Properties of the planning of tables."""
+"""Property tests of table planning."""
 
 import collections
 
--- a/skylarkfold/tests/flows/test_propagation_delays.py
+++ b/skylarkfold/tests/flows/test_propagation_delays.py
@@ -1,4 +1,4 @@
-"""Flows through planned changes that reach instances unevenly."""
+"""Tests of planned changes that instances learn of at different times."""
 
 import testtools
 
@@ -29,8 +29,8 @@
     )
 
 
-class UnevenTest(testtools.TestCase):
-    """News take up to 2 s, and peers' messages up to 10 ms."""
+class PropagationDelayTest(testtools.TestCase):
+    """Updates take up to 2 s, messages between instances up to 10 ms."""
 
     def start(self, preference, has_marks=True, seed=1):
         self.preference = preference
@@ -59,14 +59,14 @@
         self.assertEqual(2 * FLOWS, len(self.traffic.first_upstreams))
 
 
-class ConfigurationTest(UnevenTest):
+class ConfigurationTest(PropagationDelayTest):
     def test_drain_of_unmarked_flows(self):
         self.start(CONTINUITY, has_marks=False)
         self.begin_drain()
         self.traffic.run(30)
         self.assert_unbroken()
 
-    def test_stacked_changes(self):
+    def test_overlapping_changes(self):
         self.start(BALANCE)
         self.configure(6, [1])
         self.traffic.begin(FLOWS, within_seconds=15)
@@ -80,7 +80,7 @@
         self.assert_unbroken()
 
 
-class MembersTest(UnevenTest):
+class MembersTest(PropagationDelayTest):
     def test_each_instance_is_replaced(self):
         self.start(BALANCE)
         self.begin_drain()
--- a/skylarkfold/tests/flows/test_ranking.py
+++ b/skylarkfold/tests/flows/test_ranking.py
@@ -1,4 +1,4 @@
-"""Tests of the ranking of instances by slot."""
+"""Tests of the ranking of instances for each slot."""
 
 import hypothesis
 from hypothesis import strategies
--- a/skylarkfold/tests/flows/test_send_queues.py
+++ b/skylarkfold/tests/flows/test_send_queues.py
@@ -1,4 +1,4 @@
-"""Tests of the queues before the byte budget."""
+"""Tests of the send queues and of the encoding of slots."""
 
 import testtools
 
@@ -38,7 +38,7 @@
         self.assertEqual(list(range(20)), list_flows(sent))
         self.assertEqual(0, len(self.queue))
 
-    def test_batches_keep_their_distance(self):
+    def test_batches_are_sent_at_a_minimum_interval(self):
         self.add([1])
         list(self.queue.drain(0.0))
         self.add([2])
@@ -69,7 +69,7 @@
         )
         self.bulk = _send_queues.BulkQueue(_send_queues.ByteRateLimiter(1000))
 
-    def test_notice_waits_for_new_pins(self):
+    def test_handover_done_waits_for_new_pins(self):
         done = _messages.HandoverDone(_messages.pack_slots([1]))
         self.bulk.add_pins('i1', 'press-desk', [(1, 2)])
         self.bulk.add('i1', done)
@@ -81,7 +81,7 @@
         second = self.bulk.drain(0.0, self.pins)
         self.assertEqual([done], list_messages(second))
 
-    def test_many_pins_take_many_turns(self):
+    def test_bulk_pins_are_limited_by_the_budget(self):
         pins = [(flow, 1) for flow in range(2000)]
         self.bulk.add_pins('i1', 'press-desk', pins)
         first = list_flows(self.bulk.drain(0.0, self.pins))
@@ -93,7 +93,7 @@
 
 
 class SlotsTest(testtools.TestCase):
-    def test_slots_come_back(self):
+    def test_slots_are_unpacked_as_packed(self):
         for slots in ([], [0], [1023], [3, 9, 700]):
             packed = _messages.pack_slots(slots)
             self.assertLessEqual(len(packed), 128)
--- a/skylarkfold/tests/flows/test_state_machines.py
+++ b/skylarkfold/tests/flows/test_state_machines.py
@@ -1,6 +1,7 @@
-"""Several cores under changes and faults, against the simple oracle.
+"""Stateful tests of several cores under changes and faults.
 
-A longer hunt: ``_machine.run(_machine.FaultMachine, 500, 50)`` under a
+For a longer search run
+``_state_machines.run(_state_machines.FaultMachine, 500, 50)`` under a
 hypothesis profile that is not derandomized.
 """
 
--- a/skylarkfold/tests/flows/test_table.py
+++ b/skylarkfold/tests/flows/test_table.py
@@ -33,7 +33,7 @@
             self.assertLess(abs(share - exact), 1 + 1e-6)
 
     @hypothesis.given(strategies.binary())
-    def test_garbage_is_a_coded_error(self, value):
+    def test_invalid_bytes_raise_a_decode_error(self, value):
         try:
             _table.decode(value)
         except errors.DecodeError as error:
--- a/skylarkfold/tests/flows/traffic.py
+++ b/skylarkfold/tests/flows/traffic.py
@@ -1,4 +1,4 @@
-"""Callers whose datagrams the fabric sprays over the instances."""
+"""Simulated callers whose datagrams reach random instances."""
 
 import random
 
@@ -8,9 +8,10 @@
 class Traffic:
     """Flows that send at random times to random instances.
 
-    :param cluster: the instances.
+    :param cluster: the cluster.
     :param period: the mean time between two datagrams of a flow.
-    :param marks: whether first datagrams carry a mark.
+    :param has_marks: whether first datagrams are marked.
+    :param seed: the seed of the random choices.
     """
 
     def __init__(self, cluster, period=2.0, has_marks=True, seed=1):
@@ -25,7 +26,7 @@
         self.receivers = None
 
     def begin(self, count, within_seconds=1.0, mean_life_seconds=10000.0):
-        """Let flows begin within a time."""
+        """Start flows at random times within a period."""
         base = len(self.started_at)
         for number in range(base, base + count):
             caller = cluster_module.build_caller(number)
@@ -36,7 +37,7 @@
             self.cluster.schedule(delay, self.send, '', caller, True, end)
 
     def send(self, name, caller, is_first, end):
-        """Send a flow's datagram, and the next ones later."""
+        """Send a datagram of a flow and schedule the next one."""
         if self.cluster.now > end:
             return
         names = self.receivers or sorted(self.cluster.cores)
@@ -46,7 +47,7 @@
         self.cluster.schedule(delay, self.send, '', caller, False, end)
 
     def run(self, seconds):
-        """Let time pass; return the flows that were broken meanwhile."""
+        """Advance the time and return the flows broken meanwhile."""
         self.cluster.run(seconds)
         broken = {}
         for name, each in self.cluster.forwarded[self.forwarded_seen :]:
