--- a/skylarkfold/flows/_handover.py
+++ b/skylarkfold/flows/_handover.py
@@ -42,7 +42,7 @@
         for peer in _list_recipients(members.name, change, slot, has_pins):
             sends = has_pins and _is_sender(now, members, change, slot)
             key = (peer, slot, sends)
-            if notified is not None and not _is_unnotified(
+            if notified is not None and not _mark_notified(
                 notified, key, change
             ):
                 continue
@@ -54,11 +54,12 @@
         queue.add(peer, _messages.HandoverDone(packed))
 
 
-def _is_unnotified(
+def _mark_notified(
     notified: set[tuple[str, int, bool]],
     key: tuple[str, int, bool],
     change: _members.RankingChange,
 ) -> bool:
+    """Add a handover and return whether it has to be sent."""
     is_new = key not in notified or key[0] in change.joined
     notified.add(key)
     return is_new
--- a/skylarkfold/flows/_health.py
+++ b/skylarkfold/flows/_health.py
@@ -8,7 +8,7 @@
 from skylarkfold import service as service_module
 
 # A single instance may be partitioned from a healthy upstream.
-_MIN_VOTES = 2
+_MINIMUM_VOTES = 2
 
 
 @dataclasses.dataclass(slots=True)
@@ -79,7 +79,7 @@
             if peer in voters
         ]
         against = counted.count(False)
-        required = min(_MIN_VOTES, len(voters))
+        required = min(_MINIMUM_VOTES, len(voters))
         if against < required or against * 2 <= len(counted):
             votes.unhealthy_since = None
             return False
--- a/skylarkfold/flows/_load.py
+++ b/skylarkfold/flows/_load.py
@@ -8,9 +8,10 @@
 from skylarkfold.flows import _settings
 from skylarkfold import service as service_module
 
-_MIN_SLOW_START_FACTOR = 0.1
-_MIN_WEIGHT = 1e-6
-_MIN_FLOWS_PER_UPSTREAM = 50
+_MINIMUM_SLOW_START_FACTOR = 0.1
+_MINIMUM_WEIGHT = 1e-6
+# With fewer flows the imbalance is mostly random.
+_MINIMUM_FLOWS_PER_UPSTREAM = 50
 
 
 @dataclasses.dataclass(slots=True)
@@ -137,7 +138,7 @@
             flows = load.pinned
             if are_reports_fresh:
                 flows = load.reported + load.placed_since * owner_count
-            weight = max(upstream.weight, _MIN_WEIGHT)
+            weight = max(upstream.weight, _MINIMUM_WEIGHT)
             ratios[upstream.name] = flows / (
                 weight * self._compute_slow_start_factor(now, load)
             )
@@ -176,10 +177,12 @@
             return None
         weights = sum(each.weight for each in upstreams)
         flows = sum(self._get(each.name).reported for each in upstreams)
-        if weights <= 0 or flows < _MIN_FLOWS_PER_UPSTREAM * len(upstreams):
+        if weights <= 0 or flows < _MINIMUM_FLOWS_PER_UPSTREAM * len(
+            upstreams
+        ):
             return None
         highest = max(
-            self._get(each.name).reported / max(each.weight, _MIN_WEIGHT)
+            self._get(each.name).reported / max(each.weight, _MINIMUM_WEIGHT)
             for each in upstreams
         )
         return highest * weights / flows
@@ -198,7 +201,7 @@
         elapsed = (
             now - load.slow_start_began_at
         ) / self._settings.cold_ramp_seconds
-        return min(1.0, max(_MIN_SLOW_START_FACTOR, elapsed))
+        return min(1.0, max(_MINIMUM_SLOW_START_FACTOR, elapsed))
 
     def _get(self, name: str) -> _UpstreamLoad:
         load = self._loads.get(name)
--- a/skylarkfold/flows/_members.py
+++ b/skylarkfold/flows/_members.py
@@ -10,6 +10,8 @@
 from skylarkfold import instance as instance_module
 from skylarkfold import member
 
+# A peer without a recorded handover counts as in sync this many settle periods
+# after it joined.
 SYNC_SETTLE_PERIODS = 10
 
 
@@ -253,7 +255,7 @@
         self, now: float, restarted: set[str]
     ) -> RankingChange | None:
         self._reachable = set(self._list_reachable())
-        zones = self._list_zones()
+        zones = self._find_owner_zones()
         former = self.ranking
         restarted &= former.names & set(zones)
         if former.names == set(zones) and not restarted:
@@ -300,7 +302,7 @@
             if each.name != self.name:
                 yield each.name
 
-    def _list_zones(self) -> dict[str, str]:
+    def _find_owner_zones(self) -> dict[str, str]:
         members = self._membership.members
         zones = {
             name: members[name].zone
--- a/skylarkfold/flows/_plan.py
+++ b/skylarkfold/flows/_plan.py
@@ -108,13 +108,13 @@
             each.name: index for index, each in enumerate(self._upstreams)
         }
         for upstream in self._service.upstreams:
-            described = _table.describe_upstream(upstream)
+            table_upstream = _table.describe_upstream(upstream)
             index = positions.get(upstream.name)
             if index is None:
                 positions[upstream.name] = len(self._upstreams)
-                self._upstreams.append(described)
-            elif self._upstreams[index] != described:
-                self._upstreams[index] = described
+                self._upstreams.append(table_upstream)
+            elif self._upstreams[index] != table_upstream:
+                self._upstreams[index] = table_upstream
         self._indexes = positions
 
     def _mark_dead(self) -> None:
--- a/skylarkfold/flows/_ranking.py
+++ b/skylarkfold/flows/_ranking.py
@@ -14,7 +14,7 @@
 import xxhash
 
 SLOT_COUNT = 1024
-MAX_RANKED = 5
+MAXIMUM_RANKED = 5
 _CANDIDATE_COUNT = 8
 
 
@@ -90,7 +90,7 @@
 
         :param slot: the slot's number.
         :returns: the home, the replicas and the next ones, at most
-            ``MAX_RANKED`` names.
+            ``MAXIMUM_RANKED`` names.
         """
         order = self._orders[slot]
         if order is None:
@@ -102,7 +102,7 @@
             self._fill_candidates()
         order = list(self._candidates[slot] or ())
         self._move_other_zone_to_second(order)
-        return tuple(order[:MAX_RANKED])
+        return tuple(order[:MAXIMUM_RANKED])
 
     def _fill_candidates(self) -> None:
         names = sorted(self._scores)
--- a/skylarkfold/flows/_send_queues.py
+++ b/skylarkfold/flows/_send_queues.py
@@ -9,6 +9,7 @@
 from skylarkfold.flows import _messages
 from skylarkfold import message as message_module
 
+# Estimated encoded sizes.
 FLOW_BYTES = 9
 MESSAGE_BYTES = 24
 FLOWS_PER_MESSAGE = 256
--- a/skylarkfold/flows/_service_registry.py
+++ b/skylarkfold/flows/_service_registry.py
@@ -81,9 +81,9 @@
         stored_table = self._stored_tables.get(service.name)
         if stored_table is not None:
             state.stored_table = stored_table
-        stored = self._newest_tables.get(service.name)
-        if stored is not None:
-            state.apply_table(now, stored, stored.serial)
+        newest = self._newest_tables.get(service.name)
+        if newest is not None:
+            state.apply_table(now, newest, newest.serial)
 
     def apply_object(
         self, now: float, stored: platform_api.StoredObject
--- a/skylarkfold/flows/_state.py
+++ b/skylarkfold/flows/_state.py
@@ -292,15 +292,15 @@
         ]
 
     def _resolve(
-        self, described: _table.TableUpstream
+        self, table_upstream: _table.TableUpstream
     ) -> service_module.Upstream:
-        configured = self.service.get_upstream(described.name)
+        configured = self.service.get_upstream(table_upstream.name)
         if configured is not None:
             return configured
         return service_module.Upstream(
-            name=described.name,
-            address=endpoint.parse_endpoint(described.address),
-            zone=described.zone,
+            name=table_upstream.name,
+            address=endpoint.parse_endpoint(table_upstream.address),
+            zone=table_upstream.zone,
             weight=0.0,
             state=service_module.UpstreamState.DRAINING,
         )
--- a/skylarkfold/tests/flows/_state_machines.py
+++ b/skylarkfold/tests/flows/_state_machines.py
@@ -21,9 +21,9 @@
 UPSTREAMS = 3
 IDLE_SECONDS = 8.0
 PACKET_SECONDS = 1.0
-MIN_INSTANCES = 2
-MAX_INSTANCES = 6
-MAX_HOPS = 8
+MINIMUM_INSTANCES = 2
+MAXIMUM_INSTANCES = 6
+MAXIMUM_HOPS = 8
 SPARSE_PACKET_SECONDS = 4.0
 REPLICATION_SECONDS = 2.0
 SETTLED_SECONDS = 40.0
@@ -146,7 +146,9 @@
     def add_upstream(self):
         self.site.arrive(len(self.site.upstreams) + 1)
 
-    @stateful.precondition(lambda self: len(self.fleet.nodes) < MAX_INSTANCES)
+    @stateful.precondition(
+        lambda self: len(self.fleet.nodes) < MAXIMUM_INSTANCES
+    )
     @stateful.rule()
     def start_instance(self):
         self.started_count += 1
@@ -189,7 +191,7 @@
 
     @stateful.invariant()
     def no_packet_goes_round(self):
-        bound = self.sent * MAX_HOPS
+        bound = self.sent * MAXIMUM_HOPS
         assert self.fleet.links.data_messages <= bound
 
     def _list_unexcused_breaks(self):
@@ -221,7 +223,7 @@
         ]
 
     def _has_instance_to_spare(self):
-        return len(self._list_remaining()) > MIN_INSTANCES
+        return len(self._list_remaining()) > MINIMUM_INSTANCES
 
     def _pick_remaining(self, pick):
         remaining = self._list_remaining()
