--- a/skylarkfold/flows/_health.py
+++ b/skylarkfold/flows/_health.py
@@ -1,4 +1,4 @@
-"""Upstreams that are dead, as most instances see it."""
+"""Detection of dead upstreams by majority vote of the instances."""
 
 from __future__ import annotations
 
@@ -7,43 +7,44 @@
 from skylarkfold.flows import _settings
 from skylarkfold import service as service_module
 
-# One instance alone may be the one that is cut off.
-_LEAST_VOTES = 2
+# A single instance may be partitioned from a healthy upstream.
+_MINIMUM_VOTES = 2
 
 
 @dataclasses.dataclass(slots=True)
-class _Opinions:
+class _UpstreamVotes:
     healthy: dict[str, bool] = dataclasses.field(default_factory=dict)
     unhealthy_since: float | None = None
 
 
 class HealthView:
-    """What each instance says of each upstream's health.
+    """The instances' votes on the health of each upstream.
 
-    An upstream that some instances can't reach may be alive for others:
-    it is dead only while two or more, and most of those that spoke of it,
-    say so, for long enough.
+    Some instances may fail to reach an upstream that others can reach. It
+    counts as dead only after at least two instances, and a majority of those
+    that voted, have found it unreachable for ``dead_seconds``. A single live
+    instance decides alone.
 
     :param settings: the flow settings.
     """
 
     def __init__(self, settings: _settings.FlowSettings) -> None:
         self._settings = settings
-        self._opinions: dict[tuple[str, str], _Opinions] = {}
+        self._votes: dict[tuple[str, str], _UpstreamVotes] = {}
 
-    def take(
+    def record(
         self, peer: str, service_name: str, upstream: str, healthy: bool
     ) -> None:
-        """Note an instance's opinion.
+        """Record an instance's vote.
 
-        :param peer: the instance.
+        :param peer: the instance's name.
         :param service_name: the service's name.
         :param upstream: the upstream's name.
-        :param healthy: what the instance finds.
+        :param healthy: whether the instance can reach the upstream.
         """
         key = (service_name, upstream)
-        opinions = self._opinions.setdefault(key, _Opinions())
-        opinions.healthy[peer] = healthy
+        votes = self._votes.setdefault(key, _UpstreamVotes())
+        votes.healthy[peer] = healthy
 
     def find_dead(
         self,
@@ -51,13 +52,13 @@
         service: service_module.Service,
         voters: set[str],
     ) -> frozenset[str]:
-        """Name the upstreams that are dead.
+        """Return the names of a service's dead upstreams.
 
-        :param now: the time.
+        :param now: the current time.
         :param service: the service.
-        :param voters: the live instances.
-        :returns: upstream names; never all of a service, for that says
-            more about the instances than about the upstreams.
+        :param voters: the names of the live instances.
+        :returns: the upstreams' names; empty if all would be dead, because
+            a fault of the instances' own network is more likely then.
         """
         dead = frozenset(
             upstream.name
@@ -69,19 +70,19 @@
     def _is_dead(
         self, now: float, key: tuple[str, str], voters: set[str]
     ) -> bool:
-        opinions = self._opinions.get(key)
-        if opinions is None:
+        votes = self._votes.get(key)
+        if votes is None:
             return False
-        votes = [
+        counted = [
             healthy
-            for peer, healthy in opinions.healthy.items()
+            for peer, healthy in votes.healthy.items()
             if peer in voters
         ]
-        against = votes.count(False)
-        needed = min(_LEAST_VOTES, len(voters))
-        if against < needed or against * 2 <= len(votes):
-            opinions.unhealthy_since = None
+        against = counted.count(False)
+        required = min(_MINIMUM_VOTES, len(voters))
+        if against < required or against * 2 <= len(counted):
+            votes.unhealthy_since = None
             return False
-        if opinions.unhealthy_since is None:
-            opinions.unhealthy_since = now
-        return now - opinions.unhealthy_since >= self._settings.dead_seconds
+        if votes.unhealthy_since is None:
+            votes.unhealthy_since = now
+        return now - votes.unhealthy_since >= self._settings.dead_seconds
--- a/skylarkfold/flows/_ranking.py
+++ b/skylarkfold/flows/_ranking.py
@@ -1,8 +1,8 @@
-"""Which instances keep the pins of a part of all flows.
+"""The ranking of instances for each slot.
 
-All flows are divided into slots. The live instances are ranked for each
-slot by rendezvous hashing: the first is the slot's home, the next ones its
-replicas, the first of them in another zone where there is one.
+Flows are divided into slots. The live instances are ranked for each slot by
+rendezvous hashing: the first one is the slot's home, the next ones are its
+replicas. The first replica is in another zone than the home if possible.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import xxhash
 
 SLOT_COUNT = 1024
-DEPTH = 5
-_CANDIDATES = 8
+MAXIMUM_RANKED = 5
+_CANDIDATE_COUNT = 8
 
 
 def _score_slots(name: str) -> array.array:
@@ -28,11 +28,11 @@
 
 
 def rank_names(subject: str, names: list[str]) -> list[str]:
-    """Rank instances for a subject, alike wherever the names are alike.
+    """Rank instances for a subject by rendezvous hashing.
 
     :param subject: what they are ranked for.
-    :param names: the instances.
-    :returns: the names, the first in charge first.
+    :param names: the names of the instances.
+    :returns: the names in order of rank; the same on all instances.
     """
     return sorted(
         names,
@@ -45,32 +45,32 @@
 
 
 class Ranking:
-    """The ranking of live instances for every slot.
+    """The ranking of the live instances for each slot.
 
-    An object's members never change: :meth:`replace` makes a new one, so
-    that the former holders of a slot can still be asked for.
+    A ranking's instances never change. :meth:`replace` returns a new ranking,
+    so that the former holders of a slot remain available.
 
-    :param zones: each instance's zone, by name.
+    :param zones: the zone of each instance, by name.
     """
 
-    __slots__ = ('_best', '_orders', '_scores', '_zones')
+    __slots__ = ('_candidates', '_orders', '_scores', '_zones')
 
     def __init__(self, zones: dict[str, str]) -> None:
         self._zones = dict(zones)
         self._scores = {name: _score_slots(name) for name in zones}
-        self._best: list[list[str] | None] = [None] * SLOT_COUNT
+        self._candidates: list[list[str] | None] = [None] * SLOT_COUNT
         self._orders: list[tuple[str, ...] | None] = [None] * SLOT_COUNT
 
     @property
     def names(self) -> set[str]:
-        """The instances that are ranked."""
+        """The names of the ranked instances."""
         return set(self._zones)
 
     def replace(self, zones: dict[str, str]) -> Ranking:
         """Rank another set of instances.
 
-        :param zones: each instance's zone, by name.
-        :returns: a ranking that takes over what is unchanged.
+        :param zones: the zone of each instance, by name.
+        :returns: the new ranking; it reuses scores and unaffected slots.
         """
         ranking = Ranking({})
         ranking._zones = dict(zones)
@@ -79,17 +79,18 @@
             for name in zones
         }
         added = [name for name in zones if name not in self._zones]
-        ranking._best = [
-            ranking._adjust(slot, best, added)
-            for slot, best in enumerate(self._best)
+        ranking._candidates = [
+            ranking._update_candidates(slot, candidates, added)
+            for slot, candidates in enumerate(self._candidates)
         ]
         return ranking
 
-    def list_holders(self, slot: int) -> tuple[str, ...]:
-        """List the first instances of a slot.
+    def list_ranked(self, slot: int) -> tuple[str, ...]:
+        """List the highest ranked instances of a slot.
 
-        :param slot: its number.
-        :returns: home, replica and the next ones, ``DEPTH`` at most.
+        :param slot: the slot's number.
+        :returns: the home, the replicas and the next ones, at most
+            ``MAXIMUM_RANKED`` names.
         """
         order = self._orders[slot]
         if order is None:
@@ -97,35 +98,39 @@
         return order
 
     def _build_order(self, slot: int) -> tuple[str, ...]:
-        if self._best[slot] is None:
-            self._fill_best()
-        order = list(self._best[slot] or ())
-        self._put_other_zone_second(order)
-        return tuple(order[:DEPTH])
+        if self._candidates[slot] is None:
+            self._fill_candidates()
+        order = list(self._candidates[slot] or ())
+        self._move_other_zone_to_second(order)
+        return tuple(order[:MAXIMUM_RANKED])
 
-    def _fill_best(self) -> None:
+    def _fill_candidates(self) -> None:
         names = sorted(self._scores)
         columns = zip(*(self._scores[name] for name in names))
         for slot, column in enumerate(columns):
-            if self._best[slot] is None:
-                best = heapq.nlargest(_CANDIDATES, zip(column, names))
-                self._best[slot] = [name for _, name in best]
+            if self._candidates[slot] is None:
+                candidates = heapq.nlargest(
+                    _CANDIDATE_COUNT, zip(column, names)
+                )
+                self._candidates[slot] = [name for _, name in candidates]
 
-    def _pick_best(self, slot: int, names: Iterable[str]) -> list[str]:
+    def _pick_candidates(self, slot: int, names: Iterable[str]) -> list[str]:
         scores = self._scores
         scored = ((scores[name][slot], name) for name in names)
-        return [name for _, name in heapq.nlargest(_CANDIDATES, scored)]
+        return [name for _, name in heapq.nlargest(_CANDIDATE_COUNT, scored)]
 
-    def _adjust(
-        self, slot: int, best: list[str] | None, added: list[str]
+    def _update_candidates(
+        self, slot: int, candidates: list[str] | None, added: list[str]
     ) -> list[str] | None:
-        if best is None or any(name not in self._zones for name in best):
+        if candidates is None or any(
+            name not in self._zones for name in candidates
+        ):
             return None
         if not added:
-            return best
-        return self._pick_best(slot, [*best, *added])
+            return candidates
+        return self._pick_candidates(slot, [*candidates, *added])
 
-    def _put_other_zone_second(self, order: list[str]) -> None:
+    def _move_other_zone_to_second(self, order: list[str]) -> None:
         for position in range(1, len(order)):
             if self._zones[order[position]] != self._zones[order[0]]:
                 order.insert(1, order.pop(position))
--- a/skylarkfold/flows/_notes.py
+++ b/skylarkfold/flows/_send_queues.py
@@ -1,4 +1,4 @@
-"""Messages to peers that wait for their share of the byte budget."""
+"""Send queues for messages to peers, limited by byte budgets."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from skylarkfold.flows import _messages
 from skylarkfold import message as message_module
 
+# Estimated encoded sizes.
 FLOW_BYTES = 9
 MESSAGE_BYTES = 24
-FLOWS_IN_MESSAGE = 256
+FLOWS_PER_MESSAGE = 256
 _BURST_SECONDS = 2.0
 
 
-class ByteBudget:
-    """A token bucket of bytes.
+class ByteRateLimiter:
+    """A token bucket that limits the bytes sent per second.
 
     :param bytes_per_second: the rate.
     """
@@ -27,37 +28,37 @@
         self._refilled_at: float | None = None
 
     def refill(self, now: float) -> None:
-        """Add what the time since the last call allows.
+        """Add the tokens for the time since the last call.
 
-        :param now: the time.
+        :param now: the current time.
         """
-        passed = 0.0 if self._refilled_at is None else now - self._refilled_at
+        elapsed = 0.0 if self._refilled_at is None else now - self._refilled_at
         self._refilled_at = now
-        self._tokens += max(0.0, passed) * self._rate
+        self._tokens += max(0.0, elapsed) * self._rate
         self._tokens = min(self._tokens, self._rate * _BURST_SECONDS)
 
     @property
-    def is_open(self) -> bool:
-        """Tell whether anything may be sent now."""
+    def has_tokens(self) -> bool:
+        """Whether a message may be sent now."""
         return self._tokens > 0
 
     def spend(self, size: int) -> None:
-        """Take bytes away; the last message may overdraw.
+        """Subtract the bytes of a message; the balance may become negative.
 
-        :param size: how many.
+        :param size: the number of bytes.
         """
         self._tokens -= size
 
 
 class PinQueue:
-    """New pins on their way to peers, batched by peer and service.
+    """A queue of new pins, batched by peer and service.
 
-    :param budget: what may be sent.
-    :param note_seconds: the shortest time between two batches.
+    :param limiter: the rate limiter.
+    :param note_seconds: the minimum time between two batches.
     """
 
-    def __init__(self, budget: ByteBudget, note_seconds: float) -> None:
-        self._budget = budget
+    def __init__(self, limiter: ByteRateLimiter, note_seconds: float) -> None:
+        self._limiter = limiter
         self._note_seconds = note_seconds
         self._drained_at: float | None = None
         self._waiting: dict[str, dict[str, dict[int, list[int]]]] = {}
@@ -67,9 +68,9 @@
         return self._count
 
     def add(self, peer: str, service: str, upstream: int, flow: int) -> None:
-        """Queue one pin.
+        """Add a pin.
 
-        :param peer: who is to know.
+        :param peer: the name of the recipient.
         :param service: the service's name.
         :param upstream: the upstream's index in the service's table.
         :param flow: the flow's hash.
@@ -80,38 +81,38 @@
         self._count += 1
 
     def is_waiting(self, peer: str) -> bool:
-        """Tell whether pins wait for a peer."""
+        """Return whether the queue has pins for a peer."""
         return peer in self._waiting
 
     def drop(self, peer: str) -> None:
-        """Forget what waits for a peer that is gone."""
+        """Discard the messages for a lost peer."""
         services = self._waiting.pop(peer, {})
         self._count -= _count_flows(services)
 
     def drain(self, now: float) -> Iterator[effect.SendToPeer]:
-        """Send what the budget allows.
+        """Take the messages that the byte budget allows.
 
-        :param now: the time.
-        :returns: messages; peers take turns. None while the last batch is
-            too fresh.
+        :param now: the current time.
+        :returns: the effects that send them, one message per peer in turn;
+            nothing before the next batch is due.
         """
-        if not self._waiting or not self._is_due(now):
+        if not self._waiting or not self._is_batch_due(now):
             return
         self._drained_at = now
-        self._budget.refill(now)
-        while self._waiting and self._budget.is_open:
+        self._limiter.refill(now)
+        while self._waiting and self._limiter.has_tokens:
             peer = next(iter(self._waiting))
             services = self._waiting.pop(peer)
             service = next(iter(services))
             groups = services.pop(service)
             flows = sum(map(len, groups.values()))
             self._count -= flows
-            self._budget.spend(MESSAGE_BYTES + flows * FLOW_BYTES)
+            self._limiter.spend(MESSAGE_BYTES + flows * FLOW_BYTES)
             if services:
                 self._waiting[peer] = services
-            yield effect.SendToPeer(peer, _build_note(service, groups))
+            yield effect.SendToPeer(peer, _build_pin_update(service, groups))
 
-    def _is_due(self, now: float) -> bool:
+    def _is_batch_due(self, now: float) -> bool:
         if self._drained_at is None:
             return True
         return now - self._drained_at >= self._note_seconds
@@ -123,21 +124,21 @@
     )
 
 
-def _build_note(
+def _build_pin_update(
     service: str, groups: dict[int, list[int]]
-) -> _messages.PinNote:
+) -> _messages.PinUpdate:
     built = [_messages.PinGroup(each, groups[each]) for each in groups]
-    return _messages.PinNote(service, built)
+    return _messages.PinUpdate(service, built)
 
 
 class BulkQueue:
-    """Messages of hand-ons and refreshes, in order for each peer.
+    """A queue of handover and refresh messages, in order for each peer.
 
-    :param budget: what may be sent.
+    :param limiter: the rate limiter.
     """
 
-    def __init__(self, budget: ByteBudget) -> None:
-        self._budget = budget
+    def __init__(self, limiter: ByteRateLimiter) -> None:
+        self._limiter = limiter
         self._waiting: dict[
             str, collections.deque[message_module.PeerMessage]
         ] = {}
@@ -148,56 +149,57 @@
     def add_pins(
         self, peer: str, service: str, pins: list[tuple[int, int]]
     ) -> None:
-        """Queue pins of one service.
+        """Add pins of a service, split into messages of limited size.
 
-        :param peer: who is to know.
+        :param peer: the name of the recipient.
         :param service: the service's name.
-        :param pins: flow hashes with their upstreams' indexes.
+        :param pins: pairs of flow hash and upstream index.
         """
-        for start in range(0, len(pins), FLOWS_IN_MESSAGE):
+        for start in range(0, len(pins), FLOWS_PER_MESSAGE):
             groups: dict[int, list[int]] = {}
-            for flow, upstream in pins[start : start + FLOWS_IN_MESSAGE]:
+            for flow, upstream in pins[start : start + FLOWS_PER_MESSAGE]:
                 groups.setdefault(upstream, []).append(flow)
-            self.add(peer, _build_note(service, groups))
+            self.add(peer, _build_pin_update(service, groups))
 
     def add(self, peer: str, message: message_module.PeerMessage) -> None:
-        """Queue a message behind those that wait for the same peer.
+        """Add a message behind the others for the same peer.
 
-        :param peer: who is to know.
+        :param peer: the name of the recipient.
         :param message: the message.
         """
         waiting = self._waiting.setdefault(peer, collections.deque())
         waiting.append(message)
 
     def drop(self, peer: str) -> None:
-        """Forget what waits for a peer that is gone."""
+        """Discard the messages for a lost peer."""
         self._waiting.pop(peer, None)
 
     def drain(self, now: float, pins: PinQueue) -> Iterator[effect.SendToPeer]:
-        """Send what the budget allows.
+        """Take the messages that the byte budget allows.
 
-        :param now: the time.
-        :param pins: new pins; no peer is told that it has all while some
-            of them wait for it.
-        :returns: messages; peers take turns.
+        :param now: the current time.
+        :param pins: the queue of new pins; a
+            :class:`~skylarkfold.flows._messages.HandoverDone` waits until it
+            has none for the same peer.
+        :returns: the effects that send them, one message per peer in turn.
         """
-        self._budget.refill(now)
+        self._limiter.refill(now)
         ready = [each for each in self._waiting if self._is_ready(each, pins)]
-        while ready and self._budget.is_open:
+        while ready and self._limiter.has_tokens:
             peer = ready.pop(0)
-            message = self._take(peer)
-            self._budget.spend(_estimate_bytes(message))
+            message = self._pop_message(peer)
+            self._limiter.spend(_estimate_bytes(message))
             if peer in self._waiting and self._is_ready(peer, pins):
                 ready.append(peer)
             yield effect.SendToPeer(peer, message)
 
     def _is_ready(self, peer: str, pins: PinQueue) -> bool:
         message = self._waiting[peer][0]
-        if not isinstance(message, _messages.HandOnDone):
+        if not isinstance(message, _messages.HandoverDone):
             return True
         return not pins.is_waiting(peer)
 
-    def _take(self, peer: str) -> message_module.PeerMessage:
+    def _pop_message(self, peer: str) -> message_module.PeerMessage:
         waiting = self._waiting[peer]
         message = waiting.popleft()
         if not waiting:
@@ -206,9 +208,9 @@
 
 
 def _estimate_bytes(message: message_module.PeerMessage) -> int:
-    if isinstance(message, _messages.HandOnDone):
+    if isinstance(message, _messages.HandoverDone):
         return MESSAGE_BYTES + len(message.slots)
-    if not isinstance(message, _messages.PinNote):
+    if not isinstance(message, _messages.PinUpdate):
         return MESSAGE_BYTES
     flows = sum(len(group.flows) for group in message.groups)
     return MESSAGE_BYTES + flows * FLOW_BYTES
--- a/skylarkfold/tests/flows/_machine.py
+++ b/skylarkfold/tests/flows/_state_machines.py
@@ -1,4 +1,4 @@
-"""State machines that drive several cores against the simple oracle."""
+"""Hypothesis state machines that check a fleet of cores by an oracle."""
 
 import dataclasses
 import random
@@ -21,11 +21,11 @@
 UPSTREAMS = 3
 IDLE_SECONDS = 8.0
 PACKET_SECONDS = 1.0
-LEAST_INSTANCES = 2
-MOST_INSTANCES = 6
-MOST_HOPS = 8
-SPARSE_SECONDS = 4.0
-EXPOSED_SECONDS = 2.0
+MINIMUM_INSTANCES = 2
+MAXIMUM_INSTANCES = 6
+MAXIMUM_HOPS = 8
+SPARSE_PACKET_SECONDS = 4.0
+REPLICATION_SECONDS = 2.0
 SETTLED_SECONDS = 40.0
 CORE_SETTINGS = flows.FlowSettings(bucket_count=32)
 
@@ -33,22 +33,24 @@
 MARKS = strategies.booleans()
 
 
-def make_core(settings):
-    """Make a core with a table that is small enough to cover whole."""
+def build_core(settings):
+    """Build a core with a table small enough for tests to cover."""
     return flows.FlowCore(settings, CORE_SETTINGS)
 
 
-def make_rule(preference):
-    """Make the rule of this design with a small table."""
+def build_rule(preference):
+    """Build the rule of the flow core with a small table."""
     own = _flow_rules.OWN_RULES[0]
-    return dataclasses.replace(own, make_core=make_core, preference=preference)
+    return dataclasses.replace(
+        own, make_core=build_core, preference=preference
+    )
 
 
 class PlannedMachine(stateful.RuleBasedStateMachine):
-    """Planned changes, and a platform and links that are slow or double.
+    """Planned changes with slow links and platform and duplicate messages.
 
-    No flow may break: whatever the order of these changes, each packet
-    reaches the upstream that its flow first reached.
+    No flow may break: each packet has to reach the upstream that the first
+    packet of its flow reached.
     """
 
     rule = None
@@ -60,10 +62,10 @@
     )
     def open(self, preference, is_marked, seed):
         self.is_marked = is_marked
-        self.source = random.Random(seed)
+        self.random = random.Random(seed)
         address = _flow_scenario.ADDRESS
         self.fleet = _flow_fleet.Fleet(
-            self.rule or make_rule(preference),
+            self.rule or build_rule(preference),
             _flow_fleet.FleetSettings(),
             {address: _flow_scenario.SERVICE},
             seed,
@@ -80,8 +82,8 @@
         self.site.open()
         self.flows = []
         self.sent = 0
-        self.begun = 0
-        self.started = INSTANCES
+        self.next_flow = 0
+        self.started_count = INSTANCES
         self.begin_flows(count=20, early=0.02, copies=1)
 
     # Packets.
@@ -92,8 +94,8 @@
         copies=strategies.integers(1, 2),
     )
     def begin_flows(self, count, early, copies):
-        numbers = range(self.begun, self.begun + count)
-        self.begun += count
+        numbers = range(self.next_flow, self.next_flow + count)
+        self.next_flow += count
         self.flows += numbers
         for number in numbers:
             for _ in range(copies):
@@ -108,7 +110,7 @@
     @stateful.rule(pick=PICKS)
     def end_flows(self, pick):
         kept = pick % (len(self.flows) + 1)
-        self.source.shuffle(self.flows)
+        self.random.shuffle(self.flows)
         del self.flows[kept:]
 
     @stateful.rule(seconds=strategies.floats(0.01, 10.0))
@@ -121,9 +123,9 @@
 
     @stateful.rule()
     def let_settle(self):
-        for _ in range(int(SETTLED_SECONDS / SPARSE_SECONDS)):
+        for _ in range(int(SETTLED_SECONDS / SPARSE_PACKET_SECONDS)):
             self._send_all(self.flows)
-            self.fleet.advance(SPARSE_SECONDS)
+            self.fleet.advance(SPARSE_PACKET_SECONDS)
 
     # Planned changes.
 
@@ -144,18 +146,20 @@
     def add_upstream(self):
         self.site.arrive(len(self.site.upstreams) + 1)
 
-    @stateful.precondition(lambda self: len(self.fleet.nodes) < MOST_INSTANCES)
+    @stateful.precondition(
+        lambda self: len(self.fleet.nodes) < MAXIMUM_INSTANCES
+    )
     @stateful.rule()
     def start_instance(self):
-        self.started += 1
-        self.fleet.start(f'entry-{self.started}')
+        self.started_count += 1
+        self.fleet.start(f'entry-{self.started_count}')
 
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS)
     def stop_instance(self, pick):
-        self.fleet.stop(self._pick_staying(pick))
+        self.fleet.stop(self._pick_remaining(pick))
 
-    # What the platform and the links may do at any time.
+    # Platform outages, lost answers, link delays and duplicates.
 
     @stateful.rule(is_down=strategies.booleans())
     def turn_platform(self, is_down):
@@ -174,11 +178,11 @@
             most_delay_seconds=most, doubled_share=doubled
         )
 
-    # What must hold after each step.
+    # Invariants.
 
     @stateful.invariant()
     def no_flow_is_broken(self):
-        found = [each for each in self._list_breaks()]
+        found = [each for each in self._list_unexcused_breaks()]
         assert not found, found
 
     @stateful.invariant()
@@ -187,10 +191,10 @@
 
     @stateful.invariant()
     def no_packet_goes_round(self):
-        bound = self.sent * MOST_HOPS
+        bound = self.sent * MAXIMUM_HOPS
         assert self.fleet.links.data_messages <= bound
 
-    def _list_breaks(self):
+    def _list_unexcused_breaks(self):
         return self.fleet.oracle.breaks
 
     def _send_all(self, numbers):
@@ -208,44 +212,44 @@
             b'',
             is_first if self.is_marked else None,
         )
-        self.fleet.deliver(self.source.choice(serving), datagram)
+        self.fleet.deliver(self.random.choice(serving), datagram)
 
     def _pick_upstream(self, pick):
         return pick % len(self.site.upstreams) + 1
 
-    def _list_staying(self):
+    def _list_remaining(self):
         return [
             each for each in self.fleet.nodes.values() if not each.is_leaving
         ]
 
     def _has_instance_to_spare(self):
-        return len(self._list_staying()) > LEAST_INSTANCES
+        return len(self._list_remaining()) > MINIMUM_INSTANCES
 
-    def _pick_staying(self, pick):
-        staying = self._list_staying()
-        return staying[pick % len(staying)].name
+    def _pick_remaining(self, pick):
+        remaining = self._list_remaining()
+        return remaining[pick % len(remaining)].name
 
 
 class DeathMachine(PlannedMachine):
-    """Single deaths between planned changes; only exposed flows may break.
+    """Single instance deaths between planned changes.
 
-    The death of one instance, while no other fault is near, exposes only
-    the flows that began within ``EXPOSED_SECONDS`` before it, or within
-    ``SETTLED_SECONDS`` after it: all others have a replica of their pin.
-    The death of an upstream exposes its own flows only, by the oracle.
+    The death of an instance may break only the flows that began within
+    ``REPLICATION_SECONDS`` before it or ``SETTLED_SECONDS`` after it; the
+    pins of all others have a replica. The oracle itself excuses the flows of
+    dead upstreams.
     """
 
     def __init__(self):
         super().__init__()
-        self.exposed_until = 0.0
+        self.excused_until = 0.0
         self.excused = set()
 
     @stateful.precondition(lambda self: self._is_settled())
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS, resets=strategies.booleans())
     def kill_instance(self, pick, resets):
-        self.fleet.kill(self._pick_staying(pick), resets)
-        self._expose(self.fleet.now - EXPOSED_SECONDS)
+        self.fleet.kill(self._pick_remaining(pick), resets)
+        self._excuse_flows(self.fleet.now - REPLICATION_SECONDS)
 
     @stateful.rule(pick=PICKS)
     def kill_upstream(self, pick):
@@ -255,20 +259,20 @@
             self.fleet.lose_upstream(_flow_scenario.SERVICE, upstream.name)
 
     def _is_settled(self):
-        return self.fleet.now >= self.exposed_until
+        return self.fleet.now >= self.excused_until
 
-    def _expose(self, begun_after):
+    def _excuse_flows(self, begun_after):
         for key, binding in self.fleet.oracle.bindings.items():
             if binding.begun >= begun_after:
                 self.excused.add(key)
-        self.exposed_until = self.fleet.now + SETTLED_SECONDS
+        self.excused_until = self.fleet.now + SETTLED_SECONDS
 
     def _send(self, number, is_first):
         if is_first and not self._is_settled():
-            self.excused.add(get_key(number))
+            self.excused.add(build_flow_key(number))
         super()._send(number, is_first)
 
-    def _list_breaks(self):
+    def _list_unexcused_breaks(self):
         return [
             each
             for each in self.fleet.oracle.breaks
@@ -277,83 +281,82 @@
 
 
 class FaultMachine(DeathMachine):
-    """All faults, together and twice, between planned changes.
+    """Any combination of faults between planned changes.
 
-    Every flow that is open at some time between a fault's beginning and
-    ``SETTLED_SECONDS`` after its end is exposed. Whatever fails, no packet
-    reaches another service or goes round, and a flow that begins after it
-    all has settled never breaks.
+    Flows may break if they are open at any time between the start of a fault
+    and ``SETTLED_SECONDS`` after its end. No packet may reach another service
+    or be redirected in a loop, and flows that begin later must not break.
     """
 
     def __init__(self):
         super().__init__()
-        self.is_faulty = False
+        self.has_lasting_fault = False
 
     @stateful.precondition(lambda self: self._has_instance_to_spare())
     @stateful.rule(pick=PICKS, resets=strategies.booleans())
     def kill_another(self, pick, resets):
-        self.fleet.kill(self._pick_staying(pick), resets)
-        self._expose(0.0)
+        self.fleet.kill(self._pick_remaining(pick), resets)
+        self._excuse_flows(0.0)
 
     @stateful.rule(share=strategies.sampled_from([0.0, 0.1]))
     def lose_messages(self, share):
         self.fleet.links.settings = dataclasses.replace(
             self.fleet.links.settings, lost_share=share, in_order=share == 0.0
         )
-        self._follow_faults()
+        self._excuse_during_faults()
 
     @stateful.rule(pick=PICKS)
     def cut_instances(self, pick):
         names = sorted(self.fleet.nodes)
         one = names[: pick % len(names)]
         self.fleet.cut(one, [each for each in names if each not in one])
-        self._follow_faults()
+        self._excuse_during_faults()
 
     @stateful.rule()
     def join_instances(self):
         self.fleet.join()
-        self._follow_faults()
+        self._excuse_during_faults()
 
     @stateful.rule(pick=PICKS, is_cut_off=strategies.booleans())
     def cut_platform(self, pick, is_cut_off):
         names = sorted(self.fleet.nodes)
         self.fleet.cut_platform(names[pick % len(names)], is_cut_off)
-        self._follow_faults()
+        self._excuse_during_faults()
 
-    def _follow_faults(self):
-        """Expose all flows while any lasting fault is there."""
-        is_faulty = (
+    def _excuse_during_faults(self):
+        """Excuse all open flows while a lasting fault is present."""
+        has_lasting_fault = (
             self.fleet.links.settings.lost_share > 0
             or self.fleet.links.cut
             or any(each.is_cut_off for each in self.fleet.nodes.values())
         )
-        self.is_faulty = bool(is_faulty)
-        self._expose(0.0)
+        self.has_lasting_fault = bool(has_lasting_fault)
+        self._excuse_flows(0.0)
 
     def _is_settled(self):
-        return not self.is_faulty and super()._is_settled()
+        return not self.has_lasting_fault and super()._is_settled()
 
     def _send(self, number, is_first):
-        if self.is_faulty:
-            self.exposed_until = self.fleet.now + SETTLED_SECONDS
+        if self.has_lasting_fault:
+            self.excused_until = self.fleet.now + SETTLED_SECONDS
         super()._send(number, is_first)
 
 
-def get_key(number):
-    """Give the key of a machine's flow."""
+def build_flow_key(number):
+    """Return the key of a numbered flow."""
     return flow.FlowKey(
         _flow_scenario.SERVICE, _flow_workload.make_caller(number)
     )
 
 
 def run(machine, examples, steps):
-    """Run a machine.
+    """Run a state machine.
 
-    A failing sequence is told as it was found: shrinking takes minutes.
+    Failing sequences are not shrunk, which would take minutes.
 
-    :param machine: the class.
-    :param examples: how many sequences of steps.
-    :param steps: the most steps of each.
+    :param machine: the state machine's class.
+    :param examples: the number of sequences of steps.
+    :param steps: the maximum number of steps of a sequence.
     """
     settings = hypothesis.settings(
         max_examples=examples,
--- a/skylarkfold/tests/flows/test_notes.py
+++ b/skylarkfold/tests/flows/test_send_queues.py
@@ -1,9 +1,9 @@
-"""Tests of the queues before the byte budget."""
+"""Tests of the send queues and of the encoding of slots."""
 
 import testtools
 
 from skylarkfold.flows import _messages
-from skylarkfold.flows import _notes
+from skylarkfold.flows import _send_queues
 
 
 def list_messages(sent):
@@ -14,7 +14,7 @@
     return [
         flow
         for message in list_messages(sent)
-        if isinstance(message, _messages.PinNote)
+        if isinstance(message, _messages.PinUpdate)
         for group in message.groups
         for flow in group.flows
     ]
@@ -23,7 +23,9 @@
 class PinQueueTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.queue = _notes.PinQueue(_notes.ByteBudget(1000), 0.2)
+        self.queue = _send_queues.PinQueue(
+            _send_queues.ByteRateLimiter(1000), 0.2
+        )
 
     def add(self, flows, peer='i1'):
         for flow in flows:
@@ -36,7 +38,7 @@
         self.assertEqual(list(range(20)), list_flows(sent))
         self.assertEqual(0, len(self.queue))
 
-    def test_batches_keep_their_distance(self):
+    def test_batches_are_sent_at_a_minimum_interval(self):
         self.add([1])
         list(self.queue.drain(0.0))
         self.add([2])
@@ -48,7 +50,7 @@
         for step in range(100):
             self.add(range(step * 100, step * 100 + 100), f'i{step % 5}')
             sent = self.queue.drain(step * 0.25)
-            total += len(list_flows(sent)) * _notes.FLOW_BYTES
+            total += len(list_flows(sent)) * _send_queues.FLOW_BYTES
         self.assertLess(total, 1000 * 25 + 2000 + 5 * 100 * 9 * 5)
         self.assertGreater(len(self.queue), 0)
 
@@ -62,11 +64,13 @@
 class BulkQueueTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.pins = _notes.PinQueue(_notes.ByteBudget(1000), 0.0)
-        self.bulk = _notes.BulkQueue(_notes.ByteBudget(1000))
+        self.pins = _send_queues.PinQueue(
+            _send_queues.ByteRateLimiter(1000), 0.0
+        )
+        self.bulk = _send_queues.BulkQueue(_send_queues.ByteRateLimiter(1000))
 
-    def test_notice_waits_for_new_pins(self):
-        done = _messages.HandOnDone(_messages.pack_slots([1]))
+    def test_handover_done_waits_for_new_pins(self):
+        done = _messages.HandoverDone(_messages.pack_slots([1]))
         self.bulk.add_pins('i1', 'press-desk', [(1, 2)])
         self.bulk.add('i1', done)
         self.pins.add('i1', 'press-desk', 2, 5)
@@ -77,7 +81,7 @@
         second = self.bulk.drain(0.0, self.pins)
         self.assertEqual([done], list_messages(second))
 
-    def test_many_pins_take_many_turns(self):
+    def test_bulk_pins_are_limited_by_the_budget(self):
         pins = [(flow, 1) for flow in range(2000)]
         self.bulk.add_pins('i1', 'press-desk', pins)
         first = list_flows(self.bulk.drain(0.0, self.pins))
@@ -89,7 +93,7 @@
 
 
 class SlotsTest(testtools.TestCase):
-    def test_slots_come_back(self):
+    def test_slots_are_unpacked_as_packed(self):
         for slots in ([], [0], [1023], [3, 9, 700]):
             packed = _messages.pack_slots(slots)
             self.assertLessEqual(len(packed), 128)
