--- a/skylarkfold/relay/__init__.py
+++ b/skylarkfold/relay/__init__.py
@@ -1,14 +1,12 @@
-"""What the platform's store holds, kept up to date on every instance.
+"""Replication of the platform's store to every instance of the fleet.
 
-Pure decisions: time is an argument, effects are returned. The shape for
-instances that must start fast; ``distribution`` and ``membership`` serve
-fleets whose instances hold state for each other.
+The package does no I/O: the caller passes in the time and performs the
+effects that are returned. It is built for instances that have to start fast;
+``distribution`` and ``membership`` serve fleets whose instances hold state
+for each other.
 """
 
 from skylarkfold.relay._announcer import Announcer
-from skylarkfold.relay._call import Answer
-from skylarkfold.relay._call import Call
-from skylarkfold.relay._call import Status
 from skylarkfold.relay._codec import decode_beacon
 from skylarkfold.relay._codec import decode_fetch
 from skylarkfold.relay._codec import decode_page
@@ -38,6 +36,9 @@
 from skylarkfold.relay._retained import NoRetention
 from skylarkfold.relay._retained import RetentionPolicy
 from skylarkfold.relay._settings import RelaySettings
+from skylarkfold.relay._store_call import Answer
+from skylarkfold.relay._store_call import Call
+from skylarkfold.relay._store_call import Status
 
 __all__ = [
     'Announcer',
--- a/skylarkfold/relay/_age_codec.py
+++ b/skylarkfold/relay/_age_codec.py
@@ -1,4 +1,4 @@
-"""How long ago instances were heard, in messages."""
+"""Encoding of the ages of instances in messages."""
 
 from __future__ import annotations
 
@@ -7,33 +7,34 @@
 
 from skylarkfold import errors
 
-# An age: the digest of a name, and tenths of a second in one byte, since
-# every instance of a zone is told of several times a second.
+# An age is the digest of a name and tenths of a second in one byte: it is kept
+# small, as each beacon may hold one for every instance of a zone.
 _AGE = struct.Struct('!IB')
 _AGE_STEPS = 10
-_MOST_AGE = 255
+_MAXIMUM_AGE = 255
 
 
 def pack_ages(ages: dict[int, float]) -> bytes:
-    """Write ages.
+    """Encode ages.
 
-    :param ages: in seconds, by the digests of names.
-    :returns: five bytes each.
+    :param ages: the ages in seconds, by the digests of names.
+    :returns: five bytes for each age.
     """
-    # Rounded up: an age that shrank on its way would keep alive what is not.
+    # Rounded up: an age that shrank with every hop would keep an instance that
+    # is down looking alive.
     return b''.join(
-        _AGE.pack(digest, min(_MOST_AGE, math.ceil(age * _AGE_STEPS)))
+        _AGE.pack(digest, min(_MAXIMUM_AGE, math.ceil(age * _AGE_STEPS)))
         for digest, age in ages.items()
     )
 
 
 def unpack_ages(data: object) -> dict[int, float]:
-    """Read ages.
+    """Decode ages.
 
-    :param data: what :func:`pack_ages` has written.
-    :returns: seconds, by the digests of names.
-    :raises DecodeError: if it is something else.
+    :param data: the result of :func:`pack_ages`.
+    :returns: the ages in seconds, by the digests of names.
+    :raises DecodeError: if the data is malformed.
     """
     if not isinstance(data, bytes) or len(data) % _AGE.size:
-        raise errors.DecodeError('ages')
+        raise errors.DecodeError('the ages are malformed')
     return {digest: age / _AGE_STEPS for digest, age in _AGE.iter_unpack(data)}
--- a/skylarkfold/relay/_codec.py
+++ b/skylarkfold/relay/_codec.py
@@ -1,8 +1,9 @@
-"""The bytes of messages between instances.
+"""Encoding of the messages between instances.
 
-Beacons go by datagram, fetches by stream: MessagePack arrays that begin with
-the version of the format. Numbers are bounded. What can't be read raises
-:class:`skylarkfold.errors.DecodeError`.
+Messages are MessagePack arrays that start with the version of the format.
+Beacons are sent as datagrams, fetches and pages over streams. Decoders bound
+all numbers and raise :class:`skylarkfold.errors.DecodeError` for a message
+that is malformed.
 """
 
 from __future__ import annotations
@@ -20,11 +21,11 @@
 from skylarkfold import revision as revisions
 
 _VERSION = 5
-_MOST_NUMBER = 1 << 62
-_MOST_LIST = 4096
-_MOST_CALLER_BYTES = 1024
-_NEVER_MILLISECONDS = -1
-# A page of 3,800 upstreams is 1 MB before it is packed.
+_MAXIMUM_NUMBER = 1 << 62
+_MAXIMUM_LIST_LENGTH = 4096
+_MAXIMUM_DEMAND_BYTES = 1024
+_UNKNOWN_AGE = -1
+# Bounds the memory for a decompressed page; one with 3,800 upstreams is 1 MB.
 MAXIMUM_PAGE_BYTES = 16 * 1024 * 1024
 
 _IS_LEAVING = 1
@@ -32,10 +33,10 @@
 
 
 def encode_beacon(beacon: _messages.Beacon) -> bytes:
-    """Write a beacon.
+    """Encode a beacon.
 
     :param beacon: the beacon.
-    :returns: one datagram.
+    :returns: the bytes of the datagram.
     """
     flags = (
         beacon.is_leaving * _IS_LEAVING | beacon.wants_answer * _WANTS_ANSWER
@@ -63,7 +64,7 @@
             delta.topic,
             delta.base.era,
             delta.base.number,
-            _list(delta.items),
+            _list_item_fields(delta.items),
         ],
         [
             [
@@ -71,8 +72,8 @@
                 each.is_zone,
                 int(each.age_seconds * 1000),
                 {
-                    start: _load_codec.list_load(load)
-                    for start, load in each.loads.items()
+                    incarnation: _load_codec.list_load(load)
+                    for incarnation, load in each.loads.items()
                 },
             ]
             for each in beacon.loads
@@ -88,7 +89,10 @@
             for each in beacon.known_instances
         ],
         beacon.doubts,
-        {start: int(age * 1000) for start, age in beacon.last_seen.items()},
+        {
+            incarnation: int(age * 1000)
+            for incarnation, age in beacon.last_seen.items()
+        },
         beacon.lost,
         _age_codec.pack_ages(beacon.ages),
         _age_codec.pack_ages(beacon.silent),
@@ -101,20 +105,20 @@
 
 
 def decode_beacon(data: bytes) -> _messages.Beacon:
-    """Read a beacon.
+    """Decode a beacon.
 
-    :param data: one datagram.
+    :param data: the bytes of the datagram.
     :returns: the beacon.
-    :raises DecodeError: if it can't be read.
+    :raises DecodeError: if the beacon is malformed.
     """
     return _decode(data, _convert_beacon)
 
 
 def encode_fetch(topic: int, position: revisions.Revision) -> bytes:
-    """Write a request for what the sender lacks.
+    """Encode a request for the changes that the sender lacks.
 
     :param topic: the topic's number.
-    :param position: the sender's own position.
+    :param position: the sender's position.
     :returns: the bytes of the stream.
     """
     return light_imports.msgpack.packb(
@@ -123,26 +127,26 @@
 
 
 def decode_fetch(data: bytes) -> tuple[int, revisions.Revision]:
-    """Read a request for what a peer lacks.
+    """Decode a request for the changes that a peer lacks.
 
     :param data: the bytes of the stream.
     :returns: the topic's number and the peer's position.
-    :raises DecodeError: if it can't be read.
+    :raises DecodeError: if the request is malformed.
     """
     return _decode(data, _convert_fetch)
 
 
 def encode_page(page: _messages.Page) -> bytes:
-    """Write the answer to a fetch.
+    """Encode the answer to a fetch.
 
     :param page: the page.
-    :returns: all bytes of the stream.
+    :returns: the bytes of the stream.
     """
-    told = [
+    retained = [
         [
             each.item.revision.era,
             int(each.left_seconds * 1000),
-            _list([each.item]),
+            _list_item_fields([each.item]),
         ]
         for each in page.retained_items
     ]
@@ -155,51 +159,52 @@
         page.is_snapshot,
         _to_milliseconds(page.age_seconds),
         int(page.era_seconds * 1000),
-        told,
+        retained,
         page.packed or pack_items(page.items),
     ]
     return light_imports.msgpack.packb(fields)
 
 
 def pack_items(items: Iterable[_item.Item]) -> bytes:
-    """Write the objects of a page.
+    """Encode and compress the objects of a page.
 
     :param items: the objects, all of one era.
-    :returns: the bytes.
+    :returns: the compressed bytes.
     """
-    return zlib.compress(light_imports.msgpack.packb(_list(items)), 1)
+    return zlib.compress(
+        light_imports.msgpack.packb(_list_item_fields(items)), 1
+    )
 
 
 def decode_page(data: bytes) -> _messages.Page:
-    """Read the answer to a fetch.
+    """Decode the answer to a fetch.
 
-    :param data: all bytes of the stream.
+    :param data: the bytes of the stream.
     :returns: the page.
-    :raises DecodeError: if it can't be read.
+    :raises DecodeError: if the page is malformed.
     """
     return _decode(data, _convert_page)
 
 
-def measure(items: Iterable[_item.Item]) -> int:
-    """Tell how large objects are in a message.
+def measure_items(items: Iterable[_item.Item]) -> int:
+    """Return the encoded size of objects.
 
     :param items: the objects.
-    :returns: bytes.
+    :returns: the size in bytes.
     """
-    return len(light_imports.msgpack.packb(_list(items)))
+    return len(light_imports.msgpack.packb(_list_item_fields(items)))
 
 
 def measure_values(values: list[dict[str, object]]) -> int:
-    """Tell how large objects' values are in a message.
+    """Return the encoded size of the values of objects.
 
     :param values: the values.
-    :returns: bytes.
-    :raises DecodeError: if no message can hold one of them: numbers beyond
-        64 bits, characters that no text may hold, or lists in lists without
-        end.
+    :returns: the size in bytes.
+    :raises DecodeError: if a value can't be encoded: it has numbers beyond 64
+        bits, characters that aren't valid in UTF-8, or is nested too deeply.
     """
     try:
-        # As deep as they stand in a beacon.
+        # Values are nested this deeply in a beacon.
         return len(light_imports.msgpack.packb([[[values]]]))
     except (ArithmeticError, ValueError, RecursionError) as error:
         raise errors.DecodeError(type(error).__name__) from None
@@ -213,7 +218,8 @@
         return convert(fields)
     except errors.DecodeError:
         raise
-    # The library raises ValueError and its own; odd shapes the others.
+    # The library raises ValueError and its own exceptions; the others stem
+    # from fields of an unexpected type or number.
     except (
         light_imports.msgpack.UnpackException,
         ArithmeticError,
@@ -238,9 +244,9 @@
         lost,
         ages,
         silent,
-        *rare,
+        *optional,
     ) = rest
-    (callers,) = rare or (None,)
+    (callers,) = optional or (None,)
     return _messages.Beacon(
         _check_text(name),
         _check_text(zone),
@@ -257,7 +263,7 @@
             for era, number, changed, age, retained in _check_list(positions)
         ),
         None if delta is None else _convert_delta(delta),
-        tuple(_convert_load(*each) for each in _check_list(loads)),
+        tuple(_convert_load_report(*each) for each in _check_list(loads)),
         tuple(
             _messages.KnownInstance(
                 _check_text(name),
@@ -270,23 +276,25 @@
         ),
         tuple(_check_count(each) for each in _check_list(doubts)),
         {
-            _check_count(start): _check_count(age) / 1000
-            for start, age in last_seen.items()
+            _check_count(incarnation): _check_count(age) / 1000
+            for incarnation, age in last_seen.items()
         },
         tuple(_check_count(each) for each in _check_list(lost)),
         _age_codec.unpack_ages(ages),
         _age_codec.unpack_ages(silent),
-        None if callers is None else _convert_callers(*callers),
+        None if callers is None else _convert_caller_report(*callers),
     )
 
 
-def _convert_callers(
-    word: object, other_zones: object, age: object
+def _convert_caller_report(
+    demand: object, other_zones: object, age: object
 ) -> _messages.CallerReport:
-    for each in (word, other_zones):
-        if not isinstance(each, bytes) or len(each) > _MOST_CALLER_BYTES:
-            raise errors.DecodeError('a short word of callers is wanted')
-    return _messages.CallerReport(word, other_zones, _check_count(age) / 1000)
+    for each in (demand, other_zones):
+        if not isinstance(each, bytes) or len(each) > _MAXIMUM_DEMAND_BYTES:
+            raise errors.DecodeError('the demand is not bytes or is too long')
+    return _messages.CallerReport(
+        demand, other_zones, _check_count(age) / 1000
+    )
 
 
 def _convert_delta(fields: list[object]) -> _messages.TopicDelta:
@@ -298,7 +306,7 @@
     )
 
 
-def _convert_load(
+def _convert_load_report(
     source: object, is_zone: object, age: object, loads: object
 ) -> _messages.LoadReport:
     return _messages.LoadReport(
@@ -306,8 +314,10 @@
         bool(is_zone),
         _check_count(age) / 1000,
         {
-            _check_count(start): _load_codec.convert_load(bool(is_zone), *load)
-            for start, load in loads.items()
+            _check_count(incarnation): _load_codec.convert_load(
+                bool(is_zone), *load
+            )
+            for incarnation, load in loads.items()
         },
     )
 
@@ -319,7 +329,7 @@
 
 def _convert_page(fields: list[object]) -> _messages.Page:
     _, base_era, base, era, revision, is_snapshot, *rest = fields
-    age, era_age, told, packed = rest
+    age, era_age, retained, packed = rest
     unpacker = zlib.decompressobj()
     unpacked = unpacker.decompress(packed, MAXIMUM_PAGE_BYTES)
     return _messages.Page(
@@ -329,19 +339,19 @@
         _to_seconds(age),
         _convert_items(light_imports.msgpack.unpackb(unpacked), era),
         _check_count(era_age) / 1000,
-        tuple(_convert_told(*each) for each in _check_list(told)),
+        tuple(_convert_retained(*each) for each in _check_list(retained)),
     )
 
 
-def _convert_told(
-    era: object, left: object, items: object
+def _convert_retained(
+    era: object, remaining: object, items: object
 ) -> _messages.RetainedItem:
     (item,) = _convert_items(items, era)
-    return _messages.RetainedItem(item, _check_count(left) / 1000)
+    return _messages.RetainedItem(item, _check_count(remaining) / 1000)
 
 
-def _list(items: Iterable[_item.Item]) -> list[list[object]]:
-    # All that a message holds is of one era, which it tells once.
+def _list_item_fields(items: Iterable[_item.Item]) -> list[list[object]]:
+    # All items of a message share one era, which is encoded once.
     return [
         [each.path, each.revision.number, each.created.number, each.value]
         for each in items
@@ -364,44 +374,44 @@
 
 def _check_value(value: object) -> dict[str, object] | None:
     if value is not None and not isinstance(value, dict):
-        raise errors.DecodeError('a value is no map')
+        raise errors.DecodeError('the value of an object is not a map')
     return value
 
 
 def _check_text(value: object) -> str:
     if not isinstance(value, str) or not value:
-        raise errors.DecodeError('a text is wanted')
+        raise errors.DecodeError('a text field is empty or not a string')
     return value
 
 
 def _check_count(value: object) -> int:
-    if type(value) is not int or not 0 <= value <= _MOST_NUMBER:
-        raise errors.DecodeError('a count is wanted')
+    if type(value) is not int or not 0 <= value <= _MAXIMUM_NUMBER:
+        raise errors.DecodeError('a number is not an integer in the range')
     return value
 
 
 def _check_revision(era: object, number: object) -> revisions.Revision:
     if _check_count(era) > revisions.MAXIMUM_ERA:
-        raise errors.DecodeError('an era is wanted')
+        raise errors.DecodeError('the era is out of range')
     if _check_count(number) > revisions.MAXIMUM_NUMBER:
-        raise errors.DecodeError('a revision is wanted')
+        raise errors.DecodeError('the revision is out of range')
     return revisions.Revision(number, era)
 
 
 def _check_list(value: object) -> list[object]:
-    if not isinstance(value, list) or len(value) > _MOST_LIST:
-        raise errors.DecodeError('a short list is wanted')
+    if not isinstance(value, list) or len(value) > _MAXIMUM_LIST_LENGTH:
+        raise errors.DecodeError('a list field is not a list or is too long')
     return value
 
 
 def _to_milliseconds(seconds: float | None) -> int:
     if seconds is None:
-        return _NEVER_MILLISECONDS
-    # Rounded up, as other ages are.
+        return _UNKNOWN_AGE
+    # Rounded up: an age that shrank with every hop would never expire.
     return math.ceil(seconds * 1000)
 
 
 def _to_seconds(milliseconds: object) -> float | None:
-    if milliseconds == _NEVER_MILLISECONDS:
+    if milliseconds == _UNKNOWN_AGE:
         return None
     return _check_count(milliseconds) / 1000
--- a/skylarkfold/relay/_core.py
+++ b/skylarkfold/relay/_core.py
@@ -1,48 +1,49 @@
-"""The decisions of the relay."""
+"""The state machine that replicates the store to this instance."""
 
 from __future__ import annotations
 
 from skylarkfold import backoff
 from skylarkfold.relay import _announcer
-from skylarkfold.relay import _call
-from skylarkfold.relay import _duty
 from skylarkfold.relay import _effect
-from skylarkfold.relay import _exchange
-from skylarkfold.relay import _feed
 from skylarkfold.relay import _item
 from skylarkfold.relay import _messages
 from skylarkfold.relay import _peer
 from skylarkfold.relay import _peers
 from skylarkfold.relay import _retained
 from skylarkfold.relay import _settings
+from skylarkfold.relay import _store_call
+from skylarkfold.relay import _store_reader
+from skylarkfold.relay import _synchronizer
 from skylarkfold.relay import _topic
+from skylarkfold.relay import _watcher_selection
 from skylarkfold import revision as revisions
 from skylarkfold import upstream_load
 
 _NEVER = float('-inf')
-# Pauses differ by these shares, so that some of a zone's instances soon try
-# after a cut, however they were started.
-_LEAST_SPREAD = 0.1
-_MOST_SPREAD = 1.9
-# A watch ends so long after the time at which its word settles something.
-_SETTLING_SECONDS = 0.05
+# Jitter factors for the pause between contacts to seeds. The range is wide, so
+# that some instances of a zone retry soon after a partition has healed.
+_MINIMUM_JITTER = 0.1
+_MAXIMUM_JITTER = 1.9
+# How long a watch outlasts the time at which its answer settles a topic.
+_SETTLE_MARGIN_SECONDS = 0.05
 
 
 class RelayCore:
-    """Keeps this instance's objects at the store's newest.
+    """Replica of the store's objects on this instance.
 
-    Few instances of each zone watch the store; all tell their neighbours
-    how far they are, and whoever is behind asks one that is ahead.
+    A few instances of each zone watch the store. All instances send their
+    positions to their neighbours in beacons, and an instance that is behind
+    fetches the missing changes from a peer that is ahead.
 
     :param name: this instance's name.
     :param zone: its availability zone.
     :param host: its address.
     :param settings: the relay's settings.
-    :param capacity: what it has to spare; duties go to those first that
-        have more of it.
-    :param retention_policy: tells which of two versions of an object is
+    :param capacity: its spare capacity; the instances of a zone with the most
+        of it become watchers and delegates.
+    :param retention_policy: decides which of two versions of an object is
         later, where the store may have lost one.
-    :ivar handle_fetch: answers a peer that is behind.
+    :ivar handle_fetch: answers a fetch of a peer that is behind.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
             _topic.Topic(
                 topic,
                 number,
-                _feed.Feed(topic, settings, jitter),
+                _store_reader.StoreReader(topic, settings, jitter),
                 settings,
                 retention_policy or _retained.NoRetention(),
             )
@@ -74,192 +75,203 @@
         self._announcer = _announcer.Announcer(
             self._own, self._peers, self._topics, settings
         )
-        self._exchange = _exchange.Exchange(
+        self._synchronizer = _synchronizer.Synchronizer(
             self._peers, self._announcer, self._topics, settings, jitter
         )
-        self.handle_fetch = self._exchange.handle_fetch
-        self._duty = _duty.Duty(self._peers, self._topics, settings)
+        self.handle_fetch = self._synchronizer.handle_fetch
+        self._watcher_selection = _watcher_selection.WatcherSelection(
+            self._peers, self._topics, settings
+        )
         self._ticked_at = _NEVER
-        self._next_near = _NEVER
-        self._next_far = _NEVER
-        self._next_seeds = _NEVER
-        self._next_lost = _NEVER
+        self._next_near_beacon = _NEVER
+        self._next_far_beacon = _NEVER
+        self._next_seed_contact = _NEVER
+        self._next_zone_contact = _NEVER
 
     @property
     def peers(self) -> _peers.PeerTable:
-        """The other instances."""
+        """The known instances."""
         return self._peers
 
     @property
     def announcer(self) -> _announcer.Announcer:
-        """What tells the peers of upstreams in doubt."""
+        """The sender of this instance's beacons."""
         return self._announcer
 
     @property
     def is_ready(self) -> bool:
-        """Whether all topics are known."""
+        """Whether every topic has been read once."""
         return all(topic.is_complete for topic in self._topics)
 
     @property
     def topics(self) -> tuple[str, ...]:
-        """The topics that are kept."""
+        """The names of the replicated topics."""
         return tuple(self._by_name)
 
     def set_seeds(self, hosts: tuple[str, ...]) -> None:
-        """Take the hosts where instances may be found.
+        """Set the hosts that are contacted to find other instances.
 
-        :param hosts: some of them may be gone.
+        :param hosts: the hosts; some of them may no longer exist.
         """
         self._peers.set_seeds(hosts)
 
     def set_loads(self, loads: dict[int, upstream_load.UpstreamLoad]) -> None:
-        """Take what peers are to be told of this instance's load.
+        """Set the loads of upstreams that this instance reports to peers.
 
-        :param loads: by incarnation of the upstream.
+        :param loads: the loads, by incarnation of the upstream.
         """
         self._own.loads = loads
 
     def list_items(self, topic: str) -> list[_item.Item]:
-        """List the objects of a topic.
+        """Return the objects of a topic.
 
         :param topic: the topic.
-        :returns: those that exist, by rising revision.
+        :returns: the existing objects, in order of revision.
         """
         return self._by_name[topic].list_items()
 
     def is_settled(self, topic: str) -> bool:
-        """Tell whether what is known of a topic is all that there is.
+        """Return whether the known objects of a topic are complete.
 
         :param topic: the topic.
-        :returns: whether nothing that the store may have lost is awaited.
+        :returns: False while objects that the store lost when it was restored
+            may still be written again.
         """
         return self._by_name[topic].is_settled()
 
     def count_retained(self, topic: str) -> int:
-        """Count the objects that count in the form of a former era.
+        """Return how many objects of a topic are retained from former eras.
 
         :param topic: the topic.
-        :returns: how many there are.
+        :returns: the number of objects.
         """
         return len(self._by_name[topic].retained)
 
     def get_position(self, topic: str) -> revisions.Revision:
-        """Tell up to which revision of the store a topic is known.
+        """Return the store revision up to which a topic is known.
 
         :param topic: the topic.
-        :returns: the revision, ``NONE`` before the first listing.
+        :returns: the revision; ``revision.ZERO`` before the first listing.
         """
         return self._by_name[topic].position
 
     def compute_age(self, now: float, topic: str) -> float | None:
-        """Compute how old the view of a topic may be.
+        """Return how long ago the store confirmed the state of a topic.
 
-        :param now: the time.
+        :param now: the current time.
         :param topic: the topic.
-        :returns: seconds since the store confirmed it, here or at a peer;
-            None for never.
+        :returns: the age in seconds, whether this instance or a peer was
+            answered; None if the store has never confirmed it.
         """
         return self._by_name[topic].compute_age(now)
 
     def tick(self, now: float) -> list[object]:
-        """Do what is due.
+        """Send the beacons and start the calls that are due.
 
-        :param now: the time; several times between two beacons.
-        :returns: effects.
+        :param now: the current time; this is called several times between two
+            beacons.
+        :returns: the effects to perform.
         """
         effects: list[object] = []
-        if self._duty.started_at is None:
-            self._duty.started_at = now
+        if self._watcher_selection.started_at is None:
+            self._watcher_selection.started_at = now
         elif now - self._ticked_at > self._settings.pause_seconds:
-            effects += self._wake(now)
+            effects += self._resume(now)
         self._ticked_at = now
         if self._announcer.callers.is_urgent:
             self._announcer.callers.is_urgent = False
-            self._next_near = self._next_far = now
-        if now >= self._next_near:
-            self._next_near = now + self._settings.beacon_seconds
+            self._next_near_beacon = self._next_far_beacon = now
+        if now >= self._next_near_beacon:
+            self._next_near_beacon = now + self._settings.beacon_seconds
             self._peers.refresh(now)
             effects += self._announcer.send_near(now)
-        if now >= self._next_far:
-            self._next_far = now + self._settings.far_seconds
+        if now >= self._next_far_beacon:
+            self._next_far_beacon = now + self._settings.far_seconds
             effects += self._announcer.send_far(now)
-        if now >= self._next_seeds:
-            self._next_seeds = now + self._compute_seed_pause()
-            lost = self._peers.list_lost_seeds()
-            effects += self._announcer.contact(now, lost)
-        if now >= self._next_lost:
-            self._next_lost = now + self._settings.seed_seconds
-            lost = self._peers.list_lost_zones()
-            effects += self._announcer.contact(now, lost)
+        if now >= self._next_seed_contact:
+            self._next_seed_contact = now + self._compute_seed_pause()
+            hosts = self._peers.list_unreachable_seeds()
+            effects += self._announcer.contact(now, hosts)
+        if now >= self._next_zone_contact:
+            self._next_zone_contact = now + self._settings.seed_seconds
+            hosts = self._peers.list_unreachable_zone_hosts()
+            effects += self._announcer.contact(now, hosts)
         for topic in self._topics:
-            effects += self._exchange.give_up(now, topic)
-        return effects + self._ask(now)
+            effects += self._synchronizer.expire_retained(now, topic)
+        return effects + self._call_store(now)
 
     def handle_answer(
-        self, now: float, call: _call.Call, answer: _call.Answer
+        self, now: float, call: _store_call.Call, answer: _store_call.Answer
     ) -> list[object]:
-        """Take the answer to a call.
+        """Process the store's answer to a call.
 
-        :param now: the time.
+        :param now: the current time.
         :param call: the call.
-        :param answer: its end.
-        :returns: effects.
+        :param answer: the answer, or how the call failed.
+        :returns: the effects to perform.
         """
         topic = self._by_name[call.topic]
-        news = topic.feed.take(now, call, answer)
-        if news is None:
-            return self._ask(now)
-        if news.revision < topic.position:
-            # A peer was faster, or the store lags.
-            return [*_note_behind(now, topic, news), *self._ask(now)]
-        topic.feed.note_taken()
+        update = topic.reader.handle_answer(now, call, answer)
+        if update is None:
+            return self._call_store(now)
+        if update.revision < topic.position:
+            # A peer has already sent later changes, or the store is stale.
+            return [
+                *_record_stale_store(now, topic, update),
+                *self._call_store(now),
+            ]
+        topic.reader.record_applied()
         base = topic.position
-        if news.is_listing:
-            changed = topic.take_listing(now, news.items, news.revision)
+        if update.is_listing:
+            changed = topic.apply_listing(now, update.items, update.revision)
         else:
-            changed = topic.take_changes(news.items, news.revision)
+            changed = topic.apply_changes(update.items, update.revision)
         topic.confirm(now)
-        effects = self._exchange.tell(now, topic, base, changed, '')
-        effects += self._end_old_watches(topic.position.era)
-        return effects + self._ask(now)
+        effects = self._synchronizer.announce_changes(
+            now, topic, base, changed, ''
+        )
+        effects += self._cancel_old_watches(topic.position.era)
+        return effects + self._call_store(now)
 
     def handle_beacon(
         self, now: float, host: str, beacon: _messages.Beacon
     ) -> list[object]:
-        """Take a peer's beacon.
+        """Process a beacon from a peer.
 
-        :param now: the time.
-        :param host: where it came from.
+        :param now: the current time.
+        :param host: the sender's host.
         :param beacon: the beacon.
-        :returns: effects.
+        :returns: the effects to perform.
         """
         if beacon.name == self._own.name:
             return [_effect.RecordEvent('own-name', host=host)]
         if len(beacon.positions) != len(self._topics):
             return [_effect.RecordEvent('other-topics', host=host)]
         is_new = beacon.name not in self._peers.members
-        peer = self._peers.hear(now, host, beacon)
+        peer = self._peers.handle_beacon(now, host, beacon)
         effects: list[object] = []
         if beacon.delta is not None:
-            effects += self._exchange.take_news(now, host, beacon)
+            effects += self._synchronizer.handle_delta(now, host, beacon)
         for topic, position in zip(
             self._topics, beacon.positions, strict=True
         ):
-            effects += self._exchange.compare(now, topic, host, position)
+            effects += self._synchronizer.handle_position(
+                now, topic, host, position
+            )
         effects += self._announcer.handle_loads(now, beacon)
-        effects += self._announcer.callers.take(now, beacon)
+        effects += self._announcer.callers.handle_beacon(now, beacon)
         if beacon.doubts:
             effects.append(_effect.LastSeenRequested(host, beacon.doubts))
         if beacon.last_seen:
             effects.append(_effect.LastSeenReported(beacon.last_seen))
         if beacon.lost and beacon.zone == self._own.zone:
             effects.append(_effect.UnreachableReported(beacon.lost))
-        is_lost = is_new or self._peers.must_tell(now, peer)
-        if beacon.wants_answer or is_lost:
-            known = self._peers.gossip.answer_hearsay(now, peer)
+        is_uninformed = is_new or self._peers.needs_introduction(now, peer)
+        if beacon.wants_answer or is_uninformed:
+            known = self._peers.gossip.choose_for_peer(now, peer)
             answer = self._announcer.build(now, known_instances=known)
             effects.append(_effect.SendBeacon([host], answer))
-        return effects + self._ask(now)
+        return effects + self._call_store(now)
 
     def handle_page(
         self,
@@ -267,116 +279,124 @@
         fetch: _effect.Fetch,
         page: _messages.Page | None,
     ) -> list[object]:
-        """Take the end of a fetch.
+        """Process the result of a fetch.
 
-        :param now: the time.
-        :param fetch: what was asked.
-        :param page: the answer; None for none.
-        :returns: effects.
+        :param now: the current time.
+        :param fetch: the fetch.
+        :param page: the peer's answer; None if it failed.
+        :returns: the effects to perform.
         """
-        effects = self._exchange.handle_page(now, fetch, page)
+        effects = self._synchronizer.handle_page(now, fetch, page)
         era = self._topics[fetch.topic].position.era
-        effects += self._end_old_watches(era)
-        return effects + self._ask(now)
+        effects += self._cancel_old_watches(era)
+        return effects + self._call_store(now)
 
     def may_leave(self, now: float) -> bool:
-        """Tell whether this instance may leave rotation.
+        """Return whether this instance may leave rotation.
 
-        :param now: the time.
-        :returns: whether enough others of its zone are in rotation.
+        :param now: the current time.
+        :returns: whether enough other instances of its zone are in rotation.
         """
         return self._peers.may_leave(now)
 
     def leave(self, now: float) -> list[object]:
-        """Tell the others that this instance is about to end.
+        """Announce to the neighbours that this instance is shutting down.
 
-        :param now: the time.
-        :returns: effects.
+        :param now: the current time.
+        :returns: the effects to perform.
         """
         self._own.is_leaving = True
-        self._peers.note_own_change()
+        self._peers.handle_own_change()
         return [
             *self._announcer.send_near(now),
             *self._announcer.send_far(now),
         ]
 
     def _compute_seed_pause(self) -> float:
-        """Compute the pause until lost seeds are tried again.
+        """Return the pause before unreachable seeds are contacted again.
 
-        A seed answers each that tries it, in a large fleet hundreds of them.
+        A seed answers every instance that contacts it, hundreds in a large
+        fleet.
         """
         settings = self._settings
         if len(self._peers.members) > settings.seed_members:
-            # All may have started at the same moment.
-            spread = self._jitter.uniform(_LEAST_SPREAD, _MOST_SPREAD)
-            return spread * settings.seed_pause_seconds
+            # All instances may have started at the same moment.
+            factor = self._jitter.uniform(_MINIMUM_JITTER, _MAXIMUM_JITTER)
+            return factor * settings.seed_pause_seconds
         return settings.seed_seconds
 
-    def _ask(self, now: float) -> list[object]:
-        """Call the store where that is this instance's duty."""
+    def _call_store(self, now: float) -> list[object]:
+        """Start the calls to the store that this instance has to make."""
         effects: list[object] = []
         if self._own.is_leaving:
             return effects
         for topic in self._topics:
-            if topic.feed.is_calling or not self._duty.must_call(now, topic):
+            if (
+                topic.reader.is_calling
+                or not self._watcher_selection.must_call(now, topic)
+            ):
                 continue
-            wait = self._compute_wait(now, topic)
-            call = topic.feed.call(now, topic.position, wait)
+            wait = self._compute_watch_seconds(now, topic)
+            call = topic.reader.start_call(now, topic.position, wait)
             if call is not None:
                 effects.append(_effect.CallStore(call))
         return effects
 
-    def _end_old_watches(self, era: int) -> list[object]:
-        """End watches that began before the store came back.
+    def _cancel_old_watches(self, era: int) -> list[object]:
+        """Cancel watches that were started in a former era of the store.
 
-        One may hang until its time is over, and tells nothing of what the
-        store has from where its copy ends.
+        Such a watch may hang until its timeout, and its answer lacks what was
+        written between the end of the restored copy and its own revision.
 
-        :param era: of the store, as it is known for one topic.
+        :param era: the store's era, learnt with one of the topics.
         """
         effects: list[object] = []
         for topic in self._topics:
-            if topic.position.era < era and topic.feed.is_watching:
-                topic.feed.cancel()
+            if topic.position.era < era and topic.reader.is_watching:
+                topic.reader.cancel_watch()
                 effects.append(_effect.CancelCall(topic.name))
         return effects
 
-    def _compute_wait(self, now: float, topic: _topic.Topic) -> float:
-        """Compute how long the store may hold a watch.
+    def _compute_watch_seconds(self, now: float, topic: _topic.Topic) -> float:
+        """Return how long the store may hold a watch.
 
-        Until its word settles something, but not much longer.
+        A topic that is about to be settled shortens the watch, since the
+        answer to it settles the topic.
         """
         wait = self._settings.wait_seconds
-        settling = topic.find_settling()
-        if settling is None or settling <= now:
+        settle_at = topic.compute_settle_time()
+        if settle_at is None or settle_at <= now:
             return wait
-        return min(wait, settling - now + _SETTLING_SECONDS)
+        return min(wait, settle_at - now + _SETTLE_MARGIN_SECONDS)
 
-    def _wake(self, now: float) -> list[object]:
-        """Find out what was missed while the process stood still."""
+    def _resume(self, now: float) -> list[object]:
+        """Recover from a pause of the process: ask neighbours for updates."""
         for topic in self._topics:
             topic.confirmed_at = _NEVER
-        self._peers.restart(now)
+        self._peers.resume(now)
         paused = int((now - self._ticked_at) * 1000)
         hosts = [
             *self._peers.list_hosts(is_near=True),
             *self._peers.list_hosts(is_near=False),
         ]
-        note = _effect.RecordEvent('paused', paused_ms=paused)
-        return [note, *self._announcer.contact(now, hosts)]
+        event = _effect.RecordEvent('paused', paused_ms=paused)
+        return [event, *self._announcer.contact(now, hosts)]
 
 
-def _note_behind(
-    now: float, topic: _topic.Topic, news: _feed.News
+def _record_stale_store(
+    now: float, topic: _topic.Topic, update: _store_reader.StoreUpdate
 ) -> list[object]:
-    """Tell that the store is older than what is known, once in a row."""
-    if not topic.feed.note_behind(now):
+    """Record that the store's answer is older than the known position.
+
+    Only the first of several stale answers in a row is logged.
+    """
+    if not topic.reader.record_stale(now):
         return []
     return [
         _effect.RecordEvent(
             'store-behind',
             topic=topic.name,
             position=str(topic.position),
-            revision=str(news.revision),
+            revision=str(update.revision),
         )
     ]
--- a/skylarkfold/relay/_effect.py
+++ b/skylarkfold/relay/_effect.py
@@ -1,26 +1,33 @@
-"""What the relay asks of its surroundings."""
+"""Effects: the actions and reports that the relay hands to its caller."""
 
 from __future__ import annotations
 
-from skylarkfold.relay import _call
 from skylarkfold.relay import _messages
+from skylarkfold.relay import _store_call
 from skylarkfold import revision as revisions
 from skylarkfold import upstream_load
 
 
 class CallStore:
-    """Call the platform's store; the answer comes back with the call."""
+    """Call the platform's store.
+
+    The answer is handed to ``RelayCore.handle_answer``.
+
+    :param call: the call.
+    """
 
     __slots__ = ('call',)
 
-    def __init__(self, call: _call.Call) -> None:
+    def __init__(self, call: _store_call.Call) -> None:
         self.call = call
 
 
 class CancelCall:
-    """End the call for a topic that is under way, as one without an answer.
+    """Cancel the call for a topic that is under way.
 
-    :param topic: the topic.
+    Its answer has the status ``ABANDONED``.
+
+    :param topic: the topic's name.
     """
 
     __slots__ = ('topic',)
@@ -32,8 +39,8 @@
 class SendBeacon:
     """Send a beacon to some instances.
 
-    :param hosts: where.
-    :param beacon: what.
+    :param hosts: their hosts.
+    :param beacon: the beacon.
     """
 
     __slots__ = ('beacon', 'hosts')
@@ -44,12 +51,14 @@
 
 
 class Fetch:
-    """Ask a peer for what is missing here.
+    """Fetch the changes of a topic that this instance lacks from a peer.
+
+    The result is handed to ``RelayCore.handle_page``.
 
-    :param host: the peer.
+    :param host: the peer's host.
     :param topic: the topic's number.
     :param position: this instance's position.
-    :param timeout_seconds: when to give up.
+    :param timeout_seconds: when the fetch fails without an answer.
     """
 
     __slots__ = ('host', 'position', 'timeout_seconds', 'topic')
@@ -70,13 +79,14 @@
 class TopicChanged:
     """The objects of a topic have changed.
 
-    :param topic: the topic.
-    :param revision: up to which revision they are known now.
-    :param source: the host that told of it; empty for the store.
-    :param paths: the names of the objects that changed.
-    :param lag_seconds: how long ago they were written at most, by when the
-        store last confirmed what was known; None where it never did.
-    :param base: up to which revision they were known before.
+    :param topic: the topic's name.
+    :param revision: the position after the change.
+    :param source: the host that sent the change; empty for the store.
+    :param paths: the paths of the changed objects.
+    :param lag_seconds: an upper bound for how long ago they were written: the
+        time since the store last confirmed the previous position; None if it
+        never did.
+    :param base: the position before the change.
     """
 
     __slots__ = (
@@ -106,10 +116,10 @@
 
 
 class PeerLoadReported:
-    """Others have told what they carry of upstreams.
+    """A load report on upstreams has arrived.
 
-    :param source: the instance, or ``zone:NAME`` for all of a zone.
-    :param loads: by incarnation of the upstream.
+    :param source: the instance, or ``zone:NAME`` for a whole zone.
+    :param loads: the loads, by incarnation of the upstream.
     """
 
     __slots__ = ('loads', 'source')
@@ -122,13 +132,13 @@
 
 
 class CallerDemandReported:
-    """A peer has told what callers ask for.
+    """A report on callers' demand has arrived.
 
-    :param source: the instance or the zone; empty for all other zones
-        together.
-    :param is_zone: whether it is a zone's sum, or several zones'.
-    :param age_seconds: how old it is.
-    :param demand: what was said.
+    :param source: the instance or the zone; empty for the total of all other
+        zones.
+    :param is_zone: whether it is the total of a zone or of several zones.
+    :param age_seconds: the age of the report.
+    :param demand: the demand, encoded by ``shares``.
     """
 
     __slots__ = ('age_seconds', 'demand', 'is_zone', 'source')
@@ -143,10 +153,12 @@
 
 
 class LastSeenRequested:
-    """A peer doubts some upstreams: tell it through ``RelayCore.answer``.
+    """A peer asks when upstreams in doubt were last heard from here.
+
+    The answer is sent by ``Announcer.answer``.
 
-    :param host: the peer's.
-    :param incarnations: of the upstreams.
+    :param host: the peer's host.
+    :param incarnations: the upstreams' incarnations.
     """
 
     __slots__ = ('host', 'incarnations')
@@ -157,9 +169,9 @@
 
 
 class LastSeenReported:
-    """A peer has said which upstreams it heard.
+    """A peer has reported when it last heard from upstreams in doubt.
 
-    :param last_seen: how many seconds ago, by incarnation.
+    :param last_seen: how many seconds ago, by incarnation of the upstream.
     """
 
     __slots__ = ('last_seen',)
@@ -169,9 +181,9 @@
 
 
 class UnreachableReported:
-    """A peer of this zone has found upstreams out of reach.
+    """A peer in this zone has found upstreams unreachable.
 
-    :param incarnations: of the upstreams.
+    :param incarnations: the upstreams' incarnations.
     """
 
     __slots__ = ('incarnations',)
@@ -181,10 +193,10 @@
 
 
 class RecordEvent:
-    """Write a log line and count.
+    """Log an event and count it.
 
-    :param reason: what happened.
-    :param details: by name.
+    :param reason: the kind of event.
+    :param details: the fields of the log line.
     """
 
     __slots__ = ('details', 'reason')
--- a/skylarkfold/relay/_gossip.py
+++ b/skylarkfold/relay/_gossip.py
@@ -1,9 +1,8 @@
-"""What an instance tells others of third ones.
+"""Gossip: what an instance tells its neighbours about other instances.
 
-Mates of a zone tell one another when each was last heard by anyone, so
-that an instance whose neighbours are alive is known to be there without a
-beacon of its own, and name at once whom they no longer hear. Other zones
-are told of those with duties only.
+Within a zone, instances exchange how long ago each was last heard by anyone,
+so that an instance is known to be alive without a beacon of its own, and
+report at once which ones fell silent. Other zones only learn of delegates.
 """
 
 from __future__ import annotations
@@ -14,33 +13,33 @@
 from skylarkfold.relay import _messages
 from skylarkfold.relay import _peer
 
-# Names of others that travel with a beacon, in turn, for those that missed
-# them when they were new.
-_HEARSAY_COUNT = 4
-# Names that travel at most: those just learnt, and with an answer to an
-# instance that knows nobody. With all ages they fit one packet.
-_MOST_HEARSAY = 12
-# How often a name that is new is told to the neighbours: once more than
-# needed, as a packet may be lost.
-_FRESH_TELLS = 2
-# How many beacons in a row tell of an instance that fell silent; one of
-# them may be lost.
-_SILENT_TELLS = 3
-# Other zones are told of so many instances: the delegates, and the next.
-_HEADS = overlay.DELEGATES + 1
+# Known instances in a beacon, in rotation, for receivers that missed them when
+# they were new.
+_ROTATING_COUNT = 4
+# Known instances in a beacon at most, new ones included. Together with the
+# ages of a whole zone they fit into one packet.
+_MAXIMUM_INSTANCES = 12
+# How many beacons in a row name a new instance; one of them may be lost.
+_NEW_INSTANCE_REPEATS = 2
+# How many beacons in a row name an instance that fell silent; one of them may
+# be lost.
+_SILENT_INSTANCE_REPEATS = 3
+# Instances of a zone that other zones are told of: its delegates and the next
+# one in rank.
+_REPORTED_DELEGATES = overlay.DELEGATES + 1
 
 
 class Gossip:
-    """Chooses what to tell.
+    """Selection of the instances that beacons tell about.
 
     :param own: this instance.
-    :param members: all instances that are known, by name.
+    :param members: all known instances, by name.
     """
 
     __slots__ = (
-        '_fresh',
-        '_next',
+        '_new_repeats',
         '_own',
+        '_rotation_start',
         '_silent_far',
         '_silent_near',
         'members',
@@ -51,130 +50,136 @@
     ) -> None:
         self._own = own
         self.members = members
-        self._next = 0
-        # How often each is still to be told of, by name.
-        self._fresh: dict[str, int] = {}
+        self._rotation_start = 0
+        # How many more beacons name each instance, by name.
+        self._new_repeats: dict[str, int] = {}
         self._silent_near: dict[str, int] = {}
         self._silent_far: dict[str, int] = {}
 
-    def note_new(self, peer: _peer.Peer) -> None:
-        """Note an instance that was not known.
+    def record_new(self, peer: _peer.Peer) -> None:
+        """Record an instance that wasn't known before.
 
         :param peer: the instance.
         """
-        self._fresh[peer.name] = _FRESH_TELLS
+        self._new_repeats[peer.name] = _NEW_INSTANCE_REPEATS
 
-    def note_silent(self, peer: _peer.Peer) -> None:
-        """Note an instance that was found silent.
+    def record_silent(self, peer: _peer.Peer) -> None:
+        """Record an instance that was found unreachable.
 
         :param peer: the instance.
         """
-        self._silent_near[peer.name] = _SILENT_TELLS
+        self._silent_near[peer.name] = _SILENT_INSTANCE_REPEATS
         if peer.zone == self._own.zone:
-            # Of other zones, only they themselves can tell others: a cut
-            # between two zones is no matter to a third.
-            self._silent_far[peer.name] = _SILENT_TELLS
+            # Only an instance's own zone reports it to other zones, since a
+            # partition between two zones doesn't affect a third.
+            self._silent_far[peer.name] = _SILENT_INSTANCE_REPEATS
 
     def list_silent(self, now: float, is_near: bool) -> dict[int, float]:
-        """List instances that have just fallen silent.
+        """Return the instances that fell silent, for one beacon.
 
-        :param now: the time.
-        :param is_near: for this zone, or for others.
-        :returns: how many seconds ago each was last heard, by the digest
-            of its name; each some times in a row.
+        :param now: the current time.
+        :param is_near: whether the beacon goes to this zone or to others.
+        :returns: how many seconds ago each instance was last heard, by the
+            digest of its name.
         """
         silent = self._silent_near if is_near else self._silent_far
         found: dict[int, float] = {}
-        for name, tells in list(silent.items()):
+        for name, repeats in list(silent.items()):
             peer = self.members.get(name)
             if peer is not None and not peer.is_reachable:
-                found[peer.digest] = now - peer.heard_at
-            if tells > 1:
-                silent[name] = tells - 1
+                found[peer.digest] = now - peer.last_heard_at
+            if repeats > 1:
+                silent[name] = repeats - 1
             else:
                 del silent[name]
         return found
 
-    def tell_mates(
+    def choose_for_zone(
         self, now: float
     ) -> tuple[tuple[_messages.KnownInstance, ...], dict[int, float]]:
-        """Choose what this zone is told.
+        """Choose what a beacon to this zone tells about other instances.
 
-        :param now: the time.
-        :returns: some instances, those just learnt first, then the others
-            in turn; and how many seconds ago each of those that the zone
-            is told of was last heard by anyone, by the digest of its name.
+        :param now: the current time.
+        :returns: some instances, new ones first, then others in rotation; and
+            how many seconds ago each candidate was last heard by anyone, by
+            the digest of its name.
         """
-        known = self._list_told()
-        ages = {peer.digest: now - peer.heard_at for peer in known}
-        return _tell_of(now, self._choose(known)), ages
-
-    def _choose(self, known: list[_peer.Peer]) -> list[_peer.Peer]:
-        if not known:
+        candidates = self._list_candidates()
+        ages = {peer.digest: now - peer.last_heard_at for peer in candidates}
+        return _describe(now, self._choose_instances(candidates)), ages
+
+    def _choose_instances(
+        self, candidates: list[_peer.Peer]
+    ) -> list[_peer.Peer]:
+        if not candidates:
             return []
-        chosen = self._take_fresh(known)
-        begin = self._next % len(known)
-        self._next = begin + _HEARSAY_COUNT
-        turn = (known[begin:] + known[:begin])[:_HEARSAY_COUNT]
-        return chosen + [peer for peer in turn if peer not in chosen]
-
-    def _take_fresh(self, known: list[_peer.Peer]) -> list[_peer.Peer]:
-        fresh = self._fresh
-        for name in [each for each in fresh if each not in self.members]:
-            del fresh[name]
-        chosen = [peer for peer in known if peer.name in fresh]
-        del chosen[_MOST_HEARSAY - _HEARSAY_COUNT :]
+        chosen = self._take_new(candidates)
+        start = self._rotation_start % len(candidates)
+        self._rotation_start = start + _ROTATING_COUNT
+        rotated = (candidates[start:] + candidates[:start])[:_ROTATING_COUNT]
+        return chosen + [peer for peer in rotated if peer not in chosen]
+
+    def _take_new(self, candidates: list[_peer.Peer]) -> list[_peer.Peer]:
+        new_repeats = self._new_repeats
+        for name in [each for each in new_repeats if each not in self.members]:
+            del new_repeats[name]
+        chosen = [peer for peer in candidates if peer.name in new_repeats]
+        del chosen[_MAXIMUM_INSTANCES - _ROTATING_COUNT :]
         for peer in chosen:
-            fresh[peer.name] -= 1
-            if not fresh[peer.name]:
-                del fresh[peer.name]
+            new_repeats[peer.name] -= 1
+            if not new_repeats[peer.name]:
+                del new_repeats[peer.name]
         return chosen
 
-    def choose_heads(self, now: float) -> tuple[_messages.KnownInstance, ...]:
-        """Choose the instances to tell other zones of.
+    def choose_for_other_zones(
+        self, now: float
+    ) -> tuple[_messages.KnownInstance, ...]:
+        """Choose the instances that a beacon to other zones names.
 
-        :param now: the time.
-        :returns: those of this zone that may get duties first.
+        :param now: the current time.
+        :returns: the instances of this zone with the lowest ranks.
         """
-        heads = self._list_heads(self._own.zone)
-        return _tell_of(now, [each for each in heads if each != self._own])
+        delegates = self._list_delegates(self._own.zone)
+        return _describe(
+            now, [each for each in delegates if each != self._own]
+        )
 
-    def answer_hearsay(
+    def choose_for_peer(
         self, now: float, peer: _peer.Peer
     ) -> tuple[_messages.KnownInstance, ...]:
-        """Choose the instances to tell one that may know too few.
+        """Choose the instances to name to a peer that may know too few.
 
-        :param now: the time.
-        :param peer: who is told.
-        :returns: who its neighbours are by what is known here.
+        :param now: the current time.
+        :param peer: the peer.
+        :returns: its neighbours, as computed from the members known here.
         """
-        peer.told_at = now
+        peer.introduced_at = now
         names = overlay.list_neighbours(self, peer.name, mesh_limit=0)
         chosen = [
             self.members[name] for name in names if name != self._own.name
         ]
         chosen.sort(key=lambda each: each.zone != peer.zone)
-        return _tell_of(now, chosen[:_MOST_HEARSAY])
+        return _describe(now, chosen[:_MAXIMUM_INSTANCES])
 
-    def _list_told(self) -> list[_peer.Peer]:
-        """List the others of this zone, and the heads of other zones."""
+    def _list_candidates(self) -> list[_peer.Peer]:
+        """Return the others of this zone and the delegates of other zones."""
         zones = {peer.zone for peer in self.members.values()}
-        told = [
+        candidates = [
             peer
             for peer in self.members.values()
             if peer.zone == self._own.zone and peer.is_reachable
         ]
-        told.remove(self._own)
+        candidates.remove(self._own)
         for zone in sorted(zones - {self._own.zone}):
-            told += self._list_heads(zone)
-        return told
+            candidates += self._list_delegates(zone)
+        return candidates
 
-    def _list_heads(self, zone: str) -> list[_peer.Peer]:
+    def _list_delegates(self, zone: str) -> list[_peer.Peer]:
         names = overlay.rank_zone(self.members.values(), zone)
-        return [self.members[name] for name in names[:_HEADS]]
+        return [self.members[name] for name in names[:_REPORTED_DELEGATES]]
 
 
-def _tell_of(
+def _describe(
     now: float, chosen: Iterable[_peer.Peer]
 ) -> tuple[_messages.KnownInstance, ...]:
     return tuple(
@@ -183,7 +188,7 @@
             each.zone,
             each.host,
             each.capacity,
-            max(0.0, now - each.heard_at),
+            max(0.0, now - each.last_heard_at),
         )
         for each in chosen
     )
--- a/skylarkfold/relay/_item.py
+++ b/skylarkfold/relay/_item.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store as the relay passes them on."""
+"""Objects of the platform's store as the relay replicates them."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class Item:
-    """One object in one form.
+    """A version of an object.
 
-    :param path: its name within its topic.
-    :param revision: where in the store's history it was written.
-    :param created: where it was created.
-    :param value: what it holds; None once it is deleted.
+    :param path: the object's name within its topic.
+    :param revision: the revision at which this version was written.
+    :param created: the revision at which the object was created.
+    :param value: the value; None if the object is deleted.
     """
 
     __slots__ = ('created', 'path', 'revision', 'value')
--- a/skylarkfold/relay/_messages.py
+++ b/skylarkfold/relay/_messages.py
@@ -1,6 +1,6 @@
-"""What instances tell one another: beacons, and pages of objects.
+"""Messages between instances: beacons and pages of objects.
 
-Times are durations, since clocks differ.
+Messages hold ages instead of times, since the clocks of instances differ.
 """
 
 from __future__ import annotations
@@ -11,10 +11,11 @@
 
 
 class RetainedItem:
-    """An object that the sender goes on with in the form of a former era.
+    """An object that the sender retains from a former era of the store.
 
-    :param item: the object; without a value where it was deleted.
-    :param left_seconds: how much longer; then until the store is heard.
+    :param item: the object; without a value if it was deleted.
+    :param left_seconds: the remaining retention time, after which the next
+        answer of the store ends it.
     """
 
     __slots__ = ('item', 'left_seconds')
@@ -25,15 +26,14 @@
 
 
 class Position:
-    """How far the sender knows a topic.
-
-    :param revision: everything up to it is known there.
-    :param changed: the revision of the last change among that, in the same
-        era: a receiver that knows it lacks nothing.
-    :param age_seconds: how long ago the store confirmed it, as far as the
-        sender knows; None for never.
-    :param retained: how many objects it goes on with in the form of a former
-        era.
+    """The sender's position in a topic.
+
+    :param revision: the revision up to which the sender knows all changes.
+    :param changed: the revision of the last change, in the same era: a
+        receiver that knows this one lacks nothing.
+    :param age_seconds: how long ago the store confirmed the position; None if
+        it never did.
+    :param retained: how many objects the sender retains from former eras.
     """
 
     __slots__ = ('age_seconds', 'changed', 'retained', 'revision')
@@ -52,12 +52,12 @@
 
 
 class TopicDelta:
-    """Changes of one topic that travel with a beacon.
+    """Changes of one topic in a beacon.
 
     :param topic: the topic's number.
-    :param base: who knows everything up to this revision, of the same era,
-        can take them.
-    :param items: what changed after it.
+    :param base: the revision that the changes follow. A receiver can apply
+        them from this position in the same era on.
+    :param items: the objects that changed after it.
     """
 
     __slots__ = ('base', 'items', 'topic')
@@ -76,8 +76,11 @@
 class KnownInstance:
     """An instance that the sender knows.
 
+    :param name: its name.
+    :param zone: its availability zone.
+    :param host: its address.
     :param capacity: as in :class:`Beacon`.
-    :param age_seconds: how long ago it was last heard by anyone.
+    :param age_seconds: how long ago it was last heard by any instance.
     """
 
     __slots__ = ('age_seconds', 'capacity', 'host', 'name', 'zone')
@@ -98,12 +101,12 @@
 
 
 class LoadReport:
-    """What an instance carries of upstreams, or all of a zone do.
+    """The loads of upstreams from an instance or from a whole zone.
 
-    :param source: the instance or zone.
-    :param is_zone: whether it is a zone's.
-    :param age_seconds: how old it is.
-    :param loads: by incarnation of the upstream.
+    :param source: the name of the instance or zone.
+    :param is_zone: whether it is a zone.
+    :param age_seconds: the age of the report.
+    :param loads: the loads, by incarnation of the upstream.
     """
 
     __slots__ = ('age_seconds', 'is_zone', 'loads', 'source')
@@ -122,13 +125,15 @@
 
 
 class CallerReport:
-    """What callers ask for, where a service is short of room.
+    """The demand of callers on services that are short of capacity.
 
-    The words are written and read by ``shares``.
+    ``shares`` encodes and decodes the demands.
 
-    :param demand: what the sender counts; its zone's sum, told to other zones.
-    :param other_zones: the sum of other zones, passed on within a zone.
-    :param age_seconds: how old that is.
+    :param demand: the demand counted by the sender; in a beacon to another
+        zone, the total demand in the sender's zone.
+    :param other_zones: the total demand in other zones, passed on within a
+        zone.
+    :param age_seconds: the age of ``other_zones``.
     """
 
     __slots__ = ('age_seconds', 'demand', 'other_zones')
@@ -142,26 +147,28 @@
 
 
 class Beacon:
-    """What an instance tells its neighbours several times a second.
+    """A status message that an instance sends to neighbours periodically.
 
     :param name: the sender's name.
     :param zone: its availability zone.
-    :param capacity: the more of it, the sooner it is given duties.
-    :param is_leaving: whether it is about to end.
-    :param wants_answer: whether the receiver shall send its own at once.
-    :param positions: one for each topic.
-    :param delta: changes, where they are small.
-    :param loads: its own load, and now and then those of zones.
-    :param known_instances: some of the instances that it knows.
-    :param doubts: incarnations of upstreams that the receiver shall say of
-        whether it has heard them.
-    :param last_seen: how many seconds ago it heard the upstreams that the
-        receiver doubts, by incarnation.
-    :param lost: incarnations of upstreams that it has just found out of reach.
-    :param ages: how many seconds ago instances were last heard by anyone,
-        by the digests of their names.
-    :param silent: the same for instances that are silent to a neighbour.
-    :param callers: what callers ask for; None where no room is short.
+    :param capacity: its spare capacity, by which instances are ranked.
+    :param is_leaving: whether it is shutting down.
+    :param wants_answer: whether the receiver is to send its own beacon at
+        once.
+    :param positions: the sender's positions, one for each topic.
+    :param delta: changes of a topic, if they are small.
+    :param loads: reports on the load of upstreams.
+    :param known_instances: some of the instances that the sender knows.
+    :param doubts: incarnations of upstreams in doubt; the receiver answers if
+        it has heard from them lately.
+    :param last_seen: how many seconds ago the sender heard from upstreams
+        that the receiver doubted, by incarnation.
+    :param lost: incarnations of upstreams that the sender found unreachable.
+    :param ages: how many seconds ago instances were last heard by any
+        instance, by the digests of their names.
+    :param silent: the same for instances that have just been found silent.
+    :param callers: the demand of callers; None if no service is short of
+        capacity.
     """
 
     __slots__ = (
@@ -218,16 +225,18 @@
 
 
 class Page:
-    """The answer to a fetch: everything above the asker's position.
+    """The answer to a fetch: the changes after the receiver's position.
 
-    :param base: the position that was asked from.
-    :param revision: the position of the sender.
-    :param is_snapshot: whether absent objects are deleted.
+    :param base: the position in the fetch.
+    :param revision: the sender's position.
+    :param is_snapshot: whether the items are all objects, so that absent ones
+        are deleted.
     :param age_seconds: as in :class:`Position`.
-    :param items: the objects, deleted ones with no value.
+    :param items: the objects; deleted ones have no value.
     :param era_seconds: how long the sender has known the store's era.
-    :param retained_items: what the sender retains of former eras.
-    :param packed: the objects as they are sent, where they are packed already.
+    :param retained_items: the objects that the sender retains from former
+        eras.
+    :param packed: the encoded items, if they have been encoded already.
     """
 
     __slots__ = (
--- a/skylarkfold/relay/_peer.py
+++ b/skylarkfold/relay/_peer.py
@@ -1,4 +1,4 @@
-"""One of the other instances."""
+"""An instance as the relay knows it."""
 
 from __future__ import annotations
 
@@ -11,36 +11,41 @@
 
 
 class Peer:
-    """One instance.
+    """An instance of the fleet.
 
-    :ivar capacity: the more of it, the sooner it is given duties.
-    :ivar digest: what stands for its name in short messages.
-    :ivar heard_at: when a beacon of it last came, here or at others.
-    :ivar met_at: when a beacon of it last came here.
-    :ivar near_since: when it became a neighbour; None for one that is none.
-    :ivar back_at: when it was first heard after a silence.
-    :ivar positions: what it last said to know, by topic.
-    :ivar loads: what it last said to carry, by incarnation of the upstream.
+    :param name: its name.
+    :param zone: its availability zone.
+    :param host: its address.
+    :param capacity: its spare capacity, by which instances are ranked.
+    :ivar digest: a hash that stands for its name in compact messages.
+    :ivar last_heard_at: when its last beacon arrived, here or elsewhere.
+    :ivar last_beacon_at: when its last beacon arrived here.
+    :ivar neighbour_since: when it became a neighbour; None if it isn't one.
+    :ivar reachable_since: when its first beacon after a silence arrived.
+    :ivar positions: the positions in its last beacon, one for each topic.
+    :ivar loads: its last reported loads, by incarnation of the upstream.
+    :ivar is_leaving: whether it is shutting down.
     :ivar is_reachable: whether it was heard lately.
-    :ivar lost_at: when it had last been heard when it was found silent.
-    :ivar told_at: when it was last told of others.
+    :ivar last_heard_before_loss: the value of ``last_heard_at`` when it was
+        found unreachable.
+    :ivar introduced_at: when it was last sent the instances near to it.
     """
 
     __slots__ = (
-        'back_at',
         'capacity',
         'digest',
-        'heard_at',
         'host',
+        'introduced_at',
         'is_leaving',
         'is_reachable',
+        'last_beacon_at',
+        'last_heard_at',
+        'last_heard_before_loss',
         'loads',
-        'lost_at',
-        'met_at',
         'name',
-        'near_since',
+        'neighbour_since',
         'positions',
-        'told_at',
+        'reachable_since',
         'zone',
     )
 
@@ -50,22 +55,22 @@
         self.host = host
         self.capacity = capacity
         self.digest = xxhash.xxh32_intdigest(name.encode())
-        self.heard_at = _NEVER
-        self.met_at = _NEVER
-        self.near_since: float | None = None
-        self.back_at = _NEVER
+        self.last_heard_at = _NEVER
+        self.last_beacon_at = _NEVER
+        self.neighbour_since: float | None = None
+        self.reachable_since = _NEVER
         self.positions: tuple[_messages.Position, ...] = ()
         self.loads: dict[int, upstream_load.UpstreamLoad] = {}
         self.is_leaving = False
         self.is_reachable = True
-        self.lost_at = _NEVER
-        self.told_at = _NEVER
+        self.last_heard_before_loss = _NEVER
+        self.introduced_at = _NEVER
 
     @property
     def may_own(self) -> bool:
-        """Whether it may be given duties.
+        """Whether it may be a watcher or a delegate.
 
-        One that is not ready yet soon is; what others hear of it through
-        third ones would be out of date.
+        Its readiness doesn't matter: it is ready soon after its start, and
+        news of that through third instances would be out of date.
         """
         return self.is_reachable and not self.is_leaving
--- a/skylarkfold/relay/_peers.py
+++ b/skylarkfold/relay/_peers.py
@@ -1,4 +1,4 @@
-"""The other instances, as far as they are heard here."""
+"""The table of known instances and their reachability."""
 
 from __future__ import annotations
 
@@ -15,23 +15,25 @@
 
 
 class PeerTable:
-    """All instances that are known, this one included.
+    """Table of all known instances, this one included.
+
+    "Mates" are the other instances of this instance's zone.
 
     :param own: this instance.
     :param settings: the relay's settings.
-    :ivar members: by name, as the overlay wants them.
-    :ivar gossip: what is told of them.
+    :ivar members: the instances by name, in the form for ``overlay``.
+    :ivar gossip: chooses what peers are told about other instances.
     """
 
     __slots__ = (
-        '_awake_at',
         '_by_digest',
+        '_fleet_rank',
         '_neighbours',
         '_own',
         '_rank',
+        '_resumed_at',
         '_seeds',
         '_settings',
-        '_turn',
         'gossip',
         'members',
     )
@@ -43,155 +45,166 @@
         self._settings = settings
         self._seeds: tuple[str, ...] = ()
         self._by_digest: dict[int, _peer.Peer] = {}
-        self._awake_at = _NEVER
+        self._resumed_at = _NEVER
         self.members: dict[str, _peer.Peer] = {own.name: own}
         self.gossip = _gossip.Gossip(own, self.members)
         self._neighbours: tuple[str, ...] | None = None
         self._rank = 0
-        self._turn = 0
+        self._fleet_rank = 0
 
     def set_seeds(self, hosts: Iterable[str]) -> None:
-        """Take the hosts where instances may be found.
+        """Set the hosts that are contacted to find other instances.
 
-        :param hosts: some of them may be gone.
+        :param hosts: the hosts; some of them may no longer exist.
         """
         self._seeds = tuple(hosts)
 
-    def hear(
+    def handle_beacon(
         self, now: float, host: str, beacon: _messages.Beacon
     ) -> _peer.Peer:
-        """Take a beacon.
+        """Update the table from a beacon.
 
-        :param now: the time.
-        :param host: where it came from.
+        :param now: the current time.
+        :param host: the sender's host.
         :param beacon: the beacon.
-        :returns: its sender.
+        :returns: the sender.
         """
         peer = self.members.get(beacon.name)
         if peer is None:
             peer = _peer.Peer(beacon.name, beacon.zone, host, beacon.capacity)
             self._add(peer)
-        if not peer.is_reachable or peer.met_at == _NEVER:
-            peer.back_at = now
+        if not peer.is_reachable or peer.last_beacon_at == _NEVER:
+            peer.reachable_since = now
         before = peer.may_own, peer.zone
         peer.host = host
         peer.zone = beacon.zone
-        peer.heard_at = peer.met_at = now
+        peer.last_heard_at = peer.last_beacon_at = now
         peer.positions = beacon.positions
         peer.is_leaving = beacon.is_leaving
         peer.is_reachable = True
         if before != (peer.may_own, peer.zone):
             self._neighbours = None
         for each in beacon.known_instances:
-            self._hear_of(now, each)
+            self._handle_known_instance(now, each)
         for digest, age in beacon.ages.items():
             known = self._by_digest.get(digest)
             if known is not None:
-                known.heard_at = max(known.heard_at, now - age)
+                known.last_heard_at = max(known.last_heard_at, now - age)
         for digest, age in beacon.silent.items():
             known = self._by_digest.get(digest)
             if known is not None and known.is_reachable:
-                self._hear_silent(now, known, now - age)
+                self._handle_silent(now, known, now - age)
         return peer
 
-    def _hear_silent(
-        self, now: float, peer: _peer.Peer, heard_at: float
+    def _handle_silent(
+        self, now: float, peer: _peer.Peer, last_heard_at: float
     ) -> None:
-        """Take that a mate's neighbour has not heard it for a while."""
-        patience = self._settings.silence_seconds
-        is_later_here = peer.heard_at > heard_at + patience
-        if now - peer.heard_at > patience and not is_later_here:
-            self._lose(peer)
+        """Process the report of a peer that an instance fell silent."""
+        limit = self._settings.silence_seconds
+        is_heard_here = peer.last_heard_at > last_heard_at + limit
+        if now - peer.last_heard_at > limit and not is_heard_here:
+            self._mark_unreachable(peer)
 
-    def _lose(self, peer: _peer.Peer) -> None:
+    def _mark_unreachable(self, peer: _peer.Peer) -> None:
         peer.is_reachable = False
-        peer.lost_at = peer.heard_at
-        self.gossip.note_silent(peer)
-        self._note_change(peer)
+        peer.last_heard_before_loss = peer.last_heard_at
+        self.gossip.record_silent(peer)
+        self._handle_peer_change(peer)
 
-    def _hear_of(self, now: float, said: _messages.KnownInstance) -> None:
-        heard_at = now - said.age_seconds
-        if now - heard_at > self._settings.hearsay_seconds:
+    def _handle_known_instance(
+        self, now: float, known: _messages.KnownInstance
+    ) -> None:
+        last_heard_at = now - known.age_seconds
+        if now - last_heard_at > self._settings.hearsay_seconds:
             return
-        peer = self.members.get(said.name)
+        peer = self.members.get(known.name)
         if peer is None:
-            peer = _peer.Peer(said.name, said.zone, said.host, said.capacity)
+            peer = _peer.Peer(
+                known.name, known.zone, known.host, known.capacity
+            )
             self._add(peer)
-        if peer is not self._own and heard_at > peer.heard_at:
-            peer.heard_at = heard_at
-            peer.host = said.host
+        if peer is not self._own and last_heard_at > peer.last_heard_at:
+            peer.last_heard_at = last_heard_at
+            peer.host = known.host
 
     def _add(self, peer: _peer.Peer) -> None:
         self.members[peer.name] = peer
         self._by_digest[peer.digest] = peer
-        self.gossip.note_new(peer)
-        self._note_change(peer)
+        self.gossip.record_new(peer)
+        self._handle_peer_change(peer)
 
-    def _note_change(self, peer: _peer.Peer) -> None:
-        """Note that an instance has come, gone or changed.
+    def _handle_peer_change(self, peer: _peer.Peer) -> None:
+        """Have the neighbours computed again if a change may affect them.
 
-        Only delegates have links to other zones; their changes are no
-        matter to the rest, of which there are many.
+        Only delegates have links to other zones, so instances of other zones
+        don't matter to the rest.
         """
         if peer.zone == self._own.zone or self._rank < overlay.DELEGATES:
             self._neighbours = None
 
     def refresh(self, now: float) -> None:
-        """Judge who is still there.
+        """Update which instances are reachable and drop forgotten ones.
 
-        :param now: the time.
+        :param now: the current time.
         """
         neighbours = frozenset(self.list_neighbours())
         for name, peer in list(self.members.items()):
             if peer is self._own:
                 continue
-            if self._measure_quiet(now, peer) > self._settings.forget_seconds:
+            if (
+                self._compute_silence(now, peer)
+                > self._settings.forget_seconds
+            ):
                 del self.members[name]
                 self._by_digest.pop(peer.digest, None)
-                self._note_change(peer)
+                self._handle_peer_change(peer)
                 continue
             if name not in neighbours:
-                peer.near_since = None
-            elif peer.near_since is None:
-                peer.near_since = now
-            is_reachable = self._is_there(now, peer)
+                peer.neighbour_since = None
+            elif peer.neighbour_since is None:
+                peer.neighbour_since = now
+            is_reachable = self._is_still_reachable(now, peer)
             if peer.is_reachable and not is_reachable:
-                self._lose(peer)
+                self._mark_unreachable(peer)
             elif is_reachable and not peer.is_reachable:
                 peer.is_reachable = True
-                peer.back_at = now
-                self._note_change(peer)
+                peer.reachable_since = now
+                self._handle_peer_change(peer)
 
-    def _is_there(self, now: float, peer: _peer.Peer) -> bool:
+    def _is_still_reachable(self, now: float, peer: _peer.Peer) -> bool:
         settings = self._settings
-        quiet = self._measure_quiet(now, peer)
-        if quiet > settings.hearsay_seconds:
+        silence = self._compute_silence(now, peer)
+        if silence > settings.hearsay_seconds:
             return False
         if not peer.is_reachable:
-            # The last that others heard of it may be a little later.
-            return peer.heard_at > peer.lost_at + settings.silence_seconds
-        if peer.near_since is None:
+            # Other instances may have last heard it a little later than this
+            # one did, which is no sign of a recovery.
+            return (
+                peer.last_heard_at
+                > peer.last_heard_before_loss + settings.silence_seconds
+            )
+        if peer.neighbour_since is None:
             return True
-        since = max(peer.met_at, peer.near_since)
-        if min(quiet, now - since) <= settings.silence_seconds:
+        since = max(peer.last_beacon_at, peer.neighbour_since)
+        if min(silence, now - since) <= settings.silence_seconds:
             return True
-        # A neighbour that lives answers, as it is sent beacons. Its silence
-        # counts unless others hear it still.
-        return peer.heard_at - since > settings.silence_seconds
+        # A live neighbour sends beacons in return for this instance's, so its
+        # silence means that it is down, unless others still hear it.
+        return peer.last_heard_at - since > settings.silence_seconds
 
-    def restart(self, now: float) -> None:
-        """Give everyone time to be heard again after a pause.
+    def resume(self, now: float) -> None:
+        """Count no silence from before the end of a pause of the process.
 
-        :param now: the time.
+        :param now: the current time.
         """
-        self._awake_at = now
+        self._resumed_at = now
 
-    def _measure_quiet(self, now: float, peer: _peer.Peer) -> float:
-        # What this instance missed while it stood still is no silence.
-        return now - max(peer.heard_at, self._awake_at)
+    def _compute_silence(self, now: float, peer: _peer.Peer) -> float:
+        # Beacons missed during a pause of this process are not a silence.
+        return now - max(peer.last_heard_at, self._resumed_at)
 
     def list_neighbours(self) -> tuple[str, ...]:
-        """List the instances that beacons go to.
+        """Return the instances that beacons are sent to.
 
         :returns: their names.
         """
@@ -200,40 +213,42 @@
                 self, self._own.name, mesh_limit=0
             )
             self._rank = overlay.rank_in_zone(self, self._own.name)
-            self._turn = self._find_turn()
+            self._fleet_rank = self._compute_fleet_rank()
         return self._neighbours
 
     def compute_rank(self) -> int:
-        """Rank this instance among its zone's.
+        """Return the rank of this instance within its zone.
 
-        :returns: 0 for the first one.
+        :returns: the rank; 0 is the first.
         """
         self.list_neighbours()
         return self._rank
 
-    def compute_turn(self) -> int:
-        """Rank this instance among all, the first of each zone before others.
+    def compute_fleet_rank(self) -> int:
+        """Return the rank of this instance within the fleet.
 
-        :returns: 0 for the first one.
+        The first instances of all zones come before the second ones.
+
+        :returns: the rank; 0 is the first.
         """
         self.list_neighbours()
-        return self._turn
+        return self._fleet_rank
 
-    def _find_turn(self) -> int:
+    def _compute_fleet_rank(self) -> int:
         zones = {each.zone for each in self.members.values() if each.may_own}
         zones.add(self._own.zone)
-        place = sum(zone < self._own.zone for zone in zones)
-        return self._rank * len(zones) + place
+        index = sum(zone < self._own.zone for zone in zones)
+        return self._rank * len(zones) + index
 
-    def note_own_change(self) -> None:
-        """Note that this instance's own readiness changed."""
+    def handle_own_change(self) -> None:
+        """Have the neighbours computed again after an own change."""
         self._neighbours = None
 
     def list_hosts(self, is_near: bool) -> list[str]:
-        """List where beacons go.
+        """Return the hosts of the neighbours.
 
-        :param is_near: to this zone, or to the others.
-        :returns: hosts.
+        :param is_near: whether of those in this zone or in other zones.
+        :returns: the hosts.
         """
         return [
             self.members[name].host
@@ -242,7 +257,7 @@
         ]
 
     def list_mates(self) -> list[str]:
-        """List the other instances of this zone, silent ones included.
+        """Return the other instances of this zone, unreachable ones included.
 
         :returns: their names.
         """
@@ -253,9 +268,9 @@
         ]
 
     def count_mates(self) -> int:
-        """Count the other instances of this zone that are heard.
+        """Return how many other instances of this zone are reachable.
 
-        :returns: how many there are.
+        :returns: the number of instances.
         """
         return sum(
             peer.is_reachable
@@ -264,12 +279,12 @@
         )
 
     def may_leave(self, now: float) -> bool:
-        """Tell whether enough others of the zone take callers' packets.
+        """Return whether enough instances of the zone would stay in rotation.
 
-        With fewer than half of a zone's instances in rotation, routers
-        send to all of them again, those that are down included.
+        With fewer than half of a zone's instances in rotation, routers send
+        packets to all of them again, those that are down included.
 
-        :param now: the time.
+        :param now: the current time.
         :returns: whether at least half would be left.
         """
         since = now - self._settings.rotation_seconds
@@ -279,14 +294,16 @@
             if peer.zone == self._own.zone and peer is not self._own
         ]
         ready = [
-            peer for peer in mates if peer.may_own and peer.back_at <= since
+            peer
+            for peer in mates
+            if peer.may_own and peer.reachable_since <= since
         ]
         return 2 * len(ready) >= len(mates) + 1
 
     def sum_loads(self) -> dict[int, upstream_load.UpstreamLoad]:
-        """Sum up what the instances of this zone carry.
+        """Return the total load of upstreams from this zone's instances.
 
-        :returns: by incarnation of the upstream.
+        :returns: the loads, by incarnation of the upstream.
         """
         total: dict[int, upstream_load.UpstreamLoad] = {}
         for peer in self.members.values():
@@ -296,21 +313,21 @@
                     total[upstream] = known.add(load)
         return total
 
-    def list_lost_seeds(self) -> list[str]:
-        """List seeds that no reachable instance has.
+    def list_unreachable_seeds(self) -> list[str]:
+        """Return the seeds that aren't the host of a reachable instance.
 
-        :returns: hosts.
+        :returns: the hosts.
         """
         known = {
             peer.host for peer in self.members.values() if peer.is_reachable
         }
         return [host for host in self._seeds if host not in known]
 
-    def list_lost_zones(self) -> list[str]:
-        """List where zones of which nobody is reachable may be found.
+    def list_unreachable_zone_hosts(self) -> list[str]:
+        """Return hosts to contact in zones without a reachable instance.
 
-        :returns: hosts, until they are forgotten; none unless this
-            instance is one that keeps links to other zones.
+        :returns: the hosts of the instances that were heard last; none unless
+            this instance is a delegate, which keeps links to other zones.
         """
         if self.compute_rank() >= overlay.DELEGATES:
             return []
@@ -320,17 +337,20 @@
         hosts = []
         for peers in zones.values():
             if not any(peer.is_reachable for peer in peers):
-                latest = sorted(peers, key=lambda peer: -peer.heard_at)
+                latest = sorted(peers, key=lambda peer: -peer.last_heard_at)
                 hosts += [peer.host for peer in latest[: overlay.DELEGATES]]
         return hosts
 
-    def must_tell(self, now: float, peer: _peer.Peer) -> bool:
-        """Tell whether one that sends beacons here seems to know too few.
+    def needs_introduction(self, now: float, peer: _peer.Peer) -> bool:
+        """Return whether a peer is to be sent the instances near to it.
+
+        A peer that sends beacons here without being a neighbour seems to know
+        too few instances.
 
-        :param now: the time.
-        :param peer: who is no neighbour by what is known here.
-        :returns: whether it was not told of others lately.
+        :param now: the current time.
+        :param peer: the sender of a beacon.
+        :returns: whether it is no neighbour and wasn't sent any lately.
         """
-        if now - peer.told_at < self._settings.slow_seconds:
+        if now - peer.introduced_at < self._settings.slow_seconds:
             return False
         return peer.name not in self.list_neighbours()
--- a/skylarkfold/relay/_retained.py
+++ b/skylarkfold/relay/_retained.py
@@ -1,10 +1,10 @@
-"""What still counts of an era of the store that has ended.
+"""Objects that are retained from former eras of the store.
 
-When the store comes back from an older copy, what was written since is lost
-until its writers write it again. Who knew it goes on with it meanwhile, so
-that nothing that was in force goes back. That ends when it is written again,
-when something later is, or when the store has said for long enough that it
-isn't there.
+When the store is restored from an older copy, later writes are lost until
+their writers repeat them. Instances that knew the lost objects keep them in
+force meanwhile, so that nothing reverts to an older version. An object is
+retained until it or a later version is written, or until the store has been
+without it for the retention time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class RetentionPolicy(light_imports.Protocol):
-    """Tells which of two forms of an object is the later one."""
+    """Decision which of two versions of an object is the later one."""
 
     def compute_retention_seconds(
         self,
@@ -28,19 +28,20 @@
         current: _item.Item,
         is_fresh: bool,
     ) -> float:
-        """Compute how long a form of a former era may stand for another.
-
-        :param topic: their topic.
-        :param former: what was known before the store came back.
-        :param current: what the store has now.
-        :param is_fresh: whether that was written since it came back, for
-            certain; it may be as old as the copy otherwise.
-        :returns: seconds; 0 where the store's form is as late.
+        """Return how long a version of a former era overrides the store's.
+
+        :param topic: the objects' topic.
+        :param former: the version from before the store was restored.
+        :param current: the version in the store now.
+        :param is_fresh: whether the current version is known to be written
+            after the store was restored; otherwise it may be as old as the
+            copy.
+        :returns: the time in seconds; 0 if the current version is as late.
         """
 
 
 class NoRetention:
-    """Takes whatever the store has."""
+    """Policy that always prefers the version in the store."""
 
     def compute_retention_seconds(
         self,
@@ -49,30 +50,31 @@
         current: _item.Item,
         is_fresh: bool,
     ) -> float:
-        """Compute how long a form of a former era may stand for another."""
+        """Return 0: the store's version is always in force."""
         return 0.0
 
 
-class Retained:
-    """An object in the form of a former era.
+class RetainedEntry:
+    """An object version that is retained from a former era.
 
-    :param item: the object; without a value where it was deleted.
-    :param until: once the store has been heard after this, it counts no more.
+    :param item: the object; without a value if it was deleted.
+    :param expires_at: the entry ends with the first answer of the store after
+        this time.
     """
 
-    __slots__ = ('item', 'until')
+    __slots__ = ('item', 'expires_at')
 
-    def __init__(self, item: _item.Item, until: float) -> None:
+    def __init__(self, item: _item.Item, expires_at: float) -> None:
         self.item = item
-        self.until = until
+        self.expires_at = expires_at
 
 
 class RetainedObjects:
-    """The objects of a topic that stand for what the store has.
+    """The objects of a topic that override those in the store.
 
-    :param topic: the topic.
+    :param topic: the topic's name.
     :param settings: the relay's settings.
-    :param retention_policy: tells which of two forms is the later one.
+    :param retention_policy: decides which of two versions is the later one.
     """
 
     __slots__ = ('_by_path', '_retention_policy', '_settings', '_topic')
@@ -86,62 +88,67 @@
         self._topic = topic
         self._settings = settings
         self._retention_policy = retention_policy
-        self._by_path: dict[str, Retained] = {}
+        self._by_path: dict[str, RetainedEntry] = {}
 
     def __len__(self) -> int:
         return len(self._by_path)
 
-    def list_all(self) -> list[Retained]:
-        """List them."""
+    def list_all(self) -> list[RetainedEntry]:
+        """Return the retained entries."""
         return list(self._by_path.values())
 
-    def list_told(self, now: float) -> tuple[_messages.RetainedItem, ...]:
-        """List them for a peer, with how long each counts at most.
+    def list_for_peer(self, now: float) -> tuple[_messages.RetainedItem, ...]:
+        """Return the retained objects with their remaining times.
 
-        :param now: the time.
-        :returns: the objects.
+        :param now: the current time.
+        :returns: the objects in the form for a page.
         """
         return tuple(
-            _messages.RetainedItem(each.item, max(0.0, each.until - now))
+            _messages.RetainedItem(each.item, max(0.0, each.expires_at - now))
             for each in self.list_all()
         )
 
-    def enter(
+    def reset(
         self,
         now: float,
         known: Iterable[_item.Item],
-        told: Iterable[_messages.RetainedItem],
+        peer_retained: Iterable[_messages.RetainedItem],
         store: object_cache.ObjectCache,
     ) -> None:
-        """Retain what the store, back from an older copy, may have lost.
+        """Retain the objects that a restored store may have lost.
 
-        :param now: the time.
-        :param known: the latest forms of before, deleted ones included.
-        :param told: what a peer retains.
-        :param store: what the store has.
+        :param now: the current time.
+        :param known: the versions known before, deletions included.
+        :param peer_retained: the objects that a peer retains.
+        :param store: the objects in the store.
         """
         self._by_path.clear()
         latest = {each.path: each for each in known}
         for item in latest.values():
-            hold = self._compute_hold(item, store.get(item.path), False)
-            self._keep(item, hold, now + hold)
-        for each in told:
+            retention = self._compute_retention(
+                item, store.get(item.path), False
+            )
+            self._retain(item, retention, now + retention)
+        for each in peer_retained:
             own = latest.get(each.item.path)
             if own is not None and own.revision >= each.item.revision:
                 continue
             current = store.get(each.item.path)
-            hold = self._compute_hold(each.item, current, False)
-            # Not longer than there: it would go round for ever.
-            self._keep(each.item, hold, now + min(hold, each.left_seconds))
-
-    def review(
+            retention = self._compute_retention(each.item, current, False)
+            # Not longer than at the peer: instances would otherwise renew an
+            # object between them forever.
+            self._retain(
+                each.item, retention, now + min(retention, each.left_seconds)
+            )
+
+    def drop_rewritten(
         self, changed: Iterable[_item.Item], store: object_cache.ObjectCache
     ) -> list[str]:
-        """Drop those that have been written again, or written anew.
+        """Drop retained objects that the store has in a later version again.
 
-        :param changed: what was written since the store came back.
-        :param store: what it has.
-        :returns: their paths.
+        :param changed: the objects written since the store was restored.
+        :param store: the objects in the store.
+        :returns: the paths of the dropped objects.
         """
         dropped = []
         for each in changed:
@@ -149,36 +156,38 @@
             if kept is None:
                 continue
             current = store.get(each.path)
-            if self._compute_hold(kept.item, current, True) <= 0.0:
+            if self._compute_retention(kept.item, current, True) <= 0.0:
                 del self._by_path[each.path]
                 dropped.append(each.path)
         return dropped
 
     def expire(self, confirmed_at: float) -> list[_item.Item]:
-        """Drop what the store has not had for long enough.
+        """Drop the objects whose retention time was over at an answer.
 
-        :param confirmed_at: when the store was last heard.
-        :returns: the objects.
+        :param confirmed_at: when the store last answered.
+        :returns: the dropped objects.
         """
-        over = [
-            each.item for each in self.list_all() if confirmed_at > each.until
+        expired = [
+            each.item
+            for each in self.list_all()
+            if confirmed_at > each.expires_at
         ]
-        for item in over:
+        for item in expired:
             del self._by_path[item.path]
-        return over
+        return expired
 
-    def find_end(self) -> float | None:
-        """Find when the next of them stops counting.
+    def get_next_expiry(self) -> float | None:
+        """Return when the next retained object expires.
 
-        :returns: the time, None if there is none.
+        :returns: the time; None if nothing is retained.
         """
-        return min((each.until for each in self.list_all()), default=None)
+        return min((each.expires_at for each in self.list_all()), default=None)
 
     def merge(self, items: Iterable[_item.Item]) -> list[_item.Item]:
-        """Put them in place of what the store has.
+        """Override objects of the store by the retained ones.
 
-        :param items: the store's objects.
-        :returns: the objects that count, by rising revision.
+        :param items: the objects in the store.
+        :returns: the existing objects in force, in order of revision.
         """
         found = [each for each in items if each.value is not None]
         if not self._by_path:
@@ -190,11 +199,13 @@
         present = [each for each in merged.values() if each.value is not None]
         return sorted(present, key=lambda each: each.revision)
 
-    def _keep(self, item: _item.Item, hold: float, until: float) -> None:
-        if hold > 0.0:
-            self._by_path[item.path] = Retained(item, until)
+    def _retain(
+        self, item: _item.Item, retention: float, expires_at: float
+    ) -> None:
+        if retention > 0.0:
+            self._by_path[item.path] = RetainedEntry(item, expires_at)
 
-    def _compute_hold(
+    def _compute_retention(
         self,
         former: _item.Item,
         current: _item.Item | None,
@@ -208,8 +219,8 @@
                 return settings.lasting_seconds
             return settings.rewrite_seconds
         if former.value is None:
-            # The copy may be of before the deletion. What was created anew
-            # has a number that the deleted one had not.
+            # The copy may be older than the deletion. An object that was
+            # created again has another creation number than the deleted one.
             is_same = current.created.number == former.created.number
             is_older = is_same and not is_fresh
             return settings.rewrite_seconds if is_older else 0.0
--- a/skylarkfold/relay/_settings.py
+++ b/skylarkfold/relay/_settings.py
@@ -4,87 +4,90 @@
 
 
 class RelaySettings:
-    """How what the platform's store holds reaches every instance.
+    """Settings for replicating the platform's store to every instance.
 
-    :param topics: the kinds of objects that are kept, each with a
-        position of its own; in the same order on all instances.
-    :param shared_topics: those of the topics that change seldom and may take
-        ``wait_seconds`` and ``substitute_seconds`` in a fault: the whole
-        fleet has one set of watchers for them instead of one in each zone,
-        which saves two of three calls in three zones.
+    :param topics: the replicated kinds of objects, each with a position of
+        its own; in the same order on all instances.
+    :param shared_topics: topics with one set of watchers for the whole fleet
+        instead of one in each zone, which saves calls to the store. Changes
+        of them may be delayed by ``wait_seconds`` and ``substitute_seconds``
+        during a fault.
+    :param lasting_topics: topics that operators write; after the store was
+        restored, lost objects of them are retained for ``lasting_seconds``.
+    :param rewrite_seconds: how long objects that a restored store has lost
+        are retained, until their writers write them again: upstreams do so
+        within two seconds, and the change arrives within another half.
+    :param lasting_seconds: the same for ``lasting_topics``: the longest time
+        to apply a configuration while the platform recovers from a fault.
     :param watchers: how many instances of a zone watch the store.
-    :param lasting_topics: those of the topics that operators write, which may
-        take ``lasting_seconds`` to be written again.
-    :param rewrite_seconds: after the store has come back from an older copy,
-        how long it may lack what its writers still have: entries are written
-        again within two seconds, and heard of within half of one more.
-    :param lasting_seconds: the same for ``lasting_topics``: as long as a
-        configuration may take on a platform that was disturbed.
-    :param wait_seconds: how long the store may hold a watch. A watch that
-        says nothing proves nothing, so this bounds how old the view of a
-        watcher may be; changes must be in force after 3 s.
-    :param call_timeout_seconds: how long to wait for a listing. The store
-        answers in 4 ms; 60 times as long when it is slow, and a listing
-        comes in pages of up to 1 MB.
-    :param overdue_seconds: how long to wait for a watch beyond the time
-        that the store may hold it: twice what a slow store takes. An open
-        connection may fall silent for good without an end, which only this
-        shows; together with ``wait_seconds`` and a pause it stays below
-        the 4 s after which the platform counts such a fault as over.
-    :param gather_seconds: the pause before a watch that brought changes
-        is renewed, so that a burst of them costs few calls.
+    :param wait_seconds: how long the store may hold a watch. Only the answer
+        confirms that nothing has changed, so this bounds the age of a
+        watcher's state; changes must be in force after 3 s.
+    :param call_timeout_seconds: the timeout of a listing. The store answers
+        in 4 ms, a slow one in 60 times as long, and a page may have 1 MB.
+    :param overdue_seconds: the timeout of a watch beyond the time that the
+        store may hold it: twice the answer time of a slow store. It detects
+        connections that hang without being closed. Together with
+        ``wait_seconds`` and a pause it stays below the 4 s after which the
+        platform counts such a fault as over.
+    :param gather_seconds: the pause before a watch that returned changes is
+        renewed, so that a burst of changes costs few calls.
     :param least_backoff_seconds: the first pause after a failed call.
-    :param most_backoff_seconds: the longest pause between failed calls.
+    :param most_backoff_seconds: the longest pause after a failed call.
     :param tombstones: how many deletions of a topic are remembered.
-    :param beacon_seconds: how often neighbours are told the positions. An
-        instance that missed a change finds out after so long.
-    :param far_seconds: the same towards other zones, whose bytes are dear;
-        changes are told at once.
-    :param slow_seconds: how often names and the loads of zones are added.
-    :param load_entries: upstreams in one report of loads at most, the
-        busiest first: 256 take 2 KB, which one datagram carries.
-    :param load_bytes_per_second: what each of three kinds of reports may cost
-        an instance: its own load and those of other zones, told within its
-        zone, and its zone's, told to others. They come less often where
-        they are large. With 3 KB at rest that is 10.5 KB a second.
-    :param caller_bytes_per_second: what telling of callers may cost while a
-        service is short of room; words come less often where they are large.
-    :param caller_word_seconds: how long what other zones say of callers is
-        passed on.
-    :param first_seconds: how long a new instance waits for a peer to
-        answer before it asks the store; peers answer within 10 ms.
-    :param duty_seconds: after its start, how long an instance watches nothing:
-        who has that duty is not known before lost seeds were tried again, and
-        all of a fleet that starts at once would take it.
-    :param seed_seconds: how often seeds that nobody known has are tried,
-        and instances of zones that were lost.
+    :param beacon_seconds: the interval of beacons within a zone, after which
+        an instance that missed a change detects it.
+    :param far_seconds: the interval of beacons to other zones, to which
+        traffic is expensive; changes are sent at once.
+    :param slow_seconds: the interval at which beacons also hold known
+        instances and the loads of zones.
+    :param load_entries: the maximum number of upstreams in a load report, the
+        busiest first: 256 take 2 KB, which fits into one datagram.
+    :param load_bytes_per_second: the budget of an instance for each of three
+        kinds of load reports: its own load and those of other zones, sent
+        within its zone, and its zone's load, sent to other zones. Large
+        reports are sent less often.
+    :param caller_bytes_per_second: the budget for reports on callers' demand
+        while a service is short of capacity. Large reports are sent less
+        often.
+    :param caller_word_seconds: how long the callers' demand in other zones is
+        passed on within a zone.
+    :param first_seconds: how long a new instance waits for an answer of a
+        peer, which takes 10 ms, before it calls the store.
+    :param duty_seconds: how long a new instance doesn't watch the store. Until
+        it has contacted all seeds it can't tell its rank, and all instances of
+        a fleet that starts at once would watch.
+    :param seed_seconds: the interval at which unreachable seeds and instances
+        of unreachable zones are contacted.
     :param seed_members: an instance that knows more instances than this
-        tries them every ``seed_pause_seconds`` only. At 600 instances seeds
-        sent 19 KB a second without it, seven times the mean.
-    :param seed_pause_seconds: since each does so at another moment, two
-        halves of a fleet that forgot each other meet again far sooner.
-    :param silence_seconds: a neighbour silent for so long has no duties:
-        three far beacons lost in a row.
-    :param hearsay_seconds: the same for instances that are only heard of
-        through others, who tell once a second how long ago all of a zone
-        were heard: 6.5 s at most in zones of 60.
-    :param forget_seconds: instances silent for so long are forgotten.
-    :param substitute_seconds: beyond ``wait_seconds``, how old the view
-        may become before others than the watchers watch as well.
-    :param serve_bytes_per_second: what an instance spends on whole topics for
-        those that start, so that one that all ask has a link left for its
-        callers; 0 for no bound.
-    :param busy_seconds: how long an instance that starts waits on average for
-        other peers once one was too busy for it, before it asks the store.
-    :param fetch_seconds: a peer that does not answer a fetch for so long
-        is passed over.
-    :param push_bytes: changes up to this size travel with the beacon;
-        larger ones are fetched. One packet on any link.
-    :param rotation_seconds: how long after its first beacon a peer is
-        taken to be in rotation: its start, and a readiness check, of
-        which there are two a second.
+        contacts seeds every ``seed_pause_seconds`` instead, since a seed of a
+        large fleet would be busy answering.
+    :param seed_pause_seconds: the average interval in such a fleet. Instances
+        do so at different times, so that two parts of a fleet that have
+        forgotten each other reconnect far sooner.
+    :param silence_seconds: after this time without a beacon a neighbour is
+        unreachable: three beacons from another zone lost in a row.
+    :param hearsay_seconds: the same for instances that aren't neighbours.
+        Instances exchange their ages once a second, so that they are at most
+        6.5 s in zones of 60.
+    :param forget_seconds: after this time without a beacon an instance is
+        dropped from the table.
+    :param substitute_seconds: how old the last answer of the store may become
+        beyond ``wait_seconds`` before other instances substitute for the
+        watchers.
+    :param serve_bytes_per_second: the budget of an instance for snapshots, so
+        that one that is asked by all new instances has bandwidth left for its
+        callers; 0 for no limit.
+    :param busy_seconds: how long a new instance waits on average for other
+        peers after a failed fetch before it calls the store.
+    :param fetch_seconds: the timeout of a fetch.
+    :param push_bytes: changes up to this size, which fits into one packet, are
+        sent in the beacon; larger ones are fetched.
+    :param rotation_seconds: how long after its first beacon a peer is assumed
+        to be in rotation: its start and the next readiness check, of which
+        there are two a second.
     :param pause_seconds: a longer time between two ticks means that the
-        process stood still and what it knows may be old.
+        process was paused and its state may be stale.
     """
 
     __slots__ = (
--- a/skylarkfold/relay/_call.py
+++ b/skylarkfold/relay/_store_call.py
@@ -9,16 +9,17 @@
 
 
 class Call:
-    """Read the objects of a topic.
+    """A call to the store that lists or watches the objects of a topic.
 
-    :param topic: the topic.
-    :param revision: wait for changes after this revision; None lists all
+    :param topic: the topic's name.
+    :param revision: watch for changes after this revision; None lists all
         objects.
-    :param after: the last name of the page before, for a listing.
-    :param wait_seconds: how long the store may hold the call.
-    :param timeout_seconds: when to give up waiting.
-    :param era: the era of the store that is known here; it stands for that
-        of an answer that doesn't say its own.
+    :param after: in a listing, the path of the last object of the previous
+        page.
+    :param wait_seconds: how long the store may hold a watch.
+    :param timeout_seconds: when the call fails without an answer.
+    :param era: the known era of the store, assumed for an answer that doesn't
+        tell its own.
     """
 
     __slots__ = (
@@ -48,26 +49,26 @@
 
 
 class Status:
-    """How a call ended."""
+    """The result of a call."""
 
     OK = 'ok'
-    # The changes after the wanted revision are forgotten.
+    # The store has dropped the changes after the requested revision.
     FORGOTTEN = 'forgotten'
-    # The store said that it did nothing.
+    # The store refused the call.
     REFUSED = 'refused'
-    # No answer came, or none that can be read.
+    # There was no answer, or a malformed one.
     UNKNOWN = 'unknown'
-    # The call was ended here.
+    # The call was cancelled by this instance.
     ABANDONED = 'abandoned'
 
 
 class Answer:
     """The store's answer to a call.
 
-    :param status: how it ended.
-    :param items: the objects listed or changed.
-    :param revision: where the store's history was at the answer.
-    :param is_truncated: whether a listing goes on after its last name.
+    :param status: one of :class:`Status`.
+    :param items: the listed or changed objects.
+    :param revision: the store's revision at the answer.
+    :param is_truncated: whether a listing has further pages.
     """
 
     __slots__ = ('is_truncated', 'items', 'revision', 'status')
--- /dev/null
+++ b/skylarkfold/relay/_store_reader.py
@@ -0,0 +1,234 @@
+"""The list-and-watch client of one topic in the platform's store."""
+
+from __future__ import annotations
+
+from skylarkfold import backoff
+from skylarkfold.relay import _item
+from skylarkfold.relay import _settings
+from skylarkfold.relay import _store_call
+from skylarkfold import revision as revisions
+
+
+class StoreUpdate:
+    """Objects that were read from the store.
+
+    :param items: the objects.
+    :param revision: the position of the topic once they are applied.
+    :param is_listing: whether they are all objects, so that absent ones are
+        deleted.
+    """
+
+    __slots__ = ('is_listing', 'items', 'revision')
+
+    def __init__(
+        self,
+        items: tuple[_item.Item, ...],
+        revision: revisions.Revision,
+        is_listing: bool,
+    ) -> None:
+        self.items = items
+        self.revision = revision
+        self.is_listing = is_listing
+
+
+class StoreReader:
+    """Reader of a topic in the store, with one call at a time.
+
+    It lists all objects page by page, then renews a watch that waits for
+    changes.
+
+    :param topic: the topic's name.
+    :param settings: the relay's settings.
+    :param jitter: draws the pauses after failures.
+    """
+
+    __slots__ = (
+        '_backoff',
+        '_called_at',
+        '_is_calling',
+        '_is_cancelled',
+        '_is_store_stale',
+        '_last_path',
+        '_listed_items',
+        '_listing_revision',
+        '_needs_listing',
+        '_next_call_at',
+        '_settings',
+        '_topic',
+    )
+
+    def __init__(
+        self,
+        topic: str,
+        settings: _settings.RelaySettings,
+        jitter: backoff.Jitter,
+    ) -> None:
+        self._topic = topic
+        self._settings = settings
+        self._backoff = backoff.Backoff(
+            settings.least_backoff_seconds,
+            settings.most_backoff_seconds,
+            jitter,
+        )
+        self._called_at = float('-inf')
+        self._is_cancelled = False
+        self._is_store_stale = False
+        self._is_calling = False
+        self._needs_listing = True
+        self._next_call_at = float('-inf')
+        self._listed_items: list[_item.Item] = []
+        self._listing_revision = revisions.ZERO
+        self._last_path = ''
+
+    @property
+    def is_calling(self) -> bool:
+        """Whether a call is under way."""
+        return self._is_calling
+
+    @property
+    def is_watching(self) -> bool:
+        """Whether a watch is under way."""
+        return self._is_calling and not self._needs_listing
+
+    def cancel_watch(self) -> None:
+        """Ignore the answer to the watch under way, and list next."""
+        self._needs_listing = True
+        self._is_cancelled = True
+
+    def start_call(
+        self,
+        now: float,
+        position: revisions.Revision,
+        wait_seconds: float,
+    ) -> _store_call.Call | None:
+        """Start the next call unless one is under way or it isn't due.
+
+        :param now: the current time.
+        :param position: the position of the topic.
+        :param wait_seconds: how long the store may hold a watch.
+        :returns: the call; None if none is started.
+        """
+        if self._is_calling or now < self._next_call_at:
+            return None
+        if now < self._backoff.retry_at:
+            return None
+        self._is_calling = True
+        self._called_at = now
+        settings = self._settings
+        if self._needs_listing or position == 0:
+            return _store_call.Call(
+                self._topic,
+                None,
+                self._last_path,
+                0.0,
+                settings.call_timeout_seconds,
+                position.era,
+            )
+        return _store_call.Call(
+            self._topic,
+            position,
+            '',
+            wait_seconds,
+            wait_seconds + settings.overdue_seconds,
+            position.era,
+        )
+
+    def handle_answer(
+        self, now: float, call: _store_call.Call, answer: _store_call.Answer
+    ) -> StoreUpdate | None:
+        """Process the answer to the call under way.
+
+        :param now: the current time.
+        :param call: the call.
+        :param answer: the answer, or how the call failed.
+        :returns: the objects that were read; None if the call failed or the
+            listing has further pages.
+        """
+        self._is_calling = False
+        is_cancelled, self._is_cancelled = self._is_cancelled, False
+        if is_cancelled:
+            return None
+        if answer.status != _store_call.Status.OK:
+            if answer.status == _store_call.Status.FORGOTTEN:
+                self._needs_listing = True
+                if not self._is_store_stale:
+                    # The store answers again, so earlier failures no longer
+                    # lengthen the pause.
+                    self._backoff.record_success()
+            self._reset_listing()
+            self._backoff.record_failure(now)
+            return None
+        if call.revision is not None:
+            return self._handle_watch_answer(now, call, answer)
+        return self._handle_listing_page(now, answer)
+
+    def _handle_watch_answer(
+        self, now: float, call: _store_call.Call, answer: _store_call.Answer
+    ) -> StoreUpdate | None:
+        since = call.revision
+        if answer.revision.era > since.era:
+            # A restored store reuses revision numbers. Changes of the new era
+            # below the requested revision are missing in this answer.
+            self._needs_listing = True
+            return None
+        if answer.revision < since:
+            # The answer is older than the requested revision: it is stale.
+            self._backoff.record_failure(now)
+            return None
+        self._backoff.record_success()
+        waited = now - self._called_at
+        if answer.items:
+            self._next_call_at = now + self._settings.gather_seconds
+        elif waited < call.wait_seconds / 2:
+            # The store didn't hold the watch; renewing it at once would be a
+            # busy loop.
+            self._backoff.record_failure(now)
+        return StoreUpdate(answer.items, answer.revision, False)
+
+    def _handle_listing_page(
+        self, now: float, answer: _store_call.Answer
+    ) -> StoreUpdate | None:
+        if not self._last_path:
+            # The watch starts at the revision of the first page, so it finds
+            # changes that were made during the listing.
+            self._listing_revision = answer.revision
+        elif answer.revision.era != self._listing_revision.era:
+            # The store was restored between two pages: start over.
+            self._reset_listing()
+            self._backoff.record_failure(now)
+            return None
+        self._listed_items += answer.items
+        if answer.is_truncated and answer.items:
+            self._last_path = answer.items[-1].path
+            return None
+        update = StoreUpdate(
+            tuple(self._listed_items), self._listing_revision, True
+        )
+        self._reset_listing()
+        self._needs_listing = False
+        if not self._is_store_stale:
+            self._backoff.record_success()
+        return update
+
+    def record_applied(self) -> None:
+        """Record that the last update was applied."""
+        if self._is_store_stale:
+            self._is_store_stale = False
+            self._backoff.record_success()
+
+    def record_stale(self, now: float) -> bool:
+        """Record that the last update was older than the known position.
+
+        The pauses between calls grow while the store is stale.
+
+        :param now: the current time.
+        :returns: whether it is the first stale update in a row.
+        """
+        is_first = not self._is_store_stale
+        self._is_store_stale = True
+        self._backoff.record_failure(now)
+        return is_first
+
+    def _reset_listing(self) -> None:
+        self._listed_items = []
+        self._last_path = ''
--- a/skylarkfold/relay/_exchange.py
+++ b/skylarkfold/relay/_synchronizer.py
@@ -1,4 +1,4 @@
-"""What instances learn from one another, and who asks whom."""
+"""Synchronization of topics between peers."""
 
 from __future__ import annotations
 
@@ -7,33 +7,36 @@
 from skylarkfold.relay import _effect
 from skylarkfold.relay import _item
 from skylarkfold.relay import _messages
-from skylarkfold.relay import _pace
 from skylarkfold.relay import _peer
 from skylarkfold.relay import _peers
+from skylarkfold.relay import _rate_limiter
 from skylarkfold.relay import _settings
 from skylarkfold.relay import _topic
 from skylarkfold import revision as revisions
 
-# Half a second of an instance's whole link.
+# Seconds of the budget for snapshots that may be sent in a burst.
 _SERVE_BURST_SECONDS = 1.0
 
 
-class Exchange:
-    """Compares this instance's view with its peers', and asks who is ahead.
+class Synchronizer:
+    """Synchronizer of this instance's topics with those of its peers.
 
-    :param peers: the other instances.
-    :param announcer: tells the neighbours of changes.
+    It compares positions, fetches missing changes from peers that are ahead,
+    and answers the fetches of others.
+
+    :param peers: the known instances.
+    :param announcer: sends changes to the neighbours.
     :param topics: all topics.
     :param settings: the relay's settings.
-    :param jitter: spreads whom this instance asks against the others' choice.
+    :param jitter: draws the peer to fetch from, so that instances differ.
     """
 
     __slots__ = (
         '_announcer',
         '_jitter',
-        '_pace',
         '_peers',
         '_settings',
+        '_snapshot_limiter',
         '_topics',
     )
 
@@ -46,7 +49,7 @@
         jitter: backoff.Jitter,
     ) -> None:
         self._jitter = jitter
-        self._pace = _pace.Pace(
+        self._snapshot_limiter = _rate_limiter.RateLimiter(
             settings.serve_bytes_per_second, _SERVE_BURST_SECONDS
         )
         self._peers = peers
@@ -54,15 +57,15 @@
         self._topics = topics
         self._settings = settings
 
-    def take_news(
+    def handle_delta(
         self, now: float, host: str, beacon: _messages.Beacon
     ) -> list[object]:
-        """Take changes that came with a beacon.
+        """Apply the changes in a beacon if they follow the known position.
 
-        :param now: the time.
-        :param host: where it came from.
-        :param beacon: the beacon.
-        :returns: effects.
+        :param now: the current time.
+        :param host: the sender's host.
+        :param beacon: the beacon, with a delta.
+        :returns: the effects to perform.
         """
         delta = beacon.delta
         if delta.topic >= len(self._topics):
@@ -74,29 +77,29 @@
             return []
         if delta.base.era != revision.era:
             return []
-        changed = topic.take_changes(delta.items, revision)
-        return self.tell(now, topic, base, changed, host)
+        changed = topic.apply_changes(delta.items, revision)
+        return self.announce_changes(now, topic, base, changed, host)
 
-    def compare(
+    def handle_position(
         self,
         now: float,
         topic: _topic.Topic,
         host: str,
         position: _messages.Position,
     ) -> list[object]:
-        """Compare how far a peer is with what is known here.
+        """Compare a peer's position in a topic with this instance's.
 
-        :param now: the time.
+        :param now: the current time.
         :param topic: the topic.
-        :param host: the peer.
-        :param position: how far it is.
-        :returns: effects.
+        :param host: the peer's host.
+        :param position: the peer's position.
+        :returns: the effects to perform.
         """
         effects: list[object] = []
         if position.revision > topic.position:
             if not topic.is_complete or position.changed > topic.position:
-                return self._fetch(now, topic, host)
-            # Nothing that concerns the topic was written in between.
+                return self._start_fetch(now, topic, host)
+            # Nothing in this topic has been written in between.
             effects.append(
                 _effect.RecordEvent(
                     'advanced',
@@ -114,21 +117,23 @@
         ):
             topic.confirm(now - position.age_seconds)
         is_same_era = position.revision.era == topic.position.era
-        if topic.is_alone and is_same_era and position.retained:
-            # Asked from the beginning, it tells what it retains as well.
-            return effects + self._fetch(now, topic, host, revisions.ZERO)
+        if topic.may_lack_retained and is_same_era and position.retained:
+            # A fetch from revision 0 gets a snapshot with retained objects.
+            return effects + self._start_fetch(
+                now, topic, host, revisions.ZERO
+            )
         return effects
 
     def handle_fetch(
         self, now: float, number: int, position: revisions.Revision
     ) -> _messages.Page | None:
-        """Answer a peer that is behind.
+        """Answer the fetch of a peer that is behind.
 
-        :param now: the time.
+        :param now: the current time.
         :param number: the topic's number.
         :param position: the peer's position.
-        :returns: the page; None if this instance has none to give, or has
-            given so much lately that its link is for its callers.
+        :returns: the page; None if this instance isn't ahead, or if its
+            budget for snapshots is spent, which leaves the link to callers.
         """
         if number >= len(self._topics):
             return None
@@ -137,9 +142,9 @@
             return None
         page = topic.build_page(now, position)
         if page.is_snapshot:
-            if not self._pace.is_due(now):
+            if not self._snapshot_limiter.may_send(now):
                 return None
-            self._pace.note_bytes(now, len(page.packed))
+            self._snapshot_limiter.record_bytes(now, len(page.packed))
         return page
 
     def handle_page(
@@ -148,21 +153,24 @@
         fetch: _effect.Fetch,
         page: _messages.Page | None,
     ) -> list[object]:
-        """Take the end of a fetch.
+        """Process the result of a fetch.
 
-        :param now: the time.
-        :param fetch: what was asked.
-        :param page: the answer; None for none.
-        :returns: effects.
+        :param now: the current time.
+        :param fetch: the fetch.
+        :param page: the peer's answer; None if it failed.
+        :returns: the effects to perform.
         """
         topic = self._topics[fetch.topic]
-        if topic.fetching == fetch.host:
-            topic.fetching = ''
+        if topic.fetch_host == fetch.host:
+            topic.fetch_host = ''
         if page is None:
-            note = _effect.RecordEvent(
+            event = _effect.RecordEvent(
                 'fetch-failed', host=fetch.host, topic=topic.name
             )
-            return [note, *self._fetch_elsewhere(now, topic, fetch.host)]
+            return [
+                event,
+                *self._fetch_from_other_peer(now, topic, fetch.host),
+            ]
         base = topic.position
         is_gap = page.base > base and not page.is_snapshot
         if is_gap or page.revision < base:
@@ -170,9 +178,9 @@
         changed = topic.handle_page(now, page)
         if page.age_seconds is not None:
             topic.confirm(now - page.age_seconds)
-        return self.tell(now, topic, base, changed, fetch.host)
+        return self.announce_changes(now, topic, base, changed, fetch.host)
 
-    def tell(
+    def announce_changes(
         self,
         now: float,
         topic: _topic.Topic,
@@ -180,16 +188,16 @@
         changed: list[_item.Item],
         source: str,
     ) -> list[object]:
-        """Tell of changes, here and to the neighbours.
+        """Report changes of a topic locally and send them to neighbours.
 
-        :param now: the time.
+        :param now: the current time.
         :param topic: the topic.
-        :param base: up to which revision it was known here before.
-        :param changed: the objects that are new.
-        :param source: the host that they came from; empty for the store.
-        :returns: effects.
+        :param base: the topic's position before the changes.
+        :param changed: the changed objects.
+        :param source: the host that sent them; empty for the store.
+        :returns: the effects to perform.
         """
-        effects: list[object] = [*topic.take_notes()]
+        effects: list[object] = [*topic.take_events()]
         is_first = base == 0
         if changed or is_first or topic.position.era != base.era:
             paths = [each.path for each in changed]
@@ -208,18 +216,18 @@
             effects += self._announcer.push(now, topic, base, changed, source)
         return effects
 
-    def give_up(self, now: float, topic: _topic.Topic) -> list[object]:
-        """Let what the store has count in place of what was retained.
+    def expire_retained(self, now: float, topic: _topic.Topic) -> list[object]:
+        """Drop retained objects of a topic whose retention time is over.
 
-        :param now: the time.
+        :param now: the current time.
         :param topic: the topic.
-        :returns: effects, none as long as it may still be written again.
+        :returns: the effects to perform; none if nothing has expired.
         """
         expired = topic.expire_retained()
         if not expired:
             return []
         return [
-            *topic.take_notes(),
+            *topic.take_events(),
             _effect.TopicChanged(
                 topic.name,
                 topic.position,
@@ -230,38 +238,38 @@
             ),
         ]
 
-    def _fetch(
+    def _start_fetch(
         self,
         now: float,
         topic: _topic.Topic,
         host: str,
         base: revisions.Revision | None = None,
     ) -> list[object]:
-        if topic.fetching and now < topic.fetch_until:
+        if topic.fetch_host and now < topic.fetch_expires_at:
             return []
-        topic.fetching = host
+        topic.fetch_host = host
         timeout = self._settings.fetch_seconds
-        topic.fetch_until = now + timeout
+        topic.fetch_expires_at = now + timeout
         if base is None:
             base = topic.position
         return [_effect.Fetch(host, topic.number, base, timeout)]
 
-    def _fetch_elsewhere(
-        self, now: float, topic: _topic.Topic, failed: str
+    def _fetch_from_other_peer(
+        self, now: float, topic: _topic.Topic, failed_host: str
     ) -> list[object]:
         ahead = [
             peer
             for peer in self._peers.members.values()
-            if peer.host != failed and _is_ahead(peer, topic)
+            if peer.host != failed_host and _is_ahead(peer, topic)
         ]
         if not ahead:
-            topic.call_after = now + self._jitter.uniform(
+            topic.call_store_after = now + self._jitter.uniform(
                 0.0, 2.0 * self._settings.busy_seconds
             )
             return []
-        # Not the same one for all that start in the same moment.
-        place = int(self._jitter.uniform(0.0, len(ahead) - 1e-9))
-        return self._fetch(now, topic, ahead[place].host)
+        # Instances that start at the same moment choose different peers.
+        index = int(self._jitter.uniform(0.0, len(ahead) - 1e-9))
+        return self._start_fetch(now, topic, ahead[index].host)
 
 
 def _is_ahead(peer: _peer.Peer, topic: _topic.Topic) -> bool:
--- a/skylarkfold/relay/_topic.py
+++ b/skylarkfold/relay/_topic.py
@@ -1,4 +1,4 @@
-"""One kind of objects as known on this instance."""
+"""The local replica of one topic of the store."""
 
 from __future__ import annotations
 
@@ -7,75 +7,79 @@
 from skylarkfold import object_cache
 from skylarkfold.relay import _codec
 from skylarkfold.relay import _effect
-from skylarkfold.relay import _feed
 from skylarkfold.relay import _item
 from skylarkfold.relay import _messages
 from skylarkfold.relay import _retained
 from skylarkfold.relay import _settings
+from skylarkfold.relay import _store_reader
 from skylarkfold import revision as revisions
 
 _NEVER = float('-inf')
-# Names of objects in one log line.
-_MOST_NAMES = 20
-# An era that is known for longer is as good as one that always was.
-_MOST_ERA_SECONDS = 3600.0
+# Paths of objects in one log line.
+_MAXIMUM_LOGGED_NAMES = 20
+# Peers are told at most this for how long an era has been known.
+_MAXIMUM_ERA_SECONDS = 3600.0
 
 
 class Topic:
-    """The objects of a topic with the position up to which they are known.
+    """Local replica of a topic: its objects and its position.
 
-    :param name: the topic.
-    :param number: its place in the settings' list.
-    :param feed: what asks the store.
+    :param name: the topic's name.
+    :param number: its index in the settings' list of topics.
+    :param reader: reads the topic from the store.
     :param settings: the relay's settings.
-    :param retention_policy: tells which of two versions of an object is
+    :param retention_policy: decides which of two versions of an object is
         later.
-    :ivar retained: what counts of former eras of the store.
-    :ivar entered_at: since when the store's era is known, here or at peers.
-    :ivar is_alone: whether the store told of its era before any peer did, so
-        that peers may know what it has lost.
+    :ivar cache: the objects as the store has them, with the position.
+    :ivar retained: objects of former eras that override the store's.
+    :ivar era_known_since: since when the store's era has been known, here or
+        at the peer that sent it.
+    :ivar may_lack_retained: whether the first listing came from the store, so
+        that peers may retain objects that this instance has never seen.
+    :ivar is_complete: whether the topic has been read once.
     :ivar is_shared: whether the whole fleet has one set of watchers for it.
-    :ivar confirmed_at: when the store last confirmed what is known here.
-    :ivar sure_until: the same, just before the last change was learnt.
-    :ivar fetching: the host that is being asked, empty for none.
-    :ivar fetch_until: when it is given up.
-    :ivar call_after: until when the store isn't asked for the first listing,
-        since peers may have it soon.
+    :ivar confirmed_at: when the store last confirmed the position.
+    :ivar confirmed_before_change: the value of ``confirmed_at`` when the last
+        change arrived.
+    :ivar fetch_host: the peer that a fetch is under way to; empty for none.
+    :ivar fetch_expires_at: when that fetch times out.
+    :ivar call_store_after: until when the store isn't asked for the first
+        listing, since a peer may send it soon.
     """
 
     __slots__ = (
         '_changed',
-        '_has_former',
-        '_notes',
-        '_packed',
+        '_events',
+        '_has_seen_restore',
+        '_packed_snapshot',
         '_settings',
         'cache',
-        'call_after',
+        'call_store_after',
         'confirmed_at',
-        'entered_at',
-        'feed',
-        'fetch_until',
-        'fetching',
-        'is_alone',
+        'confirmed_before_change',
+        'era_known_since',
+        'fetch_expires_at',
+        'fetch_host',
         'is_complete',
         'is_shared',
+        'may_lack_retained',
         'name',
         'number',
+        'reader',
         'retained',
-        'sure_until',
     )
 
     def __init__(
         self,
         name: str,
         number: int,
-        feed: _feed.Feed,
+        reader: _store_reader.StoreReader,
         settings: _settings.RelaySettings,
         retention_policy: _retained.RetentionPolicy,
     ) -> None:
         self.name = name
         self.number = number
-        self.feed = feed
+        self.reader = reader
         self._settings = settings
         self.cache = object_cache.ObjectCache(
             settings.tombstones, revisions.ZERO
@@ -83,60 +87,61 @@
         self.retained = _retained.RetainedObjects(
             name, settings, retention_policy
         )
-        self.entered_at = _NEVER
-        self.is_alone = False
-        # Whether this process has seen the store come back.
-        self._has_former = False
-        self._notes: list[_effect.RecordEvent] = []
+        self.era_known_since = _NEVER
+        self.may_lack_retained = False
+        # Whether this process has seen the store being restored.
+        self._has_seen_restore = False
+        self._events: list[_effect.RecordEvent] = []
         self.is_complete = False
         self.is_shared = False
         self.confirmed_at = _NEVER
-        self.sure_until = _NEVER
+        self.confirmed_before_change = _NEVER
         self._changed = revisions.ZERO
-        self.fetching = ''
-        self.fetch_until = _NEVER
-        self.call_after = _NEVER
-        # All objects as they are sent, and up to which revision.
-        self._packed = (revisions.ZERO, b'')
+        self.fetch_host = ''
+        self.fetch_expires_at = _NEVER
+        self.call_store_after = _NEVER
+        # The encoded snapshot and its revision.
+        self._packed_snapshot = (revisions.ZERO, b'')
 
     @property
     def position(self) -> revisions.Revision:
-        """Everything up to this revision is known."""
+        """The revision up to which all changes are known."""
         return self.cache.position
 
     @property
     def changed(self) -> revisions.Revision:
-        """The revision of the last change that is known.
+        """The revision of the last known change.
 
-        Whoever knows a former era only lacks something in any case.
+        It is of the current era at least, so that a peer that only knows a
+        former era is always behind.
         """
         begin = revisions.Revision(0, self.position.era)
         return max(self._changed, begin)
 
     def compute_age(self, now: float) -> float | None:
-        """Compute how old the view may be.
+        """Return how long ago the store confirmed the position.
 
-        :param now: the time.
-        :returns: seconds, None for an unlimited time.
+        :param now: the current time.
+        :returns: the age in seconds; None if it was never confirmed.
         """
         if self.confirmed_at == _NEVER:
             return None
         return max(0.0, now - self.confirmed_at)
 
     def compute_lag(self, now: float) -> float | None:
-        """Compute how long ago the last change was written at most.
+        """Return an upper bound for how long ago the last change was written.
 
-        :param now: when it was learnt.
-        :returns: seconds, None for an unlimited time.
+        :param now: when the change arrived.
+        :returns: the bound in seconds; None if there is none.
         """
-        if self.sure_until == _NEVER:
+        if self.confirmed_before_change == _NEVER:
             return None
-        return now - self.sure_until
+        return now - self.confirmed_before_change
 
-    def describe(self, now: float) -> _messages.Position:
-        """Tell how far this instance is.
+    def build_position(self, now: float) -> _messages.Position:
+        """Return this instance's position for a beacon.
 
-        :param now: the time.
+        :param now: the current time.
         :returns: the position with its age.
         """
         return _messages.Position(
@@ -147,122 +152,124 @@
         )
 
     def list_items(self) -> list[_item.Item]:
-        """List the objects that count.
+        """Return the objects in force, retained ones included.
 
-        :returns: those that exist, by rising revision.
+        :returns: the existing objects, in order of revision.
         """
         return self.retained.merge(self.cache.list_after(revisions.ZERO))
 
     def is_settled(self) -> bool:
-        """Tell whether what the store has is all that there is.
+        """Return whether the store's objects are complete.
 
-        After its return it may lack what its writers still have.
+        A restored store may lack objects until their writers write them
+        again.
 
-        :returns: whether it was heard long enough after it.
+        :returns: whether the store was heard from after the time that they
+            have for it.
         """
-        since = self.entered_at + self._settings.rewrite_seconds
+        since = self.era_known_since + self._settings.rewrite_seconds
         return not self.retained and self.confirmed_at > since
 
-    def find_settling(self) -> float | None:
-        """Find when the store is to be heard next for something to be settled.
+    def compute_settle_time(self) -> float | None:
+        """Return when an answer of the store next settles something.
 
-        :returns: the time, None if nothing waits for it.
+        :returns: the time after which a retained object expires or the topic
+            becomes settled; None if nothing is pending.
         """
-        end = self.retained.find_end()
-        if end is not None or self.is_settled():
-            return end
-        # Who has just started and knows no peer can't tell either; its mates
-        # would ask as well before a watch of the usual length ends.
-        if self._has_former or self.is_alone:
-            return self.entered_at + self._settings.rewrite_seconds
+        next_expiry = self.retained.get_next_expiry()
+        if next_expiry is not None or self.is_settled():
+            return next_expiry
+        # An instance that listed the store before it met a peer doesn't know
+        # when the era began either.
+        if self._has_seen_restore or self.may_lack_retained:
+            return self.era_known_since + self._settings.rewrite_seconds
         return None
 
-    def take_changes(
+    def apply_changes(
         self, items: Iterable[_item.Item], revision: revisions.Revision
     ) -> list[_item.Item]:
-        """Take all changes from the present position to a revision.
+        """Apply all changes from the current position to a revision.
 
-        :param items: the objects that changed.
-        :param revision: everything up to it is known afterwards.
+        :param items: the changed objects.
+        :param revision: the position afterwards.
         :returns: the objects that were new here.
         """
-        return self._end(self._put(items, False), revision)
+        return self._finish_update(self._put_items(items, False), revision)
 
-    def take_listing(
+    def apply_listing(
         self,
         now: float,
         items: Iterable[_item.Item],
         revision: revisions.Revision,
     ) -> list[_item.Item]:
-        """Take what the store listed.
+        """Apply a listing of the store.
 
-        :param now: the time.
+        :param now: the current time.
         :param items: all objects.
-        :param revision: where its history was then.
-        :returns: what was new here, deletions included.
+        :param revision: the store's revision at the listing.
+        :returns: the objects that were new here, deletions included.
         """
         if revision.era > self.position.era or not self.is_complete:
-            self.is_alone = not self.is_complete
-            return self._enter_era(now, 0.0, items, revision, ())
-        return self._take_whole(items, revision)
+            self.may_lack_retained = not self.is_complete
+            return self._start_era(now, 0.0, items, revision, ())
+        return self._apply_snapshot(items, revision)
 
     def handle_page(
         self, now: float, page: _messages.Page
     ) -> list[_item.Item]:
-        """Take what a peer had beyond a position of this instance.
+        """Apply a page that was fetched from a peer.
 
-        :param now: the time.
-        :param page: what it had.
-        :returns: what was new here, deletions included.
+        :param now: the current time.
+        :param page: the page.
+        :returns: the objects that were new here, deletions included.
         """
         if not page.is_snapshot:
-            return self.take_changes(page.items, page.revision)
+            return self.apply_changes(page.items, page.revision)
         if page.revision.era > self.position.era or not self.is_complete:
-            self.is_alone = False
-            return self._enter_era(
+            self.may_lack_retained = False
+            return self._start_era(
                 now,
                 page.era_seconds,
                 page.items,
                 page.revision,
                 page.retained_items,
             )
-        changed = self._take_whole(page.items, page.revision)
-        if self.is_alone:
-            self.is_alone = False
-            self.retained.enter(now, (), page.retained_items, self.cache)
+        changed = self._apply_snapshot(page.items, page.revision)
+        if self.may_lack_retained:
+            self.may_lack_retained = False
+            self.retained.reset(now, (), page.retained_items, self.cache)
             changed += [each.item for each in self.retained.list_all()]
-            self._note_retained()
+            self._record_retained()
         return changed
 
-    def _take_whole(
+    def _apply_snapshot(
         self, items: Iterable[_item.Item], revision: revisions.Revision
     ) -> list[_item.Item]:
-        """Take all objects at a revision; absent ones are deleted."""
+        """Apply all objects at a revision; absent ones are deleted."""
         items = list(items)
-        changed = self._put(items, True)
+        changed = self._put_items(items, True)
         present = [each.path for each in items if each.value is not None]
         absent = self.cache.list_absent(revision, present)
         self.cache.raise_floor(revision)
-        buried = [
+        tombstones = [
             _item.Item(each.path, revision, each.created, None)
             for each in absent
         ]
-        changed += self._put(buried, False)
-        return self._end_whole(changed, revision)
+        changed += self._put_items(tombstones, False)
+        return self._finish_snapshot(changed, revision)
 
-    def _enter_era(
+    def _start_era(
         self,
         now: float,
         era_seconds: float,
         items: Iterable[_item.Item],
         revision: revisions.Revision,
-        told: Iterable[_messages.RetainedItem],
+        peer_retained: Iterable[_messages.RetainedItem],
     ) -> list[_item.Item]:
-        """Begin anew with what the store has after its return.
+        """Replace all objects by those of a new era of the store.
 
-        Numbers were given out again, and changes of either era may be unknown
-        to the other, so that nothing of the former one stays but what is
-        retained.
+        A restored store reuses revision numbers, and changes of either era
+        may be missing in the other, so only retained objects outlive an era.
         """
         base = self.position
         before = {each.path: each for each in self.list_items()}
@@ -271,57 +278,57 @@
         }
         for each in self.retained.list_all():
             known[each.item.path] = each.item
-        self.entered_at = now - era_seconds
+        self.era_known_since = now - era_seconds
         self.cache = object_cache.ObjectCache(
             self._settings.tombstones, revisions.ZERO
         )
         self.cache.raise_floor(revision)
-        self._put(items, True)
-        self.retained.enter(now, known.values(), told, self.cache)
-        self._end_whole([], revision)
+        self._put_items(items, True)
+        self.retained.reset(now, known.values(), peer_retained, self.cache)
+        self._finish_snapshot([], revision)
         if base != revisions.ZERO:
-            self._note('era', era=revision.era, since=str(base))
-            self._has_former = True
-        self._note_retained()
+            self._record_event('era', era=revision.era, since=str(base))
+            self._has_seen_restore = True
+        self._record_retained()
         return _list_differences(before, self.list_items(), revision)
 
     def expire_retained(self) -> list[_item.Item]:
-        """Let the store's forms count that it has had for long enough.
+        """Drop the retained objects whose retention time is over.
 
-        :returns: the objects in the forms that don't count any more.
+        :returns: the dropped objects.
         """
         if not self.retained:
             return []
         expired = self.retained.expire(self.confirmed_at)
         if expired:
             names = [each.path for each in expired]
-            self._note('given-up', names=names[:_MOST_NAMES])
+            self._record_event('given-up', names=names[:_MAXIMUM_LOGGED_NAMES])
         return expired
 
-    def take_notes(self) -> list[_effect.RecordEvent]:
-        """Take the lines that tell what has become of former eras.
+    def take_events(self) -> list[_effect.RecordEvent]:
+        """Return and clear the events about eras and retained objects.
 
-        :returns: those that were not taken yet.
+        :returns: the events since the last call.
         """
-        notes, self._notes = self._notes, []
-        return notes
+        events, self._events = self._events, []
+        return events
 
     def confirm(self, at: float) -> None:
-        """Note that the store confirmed what is known here.
+        """Record that the store confirmed the position.
 
-        :param at: when.
+        :param at: when it did.
         """
         self.confirmed_at = max(self.confirmed_at, at)
 
     def build_page(
         self, now: float, base: revisions.Revision
     ) -> _messages.Page:
-        """Answer a peer that is behind.
+        """Build the answer to the fetch of a peer that is behind.
 
-        :param now: the time.
+        :param now: the current time.
         :param base: the peer's position.
-        :returns: everything above it; all objects if deletions since then
-            may be forgotten here.
+        :returns: the changes after that position, or a snapshot if deletions
+            since then may already be forgotten here.
         """
         is_snapshot = base < self.cache.floor or base == 0
         items = self.cache.list_after(revisions.ZERO if is_snapshot else base)
@@ -333,55 +340,62 @@
             is_snapshot,
             self.compute_age(now),
             tuple(items),
-            min(now - self.entered_at, _MOST_ERA_SECONDS),
-            self.retained.list_told(now) if is_snapshot else (),
-            self._pack(items) if is_snapshot else b'',
+            min(now - self.era_known_since, _MAXIMUM_ERA_SECONDS),
+            self.retained.list_for_peer(now) if is_snapshot else (),
+            self._pack_snapshot(items) if is_snapshot else b'',
         )
 
-    def _pack(self, items: list[_item.Item]) -> bytes:
-        """Pack all objects, once for all who ask while they stay the same.
+    def _pack_snapshot(self, items: list[_item.Item]) -> bytes:
+        """Return the encoded snapshot, cached until the position changes.
 
-        It takes longer than all else that is done for one that starts.
+        Encoding is the most expensive part of serving a snapshot.
         """
-        position, packed = self._packed
+        position, packed = self._packed_snapshot
         if position != self.position:
             packed = _codec.pack_items(items)
-            self._packed = (self.position, packed)
+            self._packed_snapshot = (self.position, packed)
         return packed
 
-    def _put(
+    def _put_items(
         self, items: Iterable[_item.Item], is_listed: bool
     ) -> list[_item.Item]:
         return [each for each in items if self.cache.put(each, is_listed)]
 
-    def _end_whole(
+    def _finish_snapshot(
         self, changed: list[_item.Item], revision: revisions.Revision
     ) -> list[_item.Item]:
-        # What was deleted before it isn't in it: who is behind lacks that.
+        # A snapshot doesn't show deletions, so every peer at a lower position
+        # has to fetch.
         self._changed = revision
-        return self._end(changed, revision)
+        return self._finish_update(changed, revision)
 
-    def _end(
+    def _finish_update(
         self, changed: Iterable[_item.Item], revision: revisions.Revision
     ) -> list[_item.Item]:
         changed = list(changed)
         self.cache.advance(revision)
         self.is_complete = True
-        self.sure_until = self.confirmed_at
+        self.confirmed_before_change = self.confirmed_at
         for each in changed:
             self._changed = max(self._changed, each.revision)
-        dropped = self.retained.review(changed, self.cache)
+        dropped = self.retained.drop_rewritten(changed, self.cache)
         if dropped:
-            self._note('written-again', names=dropped[:_MOST_NAMES])
+            self._record_event(
+                'written-again', names=dropped[:_MAXIMUM_LOGGED_NAMES]
+            )
         return changed
 
-    def _note_retained(self) -> None:
+    def _record_retained(self) -> None:
         names = [each.item.path for each in self.retained.list_all()]
         if names:
-            self._note('retained', count=len(names), names=names[:_MOST_NAMES])
+            self._record_event(
+                'retained',
+                count=len(names),
+                names=names[:_MAXIMUM_LOGGED_NAMES],
+            )
 
-    def _note(self, reason: str, **details: object) -> None:
-        self._notes.append(
+    def _record_event(self, reason: str, **details: object) -> None:
+        self._events.append(
             _effect.RecordEvent(reason, topic=self.name, **details)
         )
 
@@ -391,7 +405,7 @@
     after: list[_item.Item],
     revision: revisions.Revision,
 ) -> list[_item.Item]:
-    """List what counts otherwise than before, deletions included."""
+    """Return the objects that differ from before, deletions included."""
     different = []
     for item in after:
         known = before.pop(item.path, None)
--- a/skylarkfold/tests/platform/test_views.py
+++ b/skylarkfold/tests/platform/test_views.py
@@ -291,7 +291,7 @@
         """Have an instance take the events since its position."""
         topic = self.instances[name].topic
         answer = self.ask(self.store.list_events(topic.position))
-        topic.take_changes(answer.items, answer.revision)
+        topic.apply_changes(answer.items, answer.revision)
         self.apply(name, self.now)
 
     @stateful.rule(name=INSTANCE)
@@ -299,7 +299,7 @@
         """Have an instance list all entries."""
         answer = self.ask(self.store.list_all())
         topic = self.instances[name].topic
-        topic.take_listing(self.now, answer.items, answer.revision)
+        topic.apply_listing(self.now, answer.items, answer.revision)
         self.apply(name, self.now)
 
     @stateful.rule(name=INSTANCE, other=INSTANCE)
--- a/skylarkfold/tests/relay/test_eras.py
+++ b/skylarkfold/tests/relay/test_eras.py
@@ -9,7 +9,7 @@
 from skylarkfold import backoff
 from skylarkfold.measure import _relay_fleet as fleet_module
 from skylarkfold import relay
-from skylarkfold.relay import _feed
+from skylarkfold.relay import _store_reader
 from skylarkfold import revision as revisions
 from skylarkfold.tests import items
 
@@ -39,24 +39,24 @@
         self.assertEqual(f'{era}:{number}', str(revision))
 
 
-class FeedTest(testtools.TestCase):
+class StoreReaderTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         settings = relay.RelaySettings(topics=(TOPIC,))
         jitter = backoff.HashJitter(1)
-        self.feed = _feed.Feed(TOPIC, settings, jitter)
+        self.reader = _store_reader.StoreReader(TOPIC, settings, jitter)
         self.now = 0.0
 
-    def call(self, position):
+    def start_call(self, position):
         """Call as soon as that is allowed."""
         for _ in range(100):
-            call = self.feed.call(self.now, position, WAIT_SECONDS)
+            call = self.reader.start_call(self.now, position, WAIT_SECONDS)
             if call is not None:
                 return call
             self.now += 0.02
         raise AssertionError('no call')
 
-    def answer(self, call, names, number, era, is_truncated=False):
+    def handle_answer(self, call, names, number, era, is_truncated=False):
         found = [
             items.build_item(name, number, number, {}, era) for name in names
         ]
@@ -67,51 +67,51 @@
             is_truncated,
         )
         self.now += 0.01
-        return self.feed.take(self.now, call, answer)
+        return self.reader.handle_answer(self.now, call, answer)
 
     def list_all(self, number, era):
-        call = self.call(revisions.ZERO)
-        return self.answer(call, 'a', number, era)
+        call = self.start_call(revisions.ZERO)
+        return self.handle_answer(call, 'a', number, era)
 
     def test_a_listing_whose_pages_are_of_two_eras_begins_anew(self):
-        first = self.call(revisions.ZERO)
-        self.assertIsNone(self.answer(first, 'ab', 30, 1, True))
-        second = self.call(revisions.ZERO)
+        first = self.start_call(revisions.ZERO)
+        self.assertIsNone(self.handle_answer(first, 'ab', 30, 1, True))
+        second = self.start_call(revisions.ZERO)
         self.assertEqual('b', second.after)
-        self.assertIsNone(self.answer(second, 'c', 20, 2))
-        third = self.call(revisions.ZERO)
+        self.assertIsNone(self.handle_answer(second, 'c', 20, 2))
+        third = self.start_call(revisions.ZERO)
         self.assertEqual('', third.after)
-        news = self.answer(third, 'ad', 21, 2)
-        self.assertEqual(['a', 'd'], [each.path for each in news.items])
-        self.assertEqual(revisions.Revision(21, 2), news.revision)
+        update = self.handle_answer(third, 'ad', 21, 2)
+        self.assertEqual(['a', 'd'], [each.path for each in update.items])
+        self.assertEqual(revisions.Revision(21, 2), update.revision)
 
     def test_a_watch_that_hung_across_the_return_is_no_news(self):
         # It was asked from 1:30; what 2:21 to 2:30 hold is not in it.
         position = self.list_all(30, 1).revision
-        watch = self.call(position)
+        watch = self.start_call(position)
         self.assertEqual(position, watch.revision)
-        self.assertIsNone(self.answer(watch, 'a', 31, 2))
-        self.assertIsNone(self.call(position).revision)
+        self.assertIsNone(self.handle_answer(watch, 'a', 31, 2))
+        self.assertIsNone(self.start_call(position).revision)
 
     def test_a_late_answer_of_the_former_era_is_no_news(self):
         position = self.list_all(20, 2).revision
-        watch = self.call(position)
-        self.assertIsNone(self.answer(watch, 'a', 31, 1))
-        again = self.call(position)
+        watch = self.start_call(position)
+        self.assertIsNone(self.handle_answer(watch, 'a', 31, 1))
+        again = self.start_call(position)
         self.assertEqual(position, again.revision)
 
     def test_a_store_that_stays_behind_is_asked_ever_less_often(self):
         times = []
         position = revisions.Revision(38, 1)
         while self.now < 20.0:
-            call = self.call(position)
+            call = self.start_call(position)
             times.append(self.now)
             if call.revision is not None:
                 forgotten = relay.Answer(relay.Status.FORGOTTEN)
-                self.feed.take(self.now, call, forgotten)
+                self.reader.handle_answer(self.now, call, forgotten)
             else:
-                self.answer(call, 'a', 20, 1)
-                self.feed.note_behind(self.now)
+                self.handle_answer(call, 'a', 20, 1)
+                self.reader.record_stale(self.now)
         pauses = [
             after - before for before, after in itertools.pairwise(times)
         ]
@@ -298,7 +298,7 @@
         core = self.fleet.cores['entry-0']
         position = core.get_position(TOPIC)
         later = revisions.Revision(position.number + 1, position.era + 1)
-        self.take_news(core, position, later)
+        self.send_delta(core, position, later)
         self.assertEqual(position, core.get_position(TOPIC))
 
     def test_what_a_peer_tells_of_another_era_is_not_added_to_this_one(self):
@@ -307,11 +307,11 @@
         position = core.get_position(TOPIC)
         later = revisions.Revision(position.number + 1, position.era + 1)
         base = revisions.Revision(position.number, later.era)
-        effects = self.take_news(core, base, later)
+        effects = self.send_delta(core, base, later)
         self.assertEqual(position, core.get_position(TOPIC))
         self.assertIn(relay.Fetch, [type(each) for each in effects])
 
-    def take_news(self, core, base, later):
+    def send_delta(self, core, base, later):
         """Have an instance take a peer's news; give its decisions."""
         beacon = relay.Beacon(
             'other',
@@ -366,7 +366,7 @@
             elif kind == 'restore':
                 fleet.store.restore(saved)
             else:
-                trouble(fleet, kind, number, count)
+                inject_fault(fleet, kind, number, count)
             fleet.run(seconds)
         fleet.cut = lambda one, other: False
         fleet.is_store_down = False
@@ -382,7 +382,7 @@
             self.assertEqual(stored, known)
 
 
-def trouble(fleet, kind, number, count):
+def inject_fault(fleet, kind, number, count):
     """Have something happen to a fleet."""
     name = f'entry-{number}'
     zones = fleet.zones
--- a/skylarkfold/tests/relay/test_notes.py
+++ b/skylarkfold/tests/relay/test_events.py
@@ -12,18 +12,18 @@
 ERA = 1
 
 
-class NotesTest(testtools.TestCase):
+class EventsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = fleet_module.Fleet(ZONES)
         self.fleet.store.put('routes', 'main', {'version': 1})
         self.fleet.run(REST_SECONDS)
 
-    def list_notes(self, reason):
+    def list_events(self, reason):
         return [
-            (name, note.details)
-            for _, name, note in self.fleet.notes
-            if note.reason == reason
+            (name, event.details)
+            for _, name, event in self.fleet.notes
+            if event.reason == reason
         ]
 
     def test_a_listing_that_is_older_than_what_is_known_is_said_once(self):
@@ -31,17 +31,17 @@
         for version in range(2, 9):
             self.fleet.store.put('routes', 'main', {'version': version})
         self.fleet.run(1.0)
-        self.assertEqual([], self.list_notes('store-behind'))
+        self.assertEqual([], self.list_events('store-behind'))
         # By a store that doesn't tell of it.
         self.fleet.store.restore(saved, is_said=False)
         self.fleet.run(4.0)
-        said = self.list_notes('store-behind')
+        events = self.list_events('store-behind')
         names = [
-            name for name, details in said if details['topic'] == 'routes'
+            name for name, details in events if details['topic'] == 'routes'
         ]
         self.assertEqual(sorted(set(names)), sorted(names))
         self.assertNotEqual([], names)
-        for _, details in said:
+        for _, details in events:
             self.assertEqual('1:2', details['revision'])
             self.assertEqual('1:9', details['position'])
 
@@ -50,7 +50,7 @@
         self.fleet.run(5.0)
         moved = {
             (name, details['topic'])
-            for name, details in self.list_notes('advanced')
+            for name, details in self.list_events('advanced')
             if details['since'] < details['revision']
         }
         self.assertIn('routes', {topic for _, topic in moved})
--- a/skylarkfold/tests/relay/test_peers.py
+++ b/skylarkfold/tests/relay/test_peers.py
@@ -125,7 +125,7 @@
         core.tick(0.0)
         core.handle_beacon(0.1, '10.0.0.2', beacon)
         core.tick(5.0)
-        _, ages = core.peers.gossip.tell_mates(5.0)
+        _, ages = core.peers.gossip.choose_for_zone(5.0)
         (age,) = ages.values()
         self.assertAlmostEqual(4.9, age)
         # It has the time to be heard again.
--- a/skylarkfold/tests/relay/test_spread.py
+++ b/skylarkfold/tests/relay/test_propagation.py
@@ -13,7 +13,7 @@
 LARGE = {'text': 'x' * 20000}
 
 
-class SpreadTest(testtools.TestCase):
+class PropagationTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = fleet_module.Fleet(ZONES)
@@ -208,8 +208,8 @@
     def test_a_beacon_of_a_stranger_with_other_topics_is_ignored(self):
         core = self.fleet.cores['entry-0']
         beacon = relay.Beacon('x', 'a', 0, False, False, ())
-        (note,) = core.handle_beacon(self.fleet.now, 'x', beacon)
-        self.assertEqual('other-topics', note.reason)
+        (event,) = core.handle_beacon(self.fleet.now, 'x', beacon)
+        self.assertEqual('other-topics', event.reason)
 
 
 class SeedsTest(testtools.TestCase):
--- a/skylarkfold/tests/relay/test_pace.py
+++ b/skylarkfold/tests/relay/test_rate_limiter.py
@@ -21,7 +21,7 @@
         )
 
 
-class LoadPaceTest(testtools.TestCase):
+class LoadReportLimiterTest(testtools.TestCase):
     def measure(self, instances, upstreams):
         zones = tuple(f'zone-{number % 3}' for number in range(instances))
         fleet = _relay_fleet.Fleet(zones)
--- a/skylarkfold/tests/relay/test_retained.py
+++ b/skylarkfold/tests/relay/test_retained.py
@@ -88,11 +88,11 @@
             core.count_retained(topic) for core in self.fleet.cores.values()
         }
 
-    def list_notes(self, reason, topic):
+    def list_events(self, reason, topic):
         return {
             name
-            for _, name, note in self.fleet.notes
-            if note.reason == reason and note.details.get('topic') == topic
+            for _, name, event in self.fleet.notes
+            if event.reason == reason and event.details.get('topic') == topic
         }
 
     def test_a_confirmed_configuration_does_not_come_back_older(self):
@@ -100,7 +100,7 @@
         self.assertEqual({8}, self.list_versions())
         self.assertEqual({1}, self.count_retained(ROUTES))
         self.assertEqual(
-            set(self.fleet.cores), self.list_notes('retained', ROUTES)
+            set(self.fleet.cores), self.list_events('retained', ROUTES)
         )
 
     def test_what_is_written_again_is_the_store_s_word_again(self):
@@ -110,7 +110,7 @@
         self.assertEqual({8}, self.list_versions())
         self.assertEqual({0}, self.count_retained(ROUTES))
         self.assertEqual(
-            set(self.fleet.cores), self.list_notes('written-again', ROUTES)
+            set(self.fleet.cores), self.list_events('written-again', ROUTES)
         )
 
     def test_lost_versions_that_are_written_again_in_turn_lead_nobody_back(
@@ -136,7 +136,7 @@
         self.fleet.run(2.0 + HEARD_SECONDS)
         self.assertEqual({1}, self.list_versions())
         self.assertEqual(
-            set(self.fleet.cores), self.list_notes('given-up', ROUTES)
+            set(self.fleet.cores), self.list_events('given-up', ROUTES)
         )
         changed = {
             (name, tuple(each.paths))
@@ -350,7 +350,7 @@
             elif kind == 'late':
                 operator.write_in_turn()
             else:
-                test_eras.trouble(fleet, kind, number, count)
+                test_eras.inject_fault(fleet, kind, number, count)
             operator.run(seconds)
             self.look(fleet, seen)
         fleet.cut = lambda one, other: False
--- a/skylarkfold/tests/relay/test_shared.py
+++ b/skylarkfold/tests/relay/test_shared.py
@@ -203,15 +203,15 @@
     )
     @hypothesis.settings(max_examples=40, deadline=None)
     def test_whoever_can_know_an_evacuation_knows_it_in_time(
-        self, troubles, written_after
+        self, faults, written_after
     ):
         """Faults in any order; one zone is cut or turned away at a time."""
         fleet = build_fleet()
         fleet.run(3.0)
-        for place, (kind, number, seconds) in enumerate(troubles):
+        for place, (kind, number, seconds) in enumerate(faults):
             if place == written_after:
                 fleet.write(TOPIC, 'a', {})
-            self.trouble(fleet, kind, number)
+            self.inject_fault(fleet, kind, number)
             fleet.run(seconds)
         fleet.cut = lambda one, other: False
         if (TOPIC, 'a') not in fleet.written:
@@ -222,7 +222,7 @@
         self.assertEqual([], self.list_late())
 
     @staticmethod
-    def trouble(fleet, kind, number):
+    def inject_fault(fleet, kind, number):
         name = f'entry-{number}'
         zones = fleet.zones
         if kind == 'end' and name in fleet.cores and len(fleet.cores) > 3:
