--- a/skylarkfold/relay/_announcer.py
+++ b/skylarkfold/relay/_announcer.py
@@ -4,7 +4,7 @@
 
 import heapq
 
-from skylarkfold.relay import _caller_reports
+from skylarkfold.relay import _callers
 from skylarkfold.relay import _codec
 from skylarkfold.relay import _effect
 from skylarkfold.relay import _item
@@ -69,7 +69,7 @@
         self._zone_loads: dict[str, tuple[float, _Loads]] = {}
         self._next_near_details = _NEVER
         self._next_far_details = _NEVER
-        self.callers = _caller_reports.CallerReports(
+        self.callers = _callers.CallerReports(
             own.zone,
             settings.caller_bytes_per_second,
             settings.caller_word_seconds,
--- a/skylarkfold/relay/_core.py
+++ b/skylarkfold/relay/_core.py
@@ -248,7 +248,7 @@
         if len(beacon.positions) != len(self._topics):
             return [_effect.RecordEvent('other-topics', host=host)]
         is_new = beacon.name not in self._peers.members
-        peer = self._peers.handle_beacon(now, host, beacon)
+        peer = self._peers.record_beacon(now, host, beacon)
         effects: list[object] = []
         if beacon.delta is not None:
             effects += self._synchronizer.handle_delta(now, host, beacon)
--- a/skylarkfold/relay/_peers.py
+++ b/skylarkfold/relay/_peers.py
@@ -59,7 +59,7 @@
         """
         self._seeds = tuple(hosts)
 
-    def handle_beacon(
+    def record_beacon(
         self, now: float, host: str, beacon: _messages.Beacon
     ) -> _peer.Peer:
         """Update the table from a beacon.
--- a/skylarkfold/tests/relay/test_caller_reports.py
+++ b/skylarkfold/tests/relay/test_callers.py
@@ -1,7 +1,7 @@
-"""Tests of what instances tell one another of callers.
+"""Tests of the reports on callers' demand.
 
-Bounds: nothing where no room is short, and no more bytes a second than the
-settings allow, however many neighbours there are.
+Nothing is sent unless a service is short of capacity, and no more bytes a
+second than the settings allow, however many neighbours there are.
 """
 
 import hypothesis
@@ -10,7 +10,7 @@
 
 from skylarkfold import errors
 from skylarkfold import relay
-from skylarkfold.relay import _caller_reports
+from skylarkfold.relay import _callers
 
 DEMAND = b'word'
 OTHER_ZONES = b'other zones'
@@ -19,14 +19,14 @@
 
 
 def build_beacon(report, zone='z', name='peer'):
-    """Build a beacon that tells of callers."""
+    """Build a beacon with a report on callers."""
     return relay.Beacon(name, zone, 0, False, False, (), callers=report)
 
 
 class CallerReportsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.reports = _caller_reports.CallerReports('z', BUDGET, 2.5)
+        self.reports = _callers.CallerReports('z', BUDGET, 2.5)
 
     def handle_report(self, now, report, **fields):
         effects = self.reports.handle_beacon(
@@ -37,7 +37,7 @@
             for each in effects
         ]
 
-    def test_where_nothing_is_short_nothing_is_told(self):
+    def test_nothing_is_sent_without_a_shortage(self):
         self.assertIsNone(self.reports.choose_near(1.0, 4))
         self.assertIsNone(self.reports.choose_far(1.0, 4))
         self.assertFalse(self.reports.is_urgent)
@@ -49,7 +49,7 @@
             len(relay.encode_beacon(with_report)),
         )
 
-    def test_neighbours_and_other_zones_are_told_apart(self):
+    def test_reports_of_neighbours_and_other_zones_are_told_apart(self):
         report = relay.CallerReport(DEMAND, OTHER_ZONES, 0.5)
         self.assertEqual(
             [('peer', False, 0.0, DEMAND), ('', True, 0.5, OTHER_ZONES)],
@@ -60,7 +60,7 @@
             [('y', True, 0.0, DEMAND)], self.handle_report(1.0, far, zone='y')
         )
 
-    def test_what_other_zones_say_is_passed_on_while_it_is_new(self):
+    def test_demand_in_other_zones_is_passed_on_until_it_is_too_old(self):
         self.handle_report(1.0, relay.CallerReport(b'', OTHER_ZONES, 0.5))
         report = self.reports.choose_near(2.0, 4)
         self.assertEqual(
@@ -69,7 +69,7 @@
         self.assertAlmostEqual(1.5, report.age_seconds)
         self.assertIsNone(self.reports.choose_near(3.1, 4))
 
-    def test_older_words_of_other_zones_are_left_out(self):
+    def test_older_reports_of_other_zones_are_ignored(self):
         self.handle_report(1.0, relay.CallerReport(b'', OTHER_ZONES, 0.1))
         self.assertEqual(
             [], self.handle_report(1.0, relay.CallerReport(b'', b'old', 0.6))
@@ -78,16 +78,16 @@
             OTHER_ZONES, self.reports.choose_near(1.2, 1).other_zones
         )
 
-    def test_a_shortage_that_begins_is_urgent_once(self):
+    def test_a_new_shortage_is_urgent_once(self):
         self.reports.put(DEMAND, b'')
         self.assertTrue(self.reports.is_urgent)
         self.reports.is_urgent = False
         self.reports.put(DEMAND, DEMAND)
         self.assertFalse(self.reports.is_urgent)
 
-    def test_bytes_are_bounded(self):
+    def test_sent_bytes_are_limited(self):
         for size in (20, 200, 600):
-            reports = _caller_reports.CallerReports('z', BUDGET, 2.5)
+            reports = _callers.CallerReports('z', BUDGET, 2.5)
             reports.put(bytes(size), bytes(size))
             spent = 0
             for step in range(500):
@@ -101,12 +101,14 @@
                         whole = relay.encode_beacon(build_beacon(report))
                         rest = relay.encode_beacon(build_beacon(None))
                         spent += hosts * (len(whole) - len(rest))
-            # What may be told at once, and one word each beyond.
+            # The burst, and one report to each neighbour beyond it.
             first = BUDGET + 14 * (size + 10)
             self.assertLessEqual(spent, 100 * BUDGET + first)
 
     @hypothesis.given(DEMANDS, DEMANDS, strategies.integers(0, 10**7))
-    def test_a_report_arrives_as_it_was(self, demand, other_zones, age):
+    def test_a_report_survives_encoding_and_decoding(
+        self, demand, other_zones, age
+    ):
         report = relay.CallerReport(demand, other_zones, age / 1000)
         data = relay.encode_beacon(build_beacon(report))
         again = relay.decode_beacon(data).callers
@@ -115,7 +117,7 @@
         )
         self.assertAlmostEqual(age / 1000, again.age_seconds, delta=0.002)
 
-    def test_a_word_that_is_too_long_is_no_message(self):
+    def test_a_demand_that_is_too_long_is_refused(self):
         report = relay.CallerReport(bytes(1025))
         data = relay.encode_beacon(build_beacon(report))
         self.assertRaises(errors.DecodeError, relay.decode_beacon, data)
--- a/skylarkfold/tests/relay/test_eras.py
+++ b/skylarkfold/tests/relay/test_eras.py
@@ -1,4 +1,4 @@
-"""Tests of instances that know different eras of the store at once."""
+"""Tests of restored stores, when instances know different eras at once."""
 
 import itertools
 
@@ -16,13 +16,13 @@
 ZONES = ('a', 'a', 'a', 'b', 'b', 'c', 'c')
 TOPIC = 'routes'
 BOUND_SECONDS = 3.0
-# By when views meet again after faults.
-CALM_SECONDS = 6.0
+# By when all instances agree again after faults.
+RECOVERY_SECONDS = 6.0
 WAIT_SECONDS = 3.0
 
 
 class RevisionTest(testtools.TestCase):
-    def test_a_later_era_is_later_whatever_the_numbers(self):
+    def test_a_later_era_is_later_whatever_the_numbers_are(self):
         first = revisions.Revision(38, 1)
         second = revisions.Revision(26, 2)
         self.assertLess(first, second)
@@ -33,7 +33,7 @@
         strategies.integers(0, revisions.MAXIMUM_NUMBER),
         strategies.integers(0, revisions.MAXIMUM_ERA),
     )
-    def test_both_parts_are_as_they_were(self, number, era):
+    def test_number_and_era_can_be_read_from_a_revision(self, number, era):
         revision = revisions.Revision(number, era)
         self.assertEqual((number, era), (revision.number, revision.era))
         self.assertEqual(f'{era}:{number}', str(revision))
@@ -48,7 +48,7 @@
         self.now = 0.0
 
     def start_call(self, position):
-        """Call as soon as that is allowed."""
+        """Start a call as soon as the reader allows it."""
         for _ in range(100):
             call = self.reader.start_call(self.now, position, WAIT_SECONDS)
             if call is not None:
@@ -56,7 +56,7 @@
             self.now += 0.02
         raise AssertionError('no call')
 
-    def handle_answer(self, call, names, number, era, is_truncated=False):
+    def answer(self, call, names, number, era, is_truncated=False):
         found = [
             items.build_item(name, number, number, {}, era) for name in names
         ]
@@ -71,36 +71,36 @@
 
     def list_all(self, number, era):
         call = self.start_call(revisions.ZERO)
-        return self.handle_answer(call, 'a', number, era)
+        return self.answer(call, 'a', number, era)
 
-    def test_a_listing_whose_pages_are_of_two_eras_begins_anew(self):
+    def test_a_listing_with_pages_of_two_eras_starts_over(self):
         first = self.start_call(revisions.ZERO)
-        self.assertIsNone(self.handle_answer(first, 'ab', 30, 1, True))
+        self.assertIsNone(self.answer(first, 'ab', 30, 1, True))
         second = self.start_call(revisions.ZERO)
         self.assertEqual('b', second.after)
-        self.assertIsNone(self.handle_answer(second, 'c', 20, 2))
+        self.assertIsNone(self.answer(second, 'c', 20, 2))
         third = self.start_call(revisions.ZERO)
         self.assertEqual('', third.after)
-        update = self.handle_answer(third, 'ad', 21, 2)
+        update = self.answer(third, 'ad', 21, 2)
         self.assertEqual(['a', 'd'], [each.path for each in update.items])
         self.assertEqual(revisions.Revision(21, 2), update.revision)
 
-    def test_a_watch_that_hung_across_the_return_is_no_news(self):
-        # It was asked from 1:30; what 2:21 to 2:30 hold is not in it.
+    def test_the_answer_to_a_watch_from_before_the_return_is_ignored(self):
+        # It watches from 1:30, so changes from 2:21 to 2:30 are not in it.
         position = self.list_all(30, 1).revision
         watch = self.start_call(position)
         self.assertEqual(position, watch.revision)
-        self.assertIsNone(self.handle_answer(watch, 'a', 31, 2))
+        self.assertIsNone(self.answer(watch, 'a', 31, 2))
         self.assertIsNone(self.start_call(position).revision)
 
-    def test_a_late_answer_of_the_former_era_is_no_news(self):
+    def test_a_late_answer_of_the_former_era_is_ignored(self):
         position = self.list_all(20, 2).revision
         watch = self.start_call(position)
-        self.assertIsNone(self.handle_answer(watch, 'a', 31, 1))
+        self.assertIsNone(self.answer(watch, 'a', 31, 1))
         again = self.start_call(position)
         self.assertEqual(position, again.revision)
 
-    def test_a_store_that_stays_behind_is_asked_ever_less_often(self):
+    def test_a_stale_store_is_called_less_and_less_often(self):
         times = []
         position = revisions.Revision(38, 1)
         while self.now < 20.0:
@@ -110,7 +110,7 @@
                 forgotten = relay.Answer(relay.Status.FORGOTTEN)
                 self.reader.handle_answer(self.now, call, forgotten)
             else:
-                self.handle_answer(call, 'a', 20, 1)
+                self.answer(call, 'a', 20, 1)
                 self.reader.record_stale(self.now)
         pauses = [
             after - before for before, after in itertools.pairwise(times)
@@ -148,8 +148,8 @@
         self.fleet.run(BOUND_SECONDS)
         self.assertEqual({version}, self.list_versions())
 
-    def test_one_watcher_s_word_brings_all_into_the_new_era(self):
-        # Only one instance reaches the store.
+    def test_one_watcher_brings_all_instances_into_the_new_era(self):
+        # Only one instance can reach the store.
         watcher = next(
             name
             for name, core in self.fleet.cores.items()
@@ -163,7 +163,7 @@
         self.assertEqual({2}, self.list_eras())
         self.write(20)
 
-    def test_a_zone_that_was_cut_off_comes_back_into_the_new_era(self):
+    def test_a_zone_learns_the_new_era_after_a_partition(self):
         zones = self.fleet.zones
         self.fleet.cut = lambda one, other: (
             zones.get(one) == 'b' and zones.get(other) != 'b'
@@ -171,14 +171,14 @@
         self.store.restore(self.saved)
         for version in range(20, 31):
             self.store.put(TOPIC, 'main', {'version': version})
-        self.fleet.run(CALM_SECONDS)
+        self.fleet.run(RECOVERY_SECONDS)
         self.assertEqual({1, 2}, self.list_eras())
         self.fleet.cut = lambda one, other: False
         self.fleet.run(2.0)
         self.assertEqual({2}, self.list_eras())
         self.assertEqual({30}, self.list_versions())
 
-    def test_two_returns_within_a_moment(self):
+    def test_two_returns_shortly_after_each_other(self):
         self.store.restore(self.saved)
         self.fleet.run(0.4)
         self.store.put(TOPIC, 'main', {'version': 20})
@@ -200,7 +200,7 @@
         self.assertEqual({2}, self.list_eras())
         self.write(20)
 
-    def test_a_peer_of_the_former_era_is_no_source(self):
+    def test_a_page_of_the_former_era_is_ignored(self):
         old = self.fleet.cores['entry-0']
         position = old.get_position(TOPIC)
         page = old.handle_fetch(self.fleet.now, 0, revisions.ZERO)
@@ -213,9 +213,9 @@
         self.assertEqual([], core.handle_page(self.fleet.now, fetch, page))
         self.assertEqual(known, core.get_position(TOPIC))
 
-    def test_the_word_of_the_new_era_spreads_at_once(self):
-        # Nothing in it is different, so that nothing needs to be told. At
-        # several moments between two beacons.
+    def test_the_new_era_propagates_at_once(self):
+        # No object differs in the new era. The return happens at several times
+        # between two beacons.
         for era in range(2, 9):
             self.store.restore(self.store.copy())
             self.fleet.run(5.03)
@@ -228,8 +228,8 @@
             first, last = min(entered.values()), max(entered.values())
             self.assertLessEqual(last - first, 0.05)
 
-    def test_the_word_of_one_topic_ends_the_watches_of_the_others(self):
-        # A watch that hangs across the return tells of it after up to 3 s.
+    def test_a_new_era_in_one_topic_cancels_the_watches_of_others(self):
+        # A watch that is under way at the return shows it after up to 3 s.
         for _ in range(7):
             self.store.restore(self.store.copy())
             era = self.store.era
@@ -246,7 +246,7 @@
             for topic in fleet_module.TOPICS
         }
 
-    def test_no_beacon_has_news_across_a_return(self):
+    def test_no_beacon_has_a_delta_between_two_eras(self):
         crossing = []
         send = self.fleet._send
 
@@ -264,7 +264,7 @@
         self.assertEqual({2}, self.list_eras())
         self.assertEqual([], crossing)
 
-    def test_only_what_differs_is_named(self):
+    def test_only_differing_objects_are_reported_as_changed(self):
         self.store.put(TOPIC, 'other', {'version': 1})
         self.store.put(TOPIC, 'gone', {'version': 1})
         self.saved = self.store.copy()
@@ -279,8 +279,8 @@
             for _, _, changed in self.fleet.changes
             if changed.topic == TOPIC and changed.revision.era == 2
         }
-        # What was created and deleted stays so, until the store has said for
-        # long enough that it is otherwise.
+        # Lost creations and deletions are retained until the store has been
+        # without them for the retention time.
         self.assertEqual({('main',), ('gone', 'new')}, named)
 
     def test_after_a_long_outage_the_return_is_known_soon(self):
@@ -294,15 +294,16 @@
             self.fleet.run(longest)
             self.assertEqual({era}, self.list_eras())
 
-    def test_news_across_a_return_are_not_added_to_what_is_known(self):
+    def test_a_delta_between_two_eras_is_not_applied(self):
         core = self.fleet.cores['entry-0']
         position = core.get_position(TOPIC)
         later = revisions.Revision(position.number + 1, position.era + 1)
         self.send_delta(core, position, later)
         self.assertEqual(position, core.get_position(TOPIC))
 
-    def test_what_a_peer_tells_of_another_era_is_not_added_to_this_one(self):
-        # News that begin where this instance is, but in another era.
+    def test_a_delta_of_another_era_is_not_applied(self):
+        # The delta starts at the number of this instance's position, but in
+        # another era.
         core = self.fleet.cores['entry-0']
         position = core.get_position(TOPIC)
         later = revisions.Revision(position.number + 1, position.era + 1)
@@ -312,7 +313,7 @@
         self.assertIn(relay.Fetch, [type(each) for each in effects])
 
     def send_delta(self, core, base, later):
-        """Have an instance take a peer's news; give its decisions."""
+        """Hand an instance a beacon with a delta; return its effects."""
         beacon = relay.Beacon(
             'other',
             'a',
@@ -370,7 +371,7 @@
             fleet.run(seconds)
         fleet.cut = lambda one, other: False
         fleet.is_store_down = False
-        fleet.run(CALM_SECONDS)
+        fleet.run(RECOVERY_SECONDS)
         stored = {
             item.path: item.revision
             for item in fleet.store.objects[TOPIC].values()
@@ -383,7 +384,7 @@
 
 
 def inject_fault(fleet, kind, number, count):
-    """Have something happen to a fleet."""
+    """Inject a fault into a fleet, or write to its store."""
     name = f'entry-{number}'
     zones = fleet.zones
     zone = zones[name]
--- a/skylarkfold/tests/relay/test_events.py
+++ b/skylarkfold/tests/relay/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of the lines that tell why an instance knows what it knows."""
+"""Tests of the events that show from where an instance has its state."""
 
 import testtools
 
@@ -6,9 +6,9 @@
 from skylarkfold import revision as revisions
 
 ZONES = ('a', 'a', 'a', 'b')
-# After a start, by when only those whose duty it is watch the store.
+# After a start, by when only the selected watchers watch the store.
 REST_SECONDS = 9.0
-# The store's first.
+# The store's first era.
 ERA = 1
 
 
@@ -26,13 +26,13 @@
             if event.reason == reason
         ]
 
-    def test_a_listing_that_is_older_than_what_is_known_is_said_once(self):
+    def test_a_stale_listing_is_logged_once(self):
         saved = self.fleet.store.copy()
         for version in range(2, 9):
             self.fleet.store.put('routes', 'main', {'version': version})
         self.fleet.run(1.0)
         self.assertEqual([], self.list_events('store-behind'))
-        # By a store that doesn't tell of it.
+        # The store doesn't start a new era.
         self.fleet.store.restore(saved, is_said=False)
         self.fleet.run(4.0)
         events = self.list_events('store-behind')
@@ -45,7 +45,7 @@
             self.assertEqual('1:2', details['revision'])
             self.assertEqual('1:9', details['position'])
 
-    def test_a_position_that_a_peer_s_word_moves_is_said(self):
+    def test_a_position_that_a_peer_advances_is_logged(self):
         self.fleet.store.put('upstreams', 'one', {})
         self.fleet.run(5.0)
         moved = {
@@ -55,7 +55,7 @@
         }
         self.assertIn('routes', {topic for _, topic in moved})
 
-    def test_what_is_learnt_tells_from_where_to_where(self):
+    def test_a_change_has_the_positions_before_and_after(self):
         self.fleet.store.put('routes', 'main', {'version': 2})
         self.fleet.run(1.0)
         learnt = {
@@ -67,7 +67,7 @@
             {(revisions.Revision(2, ERA), revisions.Revision(3, ERA))}, learnt
         )
 
-    def test_positions_can_be_looked_up(self):
+    def test_positions_can_be_read(self):
         found = {
             core.get_position('routes') for core in self.fleet.cores.values()
         }
--- a/skylarkfold/tests/relay/test_fleet_start.py
+++ b/skylarkfold/tests/relay/test_fleet_start.py
@@ -1,11 +1,7 @@
-"""Tests of a start of all: who is asked for what there is.
+"""Tests of a simultaneous start of all instances of a large fleet.
 
-Seen on the virtual clock, 600 instances before 3,800 upstreams, links of
-5 Mbit/s: the first seed that knew everything was asked by all, and sent each
-of them 100 KB. It was busy with that for 40 s, during which what it sent came
-too late, was given up and asked for again; the last instance was not ready
-after 39 s. Sweeps of 300 instances had shown 30 s until served, and one
-instance with 220 connections where the others had 4.
+The first instance that has a snapshot must not be overloaded by the fetches
+of all others, which would time out and be repeated.
 """
 
 import testtools
@@ -53,7 +49,7 @@
                 'upstreams', f'i-{number:010x}', build_entry(number)
             )
         for number in range(INSTANCES):
-            # A slow one takes longer to load its program.
+            # Instances need different times to load the program.
             place = number * 7919 % INSTANCES / INSTANCES
             name, zone = f'entry-{number}', 'abc'[number % 3]
             self.fleet._plan(
@@ -61,7 +57,7 @@
                 lambda name=name, zone=zone: self.fleet.start(name, zone),
             )
 
-    def test_all_are_ready_soon_though_links_are_slow(self):
+    def test_all_instances_are_ready_soon_on_slow_links(self):
         self.fleet.run(STARTS_SECONDS + READY_SECONDS)
         late = [
             name
@@ -71,7 +67,7 @@
         self.assertEqual(INSTANCES, len(self.fleet.cores))
         self.assertEqual([], late)
 
-    def test_whoever_all_ask_keeps_a_link_for_its_callers(self):
+    def test_the_instance_that_all_ask_keeps_bandwidth_for_callers(self):
         seconds = STARTS_SECONDS + READY_SECONDS
         self.fleet.run(seconds)
         busiest = max(self.fleet.sent.values())
@@ -86,8 +82,8 @@
         share = SHARE * LINK_BYTES * (seconds + 1.0)
         self.assertLessEqual(busiest, share + page + beacons)
 
-    def test_the_store_is_asked_for_a_listing_by_few(self):
+    def test_few_instances_list_the_store(self):
         self.fleet.run(STARTS_SECONDS + READY_SECONDS)
-        # Two topics; each of those who found nobody to tell them.
+        # Only instances that found no peer with a snapshot list both topics.
         calls = self.fleet.store.calls.total()
         self.assertLess(calls, 2 * INSTANCES)
--- a/skylarkfold/tests/relay/test_load_codec.py
+++ b/skylarkfold/tests/relay/test_load_codec.py
@@ -1,7 +1,7 @@
-"""Tests of what instances tell of the speed of upstreams.
+"""Tests of the encoding of loads of upstreams.
 
-They answer a peer that tells nonsense, which must move nobody's choice, and
-the bytes that words of thousands of upstreams take.
+Malformed loads must not influence the choice of an upstream, and reports on
+thousands of upstreams must stay small.
 """
 
 import hypothesis
@@ -19,7 +19,9 @@
 
 class LoadCodecTest(testtools.TestCase):
     @hypothesis.given(EIGHTHS, EIGHTIETHS, strategies.booleans())
-    def test_what_is_told_is_read(self, eighths, eightieths, is_zone):
+    def test_a_load_survives_encoding_and_decoding(
+        self, eighths, eightieths, is_zone
+    ):
         answers = eighths / 8
         load = upstream_load.UpstreamLoad(
             3, 0.25, answers, answers * eightieths / 80
@@ -27,12 +29,12 @@
         fields = _load_codec.list_load(load)
         self.assertEqual(load, _load_codec.convert_load(is_zone, *fields))
 
-    def test_nothing_is_told_where_nothing_is_known(self):
+    def test_no_speed_is_encoded_without_answers(self):
         load = upstream_load.UpstreamLoad(3, 0.25)
         self.assertEqual([3, 25], _load_codec.list_load(load))
 
     @hypothesis.given(EIGHTHS, strategies.integers(-110, 110))
-    def test_it_takes_three_bytes_at_most(self, eighths, eightieths):
+    def test_a_speed_takes_three_bytes_at_most(self, eighths, eightieths):
         answers = eighths / 8
         load = upstream_load.UpstreamLoad(
             3, 0.25, answers, answers * eightieths / 80
@@ -41,7 +43,7 @@
         told = len(msgpack.packb(_load_codec.list_load(load)))
         self.assertLessEqual(told, bare + 3)
 
-    def test_nonsense_is_refused(self):
+    def test_malformed_fields_are_refused(self):
         for is_zone, answers, slowness in (
             (False, 65, 0),
             (True, 8 * 4096 + 1, 0),
--- a/skylarkfold/tests/relay/test_messages.py
+++ b/skylarkfold/tests/relay/test_messages.py
@@ -48,7 +48,7 @@
         max_size=3,
     ),
 )
-HEARD = strategies.dictionaries(
+AGES_BY_DIGEST = strategies.dictionaries(
     strategies.integers(0, 2**32 - 1),
     strategies.integers(0, 255).map(lambda number: number / 10),
     max_size=3,
@@ -72,8 +72,8 @@
         strategies.lists(ITEMS, max_size=3).map(tuple),
     ),
     strategies.lists(LOADS, max_size=3).map(tuple),
-    ages=HEARD,
-    silent=HEARD,
+    ages=AGES_BY_DIGEST,
+    silent=AGES_BY_DIGEST,
 )
 ANYTHING = strategies.recursive(
     strategies.none()
@@ -94,7 +94,7 @@
 
 class MessagesTest(testtools.TestCase):
     @hypothesis.given(BEACONS)
-    def test_a_beacon_arrives_as_it_was(self, beacon):
+    def test_a_beacon_survives_encoding_and_decoding(self, beacon):
         data = relay.encode_beacon(beacon)
         again = relay.decode_beacon(data)
         self.assertEqual(data, relay.encode_beacon(again))
@@ -104,9 +104,9 @@
         self.assertEqual(beacon.ages, again.ages)
         self.assertEqual(beacon.silent, again.silent)
 
-    def test_an_age_is_never_told_as_less(self):
-        # Instances tell one another in circles: an age that shrank on its
-        # way would keep a dead one alive.
+    def test_the_age_of_an_instance_never_shrinks(self):
+        # Instances pass ages on in cycles: an age that shrank with every hop
+        # would keep an instance that is down looking alive.
         ages = {1: 0.01, 2: 0.1, 3: 1.21, 4: 9.99}
         beacon = relay.Beacon('n', 'z', 0, False, False, (), ages=ages)
         again = relay.decode_beacon(relay.encode_beacon(beacon))
@@ -114,9 +114,9 @@
             self.assertGreaterEqual(again.ages[digest], age)
             self.assertLess(again.ages[digest], age + 0.1)
 
-    def test_how_old_the_store_s_word_is_is_never_told_as_less(self):
-        # Passed on in circles it would stay young, however long the store is
-        # away: what waits for its word would end.
+    def test_the_age_of_a_position_never_shrinks(self):
+        # Passed on in cycles, a shrinking age would stay low however long the
+        # store is down, and retained objects would expire without its answer.
         for age in (0.0, 0.0004, 0.0016, 2.9999):
             position = relay.Position(revisions.ZERO, revisions.ZERO, age)
             beacon = relay.Beacon('n', 'z', 0, False, False, (position,))
@@ -132,13 +132,15 @@
         AGES,
         strategies.lists(ITEMS, max_size=3).map(tuple),
     )
-    def test_a_page_arrives_as_it_was(self, base, revision, whole, age, items):
+    def test_a_page_survives_encoding_and_decoding(
+        self, base, revision, whole, age, items
+    ):
         page = relay.Page(base, revision, whole, age, items)
         again = relay.decode_page(relay.encode_page(page))
         self.assertEqual(relay.encode_page(page), relay.encode_page(again))
 
     @hypothesis.given(COUNTS, REVISIONS)
-    def test_a_fetch_arrives_as_it_was(self, topic, position):
+    def test_a_fetch_survives_encoding_and_decoding(self, topic, position):
         data = relay.encode_fetch(topic, position)
         self.assertEqual((topic, position), relay.decode_fetch(data))
 
@@ -149,7 +151,7 @@
             lambda rest: msgpack.packb([1, *rest])
         )
     )
-    def test_any_bytes_give_a_message_or_an_error_with_a_code(self, data):
+    def test_any_bytes_give_a_message_or_a_decode_error(self, data):
         for decode in (
             relay.decode_beacon,
             relay.decode_fetch,
--- a/skylarkfold/tests/relay/test_peers.py
+++ b/skylarkfold/tests/relay/test_peers.py
@@ -1,4 +1,4 @@
-"""Tests of what instances know of one another."""
+"""Tests of the instances' view of the fleet."""
 
 import random
 
@@ -24,7 +24,7 @@
         self.fleet.run(8.0)
 
     def list_mates(self, name):
-        """List who an instance takes to be in its zone and reachable."""
+        """Return the reachable instances in the zone of an instance."""
         members = self.fleet.cores[name].peers.members.values()
         zone = self.fleet.zones[name]
         return {
@@ -38,15 +38,15 @@
             name for name in self.fleet.cores if self.fleet.zones[name] == zone
         }
 
-    def count_wrong(self):
-        """Count the instances that know their zone wrongly."""
+    def count_wrong_views(self):
+        """Count the instances whose view of their zone is wrong."""
         return sum(
             self.list_mates(name) != self.list_zone(self.fleet.zones[name])
             for name in self.fleet.cores
         )
 
-    def count_one_sided(self):
-        """Count neighbours that do not take an instance for theirs."""
+    def count_one_sided_links(self):
+        """Count the links that only one of the two instances has."""
         return sum(
             name not in self.fleet.cores[other].peers.list_neighbours()
             for name, core in self.fleet.cores.items()
@@ -54,33 +54,33 @@
             if other in self.fleet.cores
         )
 
-    def list_first(self):
-        """List who takes itself for the first of its zone."""
+    def list_first_zones(self):
+        """Return the zones of all instances that rank themselves first."""
         return sorted(
             self.fleet.zones[name]
             for name, core in self.fleet.cores.items()
             if core.peers.compute_rank() == 0
         )
 
-    def test_nobody_is_taken_for_lost_while_all_are_there(self):
+    def test_nobody_is_unreachable_while_all_are_up(self):
         for _ in range(40):
             self.fleet.run(0.5)
-            self.assertEqual(0, self.count_wrong())
-            self.assertEqual(0, self.count_one_sided())
+            self.assertEqual(0, self.count_wrong_views())
+            self.assertEqual(0, self.count_one_sided_links())
 
-    def test_each_zone_has_one_first(self):
+    def test_each_zone_has_one_first_instance(self):
         self.fleet.run(10.0)
-        self.assertEqual(sorted(ZONES), self.list_first())
+        self.assertEqual(sorted(ZONES), self.list_first_zones())
 
-    def test_the_dead_are_known_to_their_zone_within_two_seconds(self):
+    def test_ended_instances_are_unreachable_within_two_seconds(self):
         for name in sorted(self.list_zone('b'))[:4]:
             self.fleet.end(name)
         self.fleet.run(2.0)
-        self.assertEqual(0, self.count_wrong())
+        self.assertEqual(0, self.count_wrong_views())
         for _ in range(24):
-            # They don't come back in what others still tell of them.
+            # Gossip that is still under way doesn't bring them back.
             self.fleet.run(0.5)
-            self.assertEqual(0, self.count_wrong())
+            self.assertEqual(0, self.count_wrong_views())
 
     def test_the_first_of_a_zone_is_replaced_within_two_seconds(self):
         for zone in ZONES:
@@ -90,9 +90,9 @@
             }
             self.fleet.end(min(ranks, key=ranks.get))
         self.fleet.run(2.0)
-        self.assertEqual(sorted(ZONES), self.list_first())
+        self.assertEqual(sorted(ZONES), self.list_first_zones())
 
-    def test_one_that_was_silent_for_a_while_comes_back(self):
+    def test_an_instance_is_reachable_again_after_a_partition(self):
         chosen = sorted(self.list_zone('c'))[2]
         self.fleet.cut = lambda one, other: chosen in (one, other)
         self.fleet.run(5.0)
@@ -100,24 +100,24 @@
         self.assertNotIn(chosen, self.list_mates(min(others)))
         self.fleet.cut = lambda one, other: False
         self.fleet.run(4.0)
-        self.assertEqual(0, self.count_wrong())
-        self.assertEqual(0, self.count_one_sided())
+        self.assertEqual(0, self.count_wrong_views())
+        self.assertEqual(0, self.count_one_sided_links())
 
-    def test_a_zone_that_was_cut_off_is_linked_again(self):
+    def test_a_zone_is_linked_again_after_a_partition(self):
         inside = self.list_zone('a')
         self.fleet.cut = lambda one, other: (
             (one in inside) != (other in inside)
         )
         self.fleet.run(15.0)
-        self.assertEqual(0, self.count_wrong())
+        self.assertEqual(0, self.count_wrong_views())
         self.fleet.cut = lambda one, other: False
         self.fleet.run(3.0)
-        self.assertEqual(0, self.count_wrong())
-        self.assertEqual(0, self.count_one_sided())
+        self.assertEqual(0, self.count_wrong_views())
+        self.assertEqual(0, self.count_one_sided_links())
 
 
 class PauseTest(testtools.TestCase):
-    def test_one_that_stood_still_does_not_bring_back_the_dead(self):
+    def test_a_paused_instance_does_not_revive_ended_ones(self):
         settings = relay.RelaySettings(topics=fleet_module.TOPICS)
         core = relay.RelayCore('one', 'a', '10.0.0.1', settings)
         positions = (relay.Position(revisions.ZERO, revisions.ZERO, None),) * 2
@@ -128,7 +128,7 @@
         _, ages = core.peers.gossip.choose_for_zone(5.0)
         (age,) = ages.values()
         self.assertAlmostEqual(4.9, age)
-        # It has the time to be heard again.
+        # The instance gets time to be heard again.
         self.assertTrue(core.peers.members['two'].is_reachable)
         core.tick(5.5)
         core.tick(6.0)
@@ -137,7 +137,7 @@
 
 
 class RandomChangesTest(testtools.TestCase):
-    """Whatever happened, five calm seconds later all agree again."""
+    """All views agree again five seconds after random faults."""
 
     ACTIONS = ('end', 'start', 'restart', 'cut', 'loss', 'heal', 'all')
 
@@ -154,7 +154,7 @@
         ),
     )
     @hypothesis.settings(max_examples=40, deadline=None)
-    def test_views_meet_again(self, size, steps):
+    def test_views_agree_again(self, size, steps):
         fleet = fleet_module.Fleet(
             tuple(ZONES[number % len(ZONES)] for number in range(size))
         )
@@ -168,7 +168,7 @@
         for _ in range(2):
             for name, core in fleet.cores.items():
                 self.check_view(fleet, name, core)
-            # Names that are still told don't spoil it later.
+            # Gossip that is still under way doesn't change that later.
             fleet.run(10.0)
 
     def perform(self, fleet, action, drawn):
--- a/skylarkfold/tests/relay/test_propagation.py
+++ b/skylarkfold/tests/relay/test_propagation.py
@@ -1,4 +1,4 @@
-"""Tests of how changes reach every instance."""
+"""Tests of the propagation of changes to every instance."""
 
 import hypothesis
 from hypothesis import strategies
@@ -25,10 +25,10 @@
         newest = self.fleet.store.objects['routes']['main'].revision
         return set(revisions.values()) == {newest}
 
-    def test_all_know_what_was_there_before(self):
+    def test_all_know_objects_from_before_their_start(self):
         self.assertTrue(self.is_everywhere())
 
-    def test_a_small_change_is_everywhere_within_a_tenth_of_a_second(self):
+    def test_a_small_change_reaches_all_within_a_tenth_of_a_second(self):
         self.fleet.store.put('routes', 'main', {'version': 2})
         self.fleet.run(0.1)
         self.assertTrue(self.is_everywhere())
@@ -38,7 +38,7 @@
         self.fleet.run(0.1)
         self.assertTrue(self.is_everywhere())
 
-    def test_calls_grow_with_zones(self):
+    def test_calls_grow_with_zones_only(self):
         before = self.fleet.store.calls.total()
         for version in range(20):
             self.fleet.run(1.0)
@@ -49,7 +49,7 @@
             self.fleet.store.calls.total() - before, 3 * (20 + 2 * 8)
         )
 
-    def test_nobody_watches_before_it_knows_who_has_that_duty(self):
+    def test_no_instance_watches_before_it_knows_its_rank(self):
         calls = []
         for seconds in (0.0, relay.RelaySettings().duty_seconds):
             settings = relay.RelaySettings(
@@ -57,17 +57,17 @@
             )
             fleet = fleet_module.Fleet(ZONES, settings)
             fleet.store.put('routes', 'main', {'version': 1})
-            # Those that are ready first hear nobody yet.
+            # The first instances that are ready can't hear the others yet.
             fleet.cut = lambda one, other: other != fleet_module.STORE
             fleet.run(0.4)
             fleet.cut = lambda one, other: False
             fleet.run(1.6)
             calls.append(fleet.store.calls.total())
-        # A listing of two topics each, and a watch of each in three zones.
+        # Each instance lists two topics; three zones watch both.
         self.assertLessEqual(calls[1], 2 * len(ZONES) + 2 * 3)
         self.assertGreater(calls[0], calls[1])
 
-    def test_an_instance_that_the_store_turns_away_is_told_by_others(self):
+    def test_instances_without_the_store_learn_changes_from_others(self):
         self.fleet.cut = lambda one, other: (
             other == fleet_module.STORE
             and one in ('entry-0', 'entry-1', 'entry-2', 'entry-3')
@@ -77,7 +77,7 @@
         self.fleet.run(0.5)
         self.assertTrue(self.is_everywhere())
 
-    def test_the_end_of_all_watchers_is_made_up_for(self):
+    def test_other_instances_substitute_for_ended_watchers(self):
         for zone in 'abc':
             first = min(
                 (
@@ -92,7 +92,7 @@
         self.fleet.run(2.0)
         self.assertTrue(self.is_everywhere())
 
-    def test_a_zone_that_was_cut_off_learns_what_it_missed(self):
+    def test_a_zone_learns_missed_changes_after_a_partition(self):
         zones = self.fleet.zones
 
         def is_cut(one, other):
@@ -107,26 +107,26 @@
         self.fleet.run(1.2)
         self.assertTrue(self.is_everywhere())
 
-    def test_connections_that_fell_silent_hide_no_change_for_long(self):
-        # All watches began just now, so that none of them ends soon.
+    def test_hanging_connections_do_not_hide_changes_for_long(self):
+        # All watches have just started, so that none of them ends soon.
         fleet = fleet_module.Fleet(ZONES)
         fleet.run(1.0)
         fleet.store.put('routes', 'main', {'version': 2})
         fleet.run(0.3)
         fleet.silent_before = fleet.now
         fleet.store.put('routes', 'main', {'version': 3})
-        # The platform takes connections for stable 4 s after a fault.
+        # The platform counts connections as stable 4 s after a fault.
         fleet.run(3.7)
         revisions = fleet.get_revisions('routes', 'main')
         self.assertEqual({fleet.store.revision}, set(revisions.values()))
 
-    def test_a_newcomer_learns_from_its_peers_while_the_store_is_down(self):
+    def test_a_new_instance_learns_from_peers_while_the_store_is_down(self):
         self.fleet.is_store_down = True
         self.fleet.start('entry-9', 'c')
         self.fleet.run(0.2)
         self.assertTrue(self.is_everywhere())
 
-    def test_a_deletion_during_a_cut_is_not_brought_back(self):
+    def test_a_deletion_during_a_partition_is_not_undone(self):
         self.fleet.store.put('upstreams', 'one', {'n': 1})
         self.fleet.run(0.5)
         zones = self.fleet.zones
@@ -142,7 +142,7 @@
         revisions = self.fleet.get_revisions('upstreams', 'one')
         self.assertEqual({0}, set(revisions.values()))
 
-    def test_a_forgotten_history_is_listed_again(self):
+    def test_a_listing_replaces_a_forgotten_history(self):
         self.fleet.is_store_down = True
         self.fleet.run(2.0)
         self.fleet.store.put('routes', 'main', {'version': 2})
@@ -151,7 +151,7 @@
         self.fleet.run(3.0)
         self.assertTrue(self.is_everywhere())
 
-    def test_no_instance_goes_back(self):
+    def test_no_instance_reverts_to_an_older_revision(self):
         for version in range(2, 12):
             self.fleet.store.put('routes', 'main', {'version': version})
             self.fleet.run(0.03)
@@ -161,11 +161,11 @@
             self.assertGreaterEqual(changed.revision, seen.get(key, 0))
             seen[key] = changed.revision
 
-    def test_a_deletion_that_a_listing_can_t_show_is_passed_over_by_nobody(
+    def test_a_deletion_that_a_listing_does_not_show_is_not_missed(
         self,
     ):
-        # One that lists for the first time knows no deletions, and tells of
-        # the last change among what there is.
+        # An instance that lists for the first time knows no deletions, so the
+        # last change in its listing must not count as its last change.
         topics = fleet_module.TOPICS
         settings = relay.RelaySettings(topics=topics)
         ahead = relay.RelayCore('ahead', 'a', 'h-0', settings)
@@ -192,12 +192,12 @@
 
     @staticmethod
     def list_all(core, store):
-        """Have an instance list all topics."""
+        """Let an instance list all topics."""
         for topic in fleet_module.TOPICS:
             call = relay.Call(topic, None, '', 0.0, 1.0)
             core.handle_answer(0.0, call, store.list(topic))
 
-    def test_duties_go_to_the_largest_instance_of_a_zone(self):
+    def test_the_largest_instance_of_a_zone_ranks_first(self):
         self.fleet.start('large', 'a', capacity=20)
         self.fleet.run(2.0)
         for name, core in self.fleet.cores.items():
@@ -205,7 +205,7 @@
             if self.fleet.zones[name] == 'a':
                 self.assertEqual(name == 'large', rank == 0)
 
-    def test_a_beacon_of_a_stranger_with_other_topics_is_ignored(self):
+    def test_a_beacon_with_other_topics_is_ignored(self):
         core = self.fleet.cores['entry-0']
         beacon = relay.Beacon('x', 'a', 0, False, False, ())
         (event,) = core.handle_beacon(self.fleet.now, 'x', beacon)
@@ -213,8 +213,8 @@
 
 
 class SeedsTest(testtools.TestCase):
-    def count_approaches(self, members):
-        """Count beacons to a lost seed of one of many instances in 20 s."""
+    def count_contacts(self, members):
+        """Count the beacons of an instance to an unreachable seed in 20 s."""
         settings = relay.RelaySettings(topics=fleet_module.TOPICS)
         core = relay.RelayCore('one', 'a', '10.0.0.1', settings)
         core.set_seeds(('10.9.9.9',))
@@ -232,11 +232,11 @@
                     count += '10.9.9.9' in wanted.hosts
         return count
 
-    def test_a_lost_seed_is_tried_each_second_by_few(self):
-        self.assertEqual(20, self.count_approaches(5))
+    def test_a_small_fleet_contacts_an_unreachable_seed_each_second(self):
+        self.assertEqual(20, self.count_contacts(5))
 
-    def test_one_of_many_tries_it_now_and_then(self):
-        self.assertLessEqual(self.count_approaches(100), 1)
+    def test_a_large_fleet_contacts_an_unreachable_seed_rarely(self):
+        self.assertLessEqual(self.count_contacts(100), 1)
 
 
 class RandomFaultsTest(testtools.TestCase):
@@ -313,12 +313,12 @@
         self.assertFalse(core.may_leave(fleet.now))
         fleet.start('entry-1', 'a')
         fleet.run(0.3)
-        # Heard again, but no readiness check can have seen it yet.
+        # It is reachable again, but no readiness check can have passed yet.
         self.assertFalse(core.may_leave(fleet.now))
         fleet.run(0.7)
         self.assertTrue(core.may_leave(fleet.now))
 
-    def test_one_that_leaves_is_not_counted_by_the_next(self):
+    def test_an_instance_that_leaves_is_not_counted_as_in_rotation(self):
         fleet = fleet_module.Fleet(('a', 'a', 'a', 'b'))
         fleet.run(2.0)
         first, second = fleet.cores['entry-0'], fleet.cores['entry-1']
--- a/skylarkfold/tests/relay/test_rate_limiter.py
+++ b/skylarkfold/tests/relay/test_rate_limiter.py
@@ -1,22 +1,24 @@
-"""Tests of what reports of loads cost."""
+"""Tests of the bytes that load reports take."""
 
 import testtools
 
 from skylarkfold.measure import _relay_fleet
 from skylarkfold import upstream_load
 
-# What an instance may spend on control at the full size.
+# The limit for the control traffic of an instance in a full-size fleet.
 BUDGET_BYTES = 11 * 1024
 SECONDS = 10.0
 
 
-def tell_loads(fleet, upstreams):
-    """Have every instance tell loads of some upstreams."""
+def report_loads(fleet, upstreams):
+    """Have every instance report loads of some upstreams."""
     for core in fleet.cores.values():
         core.set_loads(
             {
-                token: upstream_load.UpstreamLoad(1 + token % 3, 0.2)
-                for token in range(1 << 31, (1 << 31) + upstreams)
+                incarnation: upstream_load.UpstreamLoad(
+                    1 + incarnation % 3, 0.2
+                )
+                for incarnation in range(1 << 31, (1 << 31) + upstreams)
             }
         )
 
@@ -26,12 +28,12 @@
         zones = tuple(f'zone-{number % 3}' for number in range(instances))
         fleet = _relay_fleet.Fleet(zones)
         fleet.run(4.0)
-        tell_loads(fleet, upstreams)
+        report_loads(fleet, upstreams)
         fleet.sent.clear()
         fleet.run(SECONDS)
         return fleet
 
-    def test_a_small_fleet_is_told_with_each_beacon(self):
+    def test_small_reports_are_in_each_beacon(self):
         fleet = self.measure(7, 10)
         core = next(iter(fleet.cores.values()))
         settings = fleet.settings
@@ -44,19 +46,19 @@
         ]
         self.assertTrue(mates)
 
-    def test_many_upstreams_cost_no_more_than_control_may(self):
+    def test_reports_on_many_upstreams_stay_within_the_limit(self):
         for instances, upstreams in ((30, 75), (30, 3800)):
             fleet = self.measure(instances, upstreams)
             spent = max(fleet.sent.values()) / SECONDS
             self.assertLess(spent, BUDGET_BYTES, (instances, upstreams))
 
-    def test_the_busiest_are_told_where_not_all_fit(self):
+    def test_the_busiest_upstreams_are_reported_if_not_all_fit(self):
         fleet = self.measure(7, 10)
         name, core = next(iter(fleet.cores.items()))
         core.set_loads(
             {
-                token: upstream_load.UpstreamLoad(1, token / 1000)
-                for token in range(1, 1000)
+                incarnation: upstream_load.UpstreamLoad(1, incarnation / 1000)
+                for incarnation in range(1, 1000)
             }
         )
         fleet.run(SECONDS)
--- a/skylarkfold/tests/relay/test_retained.py
+++ b/skylarkfold/tests/relay/test_retained.py
@@ -1,6 +1,6 @@
-"""Tests of what instances go on with that the store has lost.
+"""Tests of objects that are retained after the store was restored.
 
-It came back from an older copy, and its writers have not written again yet.
+The store has lost them, and their writers haven't written them again yet.
 """
 
 import hypothesis
@@ -23,14 +23,14 @@
     lasting_seconds=LASTING_SECONDS,
 )
 REWRITE_SECONDS = SETTINGS.rewrite_seconds
-# By when the store's return is known, and its word about something due is.
-HEARD_SECONDS = 0.5
-# A watch that began before the return ends at last.
+# By when an answer of the store has reached all instances.
+ANSWERED_SECONDS = 0.5
+# By when a watch that was started before the return has ended.
 RETURN_SECONDS = SETTINGS.wait_seconds + SETTINGS.overdue_seconds
 
 
-class ByVersion:
-    """Routes have a version of their own, whatever was written when."""
+class VersionPolicy:
+    """Retention policy that compares the versions in routes."""
 
     def compute_retention_seconds(self, topic, former, current, is_fresh):
         if topic != ROUTES:
@@ -42,7 +42,7 @@
 class RetainedTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.fleet = fleet_module.Fleet(ZONES, SETTINGS, ByVersion())
+        self.fleet = fleet_module.Fleet(ZONES, SETTINGS, VersionPolicy())
         self.store = self.fleet.store
         self.store.put(ROUTES, 'main', {'version': 1})
         self.store.put(UPSTREAMS, 'old', {'state': 'ready'})
@@ -55,8 +55,8 @@
         self.store.put(UPSTREAMS, 'ended', None)
         self.fleet.run(1.0)
 
-    def come_back(self):
-        """Have the store come back, as all see within half a second."""
+    def restore_store(self):
+        """Restore the store and wait until all instances know it."""
         self.fleet.is_store_down = True
         self.fleet.run(RETURN_SECONDS)
         self.store.restore(self.saved)
@@ -95,45 +95,45 @@
             if event.reason == reason and event.details.get('topic') == topic
         }
 
-    def test_a_confirmed_configuration_does_not_come_back_older(self):
-        self.come_back()
+    def test_a_configuration_does_not_revert_to_an_older_version(self):
+        self.restore_store()
         self.assertEqual({8}, self.list_versions())
         self.assertEqual({1}, self.count_retained(ROUTES))
         self.assertEqual(
             set(self.fleet.cores), self.list_events('retained', ROUTES)
         )
 
-    def test_what_is_written_again_is_the_store_s_word_again(self):
-        self.come_back()
+    def test_a_repeated_write_ends_the_retention(self):
+        self.restore_store()
         self.store.put(ROUTES, 'main', {'version': 8})
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({8}, self.list_versions())
         self.assertEqual({0}, self.count_retained(ROUTES))
         self.assertEqual(
             set(self.fleet.cores), self.list_events('written-again', ROUTES)
         )
 
-    def test_lost_versions_that_are_written_again_in_turn_lead_nobody_back(
+    def test_lost_versions_that_are_repeated_in_order_revert_nothing(
         self,
     ):
-        self.come_back()
+        self.restore_store()
         for version in (3, 5, 8):
             self.store.put(ROUTES, 'main', {'version': version})
-            self.fleet.run(HEARD_SECONDS)
+            self.fleet.run(ANSWERED_SECONDS)
             self.assertEqual({8}, self.list_versions())
         self.assertEqual({0}, self.count_retained(ROUTES))
 
-    def test_a_later_version_counts_at_once(self):
-        self.come_back()
+    def test_a_later_version_is_in_force_at_once(self):
+        self.restore_store()
         self.store.put(ROUTES, 'main', {'version': 9})
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({9}, self.list_versions())
 
-    def test_what_is_never_written_again_ends(self):
-        self.come_back()
+    def test_an_object_that_is_never_written_again_expires(self):
+        self.restore_store()
         self.fleet.run(LASTING_SECONDS - 2.0)
         self.assertEqual({8}, self.list_versions())
-        self.fleet.run(2.0 + HEARD_SECONDS)
+        self.fleet.run(2.0 + ANSWERED_SECONDS)
         self.assertEqual({1}, self.list_versions())
         self.assertEqual(
             set(self.fleet.cores), self.list_events('given-up', ROUTES)
@@ -147,40 +147,40 @@
             {(name, ('main',)) for name in self.fleet.cores}, changed
         )
 
-    def test_a_lower_version_counts_once_that_has_ended(self):
-        self.come_back()
-        self.fleet.run(LASTING_SECONDS + HEARD_SECONDS)
+    def test_a_lower_version_is_in_force_after_the_expiry(self):
+        self.restore_store()
+        self.fleet.run(LASTING_SECONDS + ANSWERED_SECONDS)
         self.store.put(ROUTES, 'main', {'version': 2})
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({2}, self.list_versions())
 
-    def test_an_entry_that_the_copy_lacks_stays_until_it_is_back(self):
-        self.come_back()
+    def test_a_lost_upstream_is_retained_until_it_is_written_again(self):
+        self.restore_store()
         self.assertEqual({('new', 'old')}, self.list_upstreams())
         self.store.put(UPSTREAMS, 'new', {'state': 'ready'})
-        self.fleet.run(REWRITE_SECONDS + HEARD_SECONDS)
+        self.fleet.run(REWRITE_SECONDS + ANSWERED_SECONDS)
         self.store.put(UPSTREAMS, 'ended', None)
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({('new', 'old')}, self.list_upstreams())
         self.assertEqual({0}, self.count_retained(UPSTREAMS))
 
-    def test_an_entry_that_is_not_back_in_time_is_gone(self):
-        self.come_back()
+    def test_an_upstream_that_is_not_written_again_expires(self):
+        self.restore_store()
         self.fleet.run(REWRITE_SECONDS - 1.2)
         self.assertEqual({('new', 'old')}, self.list_upstreams())
-        self.fleet.run(1.2 + HEARD_SECONDS)
-        # And one that was deleted stands again for longer than that.
+        self.fleet.run(1.2 + ANSWERED_SECONDS)
+        # An object whose deletion was lost is back as well.
         self.assertEqual({('ended', 'old')}, self.list_upstreams())
 
-    def test_one_that_was_deleted_and_is_created_anew_is_there_at_once(self):
-        self.come_back()
+    def test_a_deleted_upstream_that_is_created_again_exists_at_once(self):
+        self.restore_store()
         self.store.put(UPSTREAMS, 'ended', None)
         self.store.put(UPSTREAMS, 'ended', {'state': 'ready'})
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({('ended', 'new', 'old')}, self.list_upstreams())
 
-    def test_one_that_was_created_again_before_it_was_heard_is_there(self):
-        # The listing after the return has another object of that name.
+    def test_an_upstream_created_again_before_the_listing_exists(self):
+        # The listing after the return has a new object with the same path.
         self.fleet.is_store_down = True
         self.fleet.run(RETURN_SECONDS)
         self.store.restore(self.saved)
@@ -190,8 +190,8 @@
         self.fleet.run(1.2)
         self.assertEqual({('ended', 'new', 'old')}, self.list_upstreams())
 
-    def test_the_time_counts_only_while_the_store_is_heard(self):
-        self.come_back()
+    def test_retained_objects_expire_only_with_an_answer_of_the_store(self):
+        self.restore_store()
         self.fleet.is_store_down = True
         self.fleet.run(20.0)
         self.assertEqual({('new', 'old')}, self.list_upstreams())
@@ -201,9 +201,10 @@
         self.assertEqual({('ended', 'old')}, self.list_upstreams())
         self.assertEqual({1}, self.list_versions())
 
-    def test_over_two_returns_it_is_kept(self):
-        self.come_back()
-        # Between two words of the store, so that no watch hangs across it.
+    def test_objects_are_retained_over_two_returns(self):
+        self.restore_store()
+        # No watch is under way at the return, since this is between two
+        # answers of the store.
         self.store.restore(self.saved)
         eras = set()
         while eras != {3}:
@@ -215,35 +216,36 @@
                 for core in self.fleet.cores.values()
                 for topic in fleet_module.TOPICS
             }
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({('new', 'old')}, self.list_upstreams())
         self.assertEqual({8}, self.list_versions())
         self.fleet.run(LASTING_SECONDS + RETURN_SECONDS)
         self.assertEqual({('ended', 'old')}, self.list_upstreams())
         self.assertEqual({1}, self.list_versions())
 
-    def test_one_that_starts_now_learns_it_from_its_peers(self):
-        self.come_back()
+    def test_a_new_instance_learns_retained_objects_from_peers(self):
+        self.restore_store()
         self.fleet.start('newcomer', 'b')
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         self.assertEqual({8}, self.list_versions())
         self.assertEqual({('new', 'old')}, self.list_upstreams())
 
-    def test_one_that_knows_only_the_copy_learns_it_when_it_meets_them(self):
-        self.come_back()
+    def test_retained_objects_are_learnt_after_a_partition(self):
+        self.restore_store()
         self.fleet.cut = lambda one, other: (
             one == 'newcomer' and other != fleet_module.STORE
         )
         self.fleet.start('newcomer', 'b')
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         (item,) = self.fleet.cores['newcomer'].list_items(ROUTES)
         self.assertEqual(1, item.value['version'])
         self.fleet.cut = lambda one, other: False
         self.fleet.run(1.5)
         self.assertEqual({8}, self.list_versions())
 
-    def test_what_a_peer_retains_is_no_news_to_who_knows_later(self):
-        # It was behind when the store went: it retains what is deleted.
+    def test_a_peer_s_retained_objects_do_not_override_later_versions(self):
+        # The peer missed a deletion before the return, so it retains the
+        # object.
         core = self.fleet.cores['entry-0']
         position = core.get_position(UPSTREAMS)
         era = position.era + 1
@@ -262,47 +264,47 @@
         paths = [each.path for each in core.list_items(UPSTREAMS)]
         self.assertEqual(['new', 'old'], sorted(paths))
 
-    def test_what_is_passed_on_ends_with_the_first_who_knew(self):
-        self.come_back()
+    def test_a_retained_object_that_is_passed_on_expires_in_time(self):
+        self.restore_store()
         for number in range(5):
             self.fleet.run(1.0)
             self.fleet.start(f'newcomer-{number}', 'b')
-        self.fleet.run(LASTING_SECONDS - 5.0 + 2 * HEARD_SECONDS)
+        self.fleet.run(LASTING_SECONDS - 5.0 + 2 * ANSWERED_SECONDS)
         self.assertEqual({1}, self.list_versions())
         self.assertEqual({0}, self.count_retained(ROUTES))
 
-    def test_nothing_is_settled_before_its_writers_had_time(self):
-        self.come_back()
+    def test_a_topic_is_settled_after_its_writers_had_time(self):
+        self.restore_store()
         cores = self.fleet.cores.values()
         self.assertEqual({False}, {each.is_settled(ROUTES) for each in cores})
         self.store.put(ROUTES, 'main', {'version': 8})
         self.store.put(UPSTREAMS, 'new', {'state': 'ready'})
         self.store.put(UPSTREAMS, 'ended', None)
-        self.fleet.run(REWRITE_SECONDS + HEARD_SECONDS)
+        self.fleet.run(REWRITE_SECONDS + ANSWERED_SECONDS)
         for topic in fleet_module.TOPICS:
             settled = {each.is_settled(topic) for each in cores}
             self.assertEqual({True}, settled)
 
-    def test_one_that_starts_among_others_is_settled_at_once(self):
+    def test_a_new_instance_among_others_is_settled_at_once(self):
         self.fleet.run(REWRITE_SECONDS)
         self.fleet.start('newcomer', 'b')
-        self.fleet.run(HEARD_SECONDS)
+        self.fleet.run(ANSWERED_SECONDS)
         core = self.fleet.cores['newcomer']
         self.assertTrue(core.is_settled(ROUTES))
 
-    def test_after_a_start_of_all_routes_are_settled_before_a_stable_time(
+    def test_routes_are_settled_in_time_after_a_start_of_the_fleet(
         self,
     ):
         # The platform counts a machine as stable 4 s after its start.
-        fleet = fleet_module.Fleet(ZONES, SETTINGS, ByVersion())
+        fleet = fleet_module.Fleet(ZONES, SETTINGS, VersionPolicy())
         fleet.store.put(ROUTES, 'main', {'version': 1})
         fleet.run(REWRITE_SECONDS - 0.2)
         cores = fleet.cores.values()
         self.assertEqual({False}, {each.is_settled(ROUTES) for each in cores})
-        fleet.run(0.2 + HEARD_SECONDS)
+        fleet.run(0.2 + ANSWERED_SECONDS)
         self.assertEqual({True}, {each.is_settled(ROUTES) for each in cores})
 
-    def test_the_calls_of_a_return_are_those_of_the_watchers(self):
+    def test_only_watchers_call_the_store_after_a_return(self):
         self.fleet.is_store_down = True
         self.fleet.run(2.0)
         self.store.restore(self.saved)
@@ -311,7 +313,7 @@
         self.fleet.run(LASTING_SECONDS + RETURN_SECONDS)
         calls = self.store.calls.total() - before
         # For each topic and zone: a watch that fails, a listing, a watch each
-        # 3 s, and two short ones until something is settled.
+        # 3 s, and two short ones until the topic is settled.
         watches = (LASTING_SECONDS + RETURN_SECONDS) / 3.0 + 1
         self.assertLessEqual(calls, 2 * 3 * (2 + watches + 2))
 
@@ -331,9 +333,9 @@
         )
     )
     @hypothesis.settings(max_examples=60, deadline=None)
-    def test_no_version_goes_back_and_all_agree_in_the_end(self, steps):
-        """An operator writes again what the store lost, within 2 s."""
-        fleet = fleet_module.Fleet(ZONES, SETTINGS, ByVersion())
+    def test_no_version_reverts_and_all_agree_in_the_end(self, steps):
+        """An operator repeats lost writes within 2 s."""
+        fleet = fleet_module.Fleet(ZONES, SETTINGS, VersionPolicy())
         operator = Operator(fleet)
         operator.write()
         fleet.run(1.0)
@@ -348,23 +350,23 @@
                 fleet.store.restore(saved)
                 operator.write_again_at = fleet.now + 2.0
             elif kind == 'late':
-                operator.write_in_turn()
+                operator.write_earlier_version()
             else:
                 test_eras.inject_fault(fleet, kind, number, count)
             operator.run(seconds)
-            self.look(fleet, seen)
+            self.check_versions(fleet, seen)
         fleet.cut = lambda one, other: False
         fleet.is_store_down = False
         for _ in range(12):
             operator.run(1.0)
-            self.look(fleet, seen)
+            self.check_versions(fleet, seen)
         for core in fleet.cores.values():
             (item,) = core.list_items(ROUTES)
             self.assertEqual(operator.version, item.value['version'])
             self.assertEqual(0, core.count_retained(ROUTES))
 
-    def look(self, fleet, seen):
-        """See to it that no instance has gone back."""
+    def check_versions(self, fleet, seen):
+        """Check that no instance has reverted to an older version."""
         for core in fleet.cores.values():
             for item in core.list_items(ROUTES):
                 version = item.value['version']
@@ -373,7 +375,7 @@
 
 
 class Operator:
-    """Writes configurations, and again what the store has lost."""
+    """Operator who writes configurations and repeats lost writes."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -385,13 +387,13 @@
         self.fleet.store.put(ROUTES, 'main', {'version': self.version})
         self.write_again_at = None
 
-    def write_in_turn(self):
-        """Write again an earlier one of those that are to be written again."""
+    def write_earlier_version(self):
+        """Repeat an earlier write while a lost one is still to be repeated."""
         if self.write_again_at is not None:
             self.fleet.store.put(ROUTES, 'main', {'version': 1})
 
     def run(self, seconds):
-        """Let time pass."""
+        """Run the fleet, with a repeated write when it is due."""
         at = self.write_again_at
         if at is not None and at <= self.fleet.now + seconds:
             self.fleet.run(max(0.0, at - self.fleet.now))
--- a/skylarkfold/tests/relay/test_shared.py
+++ b/skylarkfold/tests/relay/test_shared.py
@@ -1,4 +1,4 @@
-"""Tests of a topic that the whole fleet has one set of watchers for."""
+"""Tests of a shared topic, with one set of watchers for the whole fleet."""
 
 import hypothesis
 from hypothesis import strategies
@@ -13,7 +13,7 @@
 # How soon an evacuation must be in force.
 BOUND_SECONDS = 5.0
 REST_SECONDS = 30.0
-# After a start of all, by when each knows whose duty it is to watch.
+# By when all instances know the watchers after a start of the fleet.
 STARTED_SECONDS = 6.0
 WAIT_SECONDS = 3.0
 
@@ -31,14 +31,14 @@
         self.fleet = build_fleet()
         self.fleet.run(3.0)
 
-    def list_late(self):
-        """List the instances that don't know the newest."""
+    def list_outdated(self):
+        """Return the instances that lack the newest version."""
         found = self.fleet.get_revisions(TOPIC, 'a')
         newest = self.fleet.store.objects[TOPIC]['a'].revision
         return sorted(name for name in found if found[name] != newest)
 
-    def find_first(self, zone):
-        """Find the instance that has a zone's duties."""
+    def find_watcher(self, zone):
+        """Return the instance with the lowest rank in a zone."""
         cores = self.fleet.cores
         return next(
             name
@@ -59,21 +59,22 @@
 
         self.fleet.cut = is_cut
 
-    def test_a_start_costs_a_listing_each_and_a_watch_in_each_zone(self):
-        # The first watch begins 1.2 s after the start and brings its word
-        # after 4.2 s; the other zones' heads ask once when theirs is 4 s old.
+    def test_a_start_takes_a_listing_each_and_a_watch_in_each_zone(self):
+        # The first watch starts 1.2 s after the start and is answered after
+        # 4.2 s; the first instances of the other zones call once when their
+        # last answer is 4 s old.
         self.fleet.run(STARTED_SECONDS - 3.0)
         calls = self.fleet.store.calls[TOPIC]
         self.assertLessEqual(calls, len(ZONES) + 2 + 2)
 
-    def test_at_rest_one_instance_watches_for_all(self):
+    def test_one_instance_watches_for_the_fleet(self):
         self.fleet.run(STARTED_SECONDS - 3.0)
         before = self.fleet.store.calls[TOPIC]
         self.fleet.run(REST_SECONDS)
         calls = self.fleet.store.calls[TOPIC] - before
         self.assertLessEqual(calls, REST_SECONDS / WAIT_SECONDS + 1)
 
-    def test_one_that_is_not_shared_costs_a_watch_in_each_zone(self):
+    def test_a_topic_that_is_not_shared_takes_a_watch_in_each_zone(self):
         fleet = build_fleet(shared=())
         fleet.run(3.0)
         before = fleet.store.calls[TOPIC]
@@ -81,36 +82,36 @@
         calls = fleet.store.calls[TOPIC] - before
         self.assertGreater(calls, 2.5 * REST_SECONDS / WAIT_SECONDS)
 
-    def test_a_change_is_everywhere_within_a_tenth_of_a_second(self):
+    def test_a_change_reaches_all_within_a_tenth_of_a_second(self):
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(0.1)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_the_end_of_the_watcher_is_made_up_for(self):
-        self.fleet.end(self.find_first('a'))
+    def test_another_instance_substitutes_for_an_ended_watcher(self):
+        self.fleet.end(self.find_watcher('a'))
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_the_end_of_its_whole_zone_is_made_up_for(self):
+    def test_another_zone_substitutes_for_the_watcher_s_zone(self):
         for name, zone in list(self.fleet.zones.items()):
             if zone == 'a':
                 self.fleet.end(name)
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_a_watcher_that_the_store_turns_away_is_made_up_for(self):
-        first = self.find_first('a')
+    def test_an_instance_substitutes_for_a_watcher_without_the_store(self):
+        first = self.find_watcher('a')
         self.fleet.cut = lambda one, other: (
             (one, other) == (first, fleet_module.STORE)
         )
         self.fleet.run(1.0)
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_a_zone_that_the_store_turns_away_is_told_by_others(self):
+    def test_a_zone_without_the_store_learns_changes_from_others(self):
         zones = self.fleet.zones
         self.fleet.cut = lambda one, other: (
             zones.get(one) == 'a' and other == fleet_module.STORE
@@ -118,41 +119,41 @@
         self.fleet.run(1.0)
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_a_zone_that_is_cut_off_asks_for_itself(self):
+    def test_a_zone_that_is_cut_off_calls_the_store_itself(self):
         for zone in 'abc':
             self.fleet.cut = lambda one, other: False
             self.fleet.run(BOUND_SECONDS)
             self.cut_zone(zone, is_store_cut=False)
             self.fleet.store.put(TOPIC, 'a', {'cut': zone})
             self.fleet.run(BOUND_SECONDS)
-            self.assertEqual([], self.list_late(), zone)
+            self.assertEqual([], self.list_outdated(), zone)
 
-    def test_a_zone_that_was_cut_off_from_all_learns_it_on_return(self):
+    def test_a_zone_learns_a_change_after_a_full_partition(self):
         self.cut_zone('a', is_store_cut=True)
         self.fleet.run(1.0)
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual(3, len(self.list_late()))
+        self.assertEqual(3, len(self.list_outdated()))
         self.fleet.cut = lambda one, other: False
         self.fleet.run(1.5)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_connections_that_fell_silent_hide_no_change_for_long(self):
+    def test_hanging_connections_do_not_hide_changes_for_long(self):
         self.fleet.silent_before = self.fleet.now
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_a_history_that_is_forgotten_hides_no_change(self):
+    def test_a_forgotten_history_hides_no_change(self):
         self.fleet.store.put(TOPIC, 'b', {})
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.store.forget()
         self.fleet.run(BOUND_SECONDS)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_a_request_is_never_taken_back_by_an_older_view(self):
+    def test_a_deletion_is_never_undone_by_an_older_view(self):
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(0.5)
         self.cut_zone('b', is_store_cut=True)
@@ -164,16 +165,16 @@
         revisions = self.fleet.get_revisions(TOPIC, 'a')
         self.assertEqual({0}, set(revisions.values()))
 
-    def test_one_that_starts_in_an_evacuation_knows_it_when_ready(self):
+    def test_a_new_instance_knows_an_evacuation_when_it_is_ready(self):
         self.fleet.store.put(TOPIC, 'a', {})
         self.fleet.run(0.5)
         self.fleet.is_store_down = True
         self.fleet.start('entry-9', 'c')
         self.fleet.run(0.2)
         self.assertTrue(self.fleet.cores['entry-9'].is_ready)
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
-    def test_after_the_end_of_all_nobody_is_ready_without_it(self):
+    def test_no_instance_is_ready_without_the_topic_after_a_restart(self):
         self.fleet.store.put(TOPIC, 'a', {})
         for name in list(self.fleet.cores):
             self.fleet.end(name)
@@ -181,14 +182,14 @@
             self.fleet.start(f'later-{number}', zone)
         for _ in range(20):
             self.fleet.run(0.01)
-            late = self.list_late()
+            outdated = self.list_outdated()
             ready = [
                 name
                 for name, core in self.fleet.cores.items()
                 if core.is_ready
             ]
-            self.assertEqual([], sorted(set(ready) & set(late)))
-        self.assertEqual([], late)
+            self.assertEqual([], sorted(set(ready) & set(outdated)))
+        self.assertEqual([], outdated)
 
     @hypothesis.given(
         strategies.lists(
@@ -202,10 +203,10 @@
         strategies.integers(0, 5),
     )
     @hypothesis.settings(max_examples=40, deadline=None)
-    def test_whoever_can_know_an_evacuation_knows_it_in_time(
+    def test_an_evacuation_is_known_in_time_after_faults(
         self, faults, written_after
     ):
-        """Faults in any order; one zone is cut or turned away at a time."""
+        """Inject random faults, with one zone cut off at a time."""
         fleet = build_fleet()
         fleet.run(3.0)
         for place, (kind, number, seconds) in enumerate(faults):
@@ -216,10 +217,10 @@
         fleet.cut = lambda one, other: False
         if (TOPIC, 'a') not in fleet.written:
             fleet.write(TOPIC, 'a', {})
-        # All paths are open from now on.
+        # All connections work from now on.
         fleet.run(BOUND_SECONDS)
         self.fleet = fleet
-        self.assertEqual([], self.list_late())
+        self.assertEqual([], self.list_outdated())
 
     @staticmethod
     def inject_fault(fleet, kind, number):
