--- a/skylarkfold/relay/_retained.py
+++ b/skylarkfold/relay/_retained.py
@@ -152,11 +152,11 @@
         """
         dropped = []
         for each in changed:
-            kept = self._by_path.get(each.path)
-            if kept is None:
+            entry = self._by_path.get(each.path)
+            if entry is None:
                 continue
             current = store.get(each.path)
-            if self._compute_retention(kept.item, current, True) <= 0.0:
+            if self._compute_retention(entry.item, current, True) <= 0.0:
                 del self._by_path[each.path]
                 dropped.append(each.path)
         return dropped
--- a/skylarkfold/relay/_settings.py
+++ b/skylarkfold/relay/_settings.py
@@ -16,7 +16,7 @@
         restored, lost objects of them are retained for ``lasting_seconds``.
     :param rewrite_seconds: how long objects that a restored store has lost
         are retained, until their writers write them again: upstreams do so
-        within two seconds, and the change arrives within another half.
+        within two seconds, and the change arrives within half a second.
     :param lasting_seconds: the same for ``lasting_topics``: the longest time
         to apply a configuration while the platform recovers from a fault.
     :param watchers: how many instances of a zone watch the store.
@@ -68,8 +68,8 @@
     :param silence_seconds: after this time without a beacon a neighbour is
         unreachable: three beacons from another zone lost in a row.
     :param hearsay_seconds: the same for instances that aren't neighbours.
-        Instances exchange their ages once a second, so that they are at most
-        6.5 s in zones of 60.
+        Instances of a zone exchange the ages of all once a second, which keeps
+        them below 6.5 s in zones of 60.
     :param forget_seconds: after this time without a beacon an instance is
         dropped from the table.
     :param substitute_seconds: how old the last answer of the store may become
--- a/skylarkfold/relay/_synchronizer.py
+++ b/skylarkfold/relay/_synchronizer.py
@@ -22,7 +22,7 @@
     """Synchronizer of this instance's topics with those of its peers.
 
     It compares positions, fetches missing changes from peers that are ahead,
-    and answers the fetches of others.
+    and answers the fetches of peers that are behind.
 
     :param peers: the known instances.
     :param announcer: sends changes to the neighbours.
--- a/skylarkfold/relay/_topic.py
+++ b/skylarkfold/relay/_topic.py
@@ -115,8 +115,8 @@
         It is of the current era at least, so that a peer that only knows a
         former era is always behind.
         """
-        begin = revisions.Revision(0, self.position.era)
-        return max(self._changed, begin)
+        era_start = revisions.Revision(0, self.position.era)
+        return max(self._changed, era_start)
 
     def compute_age(self, now: float) -> float | None:
         """Return how long ago the store confirmed the position.
--- a/skylarkfold/tests/relay/test_load_codec.py
+++ b/skylarkfold/tests/relay/test_load_codec.py
@@ -39,9 +39,9 @@
         load = upstream_load.UpstreamLoad(
             3, 0.25, answers, answers * eightieths / 80
         )
-        bare = len(msgpack.packb([3, 25]))
-        told = len(msgpack.packb(_load_codec.list_load(load)))
-        self.assertLessEqual(told, bare + 3)
+        size_without_speed = len(msgpack.packb([3, 25]))
+        size_with_speed = len(msgpack.packb(_load_codec.list_load(load)))
+        self.assertLessEqual(size_with_speed, size_without_speed + 3)
 
     def test_malformed_fields_are_refused(self):
         for is_zone, answers, slowness in (
--- a/skylarkfold/tests/relay/test_messages.py
+++ b/skylarkfold/tests/relay/test_messages.py
@@ -121,9 +121,9 @@
             position = relay.Position(revisions.ZERO, revisions.ZERO, age)
             beacon = relay.Beacon('n', 'z', 0, False, False, (position,))
             again = relay.decode_beacon(relay.encode_beacon(beacon))
-            told = again.positions[0].age_seconds
-            self.assertGreaterEqual(told, age)
-            self.assertLess(told, age + 0.002)
+            decoded_age = again.positions[0].age_seconds
+            self.assertGreaterEqual(decoded_age, age)
+            self.assertLess(decoded_age, age + 0.002)
 
     @hypothesis.given(
         REVISIONS,
--- a/skylarkfold/tests/relay/test_peers.py
+++ b/skylarkfold/tests/relay/test_peers.py
@@ -200,13 +200,13 @@
 
     def check_view(self, fleet, name, core):
         zone = fleet.zones[name]
-        mates = {
+        reachable = {
             each.name
             for each in core.peers.members.values()
             if each.zone == zone and each.is_reachable
         }
-        there = {each for each in fleet.cores if fleet.zones[each] == zone}
-        self.assertEqual(there, mates, f'{name} at {fleet.now}')
+        expected = {each for each in fleet.cores if fleet.zones[each] == zone}
+        self.assertEqual(expected, reachable, f'{name} at {fleet.now}')
         for other in core.peers.list_neighbours():
             theirs = fleet.cores[other].peers.list_neighbours()
             self.assertIn(name, theirs, f'{other} at {fleet.now}')
--- a/skylarkfold/tests/relay/test_rate_limiter.py
+++ b/skylarkfold/tests/relay/test_rate_limiter.py
@@ -37,8 +37,8 @@
         fleet = self.measure(7, 10)
         core = next(iter(fleet.cores.values()))
         settings = fleet.settings
-        told = 104 * 2 / settings.load_bytes_per_second
-        self.assertLess(told, settings.beacon_seconds)
+        report_interval = 104 * 2 / settings.load_bytes_per_second
+        self.assertLess(report_interval, settings.beacon_seconds)
         mates = [
             peer
             for peer in core.peers.members.values()
