--- a/skylarkfold/tests/relay/test_notes.py
+++ b/skylarkfold/tests/relay/test_events.py
@@ -1,4 +1,4 @@
-"""Tests of the lines that tell why an instance knows what it knows."""
+"""Tests of the events that show from where an instance has its state."""
 
 import testtools
 
@@ -6,56 +6,56 @@
 from skylarkfold import revision as revisions
 
 ZONES = ('a', 'a', 'a', 'b')
-# After a start, by when only those whose duty it is watch the store.
+# After a start, by when only the selected watchers watch the store.
 REST_SECONDS = 9.0
-# The store's first.
+# The store's first era.
 ERA = 1
 
 
-class NotesTest(testtools.TestCase):
+class EventsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = fleet_module.Fleet(ZONES)
         self.fleet.store.put('routes', 'main', {'version': 1})
         self.fleet.run(REST_SECONDS)
 
-    def list_notes(self, reason):
+    def list_events(self, reason):
         return [
-            (name, note.details)
-            for _, name, note in self.fleet.notes
-            if note.reason == reason
+            (name, event.details)
+            for _, name, event in self.fleet.notes
+            if event.reason == reason
         ]
 
-    def test_a_listing_that_is_older_than_what_is_known_is_said_once(self):
+    def test_a_stale_listing_is_logged_once(self):
         saved = self.fleet.store.copy()
         for version in range(2, 9):
             self.fleet.store.put('routes', 'main', {'version': version})
         self.fleet.run(1.0)
-        self.assertEqual([], self.list_notes('store-behind'))
-        # By a store that doesn't tell of it.
+        self.assertEqual([], self.list_events('store-behind'))
+        # The store doesn't start a new era.
         self.fleet.store.restore(saved, is_said=False)
         self.fleet.run(4.0)
-        said = self.list_notes('store-behind')
+        events = self.list_events('store-behind')
         names = [
-            name for name, details in said if details['topic'] == 'routes'
+            name for name, details in events if details['topic'] == 'routes'
         ]
         self.assertEqual(sorted(set(names)), sorted(names))
         self.assertNotEqual([], names)
-        for _, details in said:
+        for _, details in events:
             self.assertEqual('1:2', details['revision'])
             self.assertEqual('1:9', details['position'])
 
-    def test_a_position_that_a_peer_s_word_moves_is_said(self):
+    def test_a_position_that_a_peer_advances_is_logged(self):
         self.fleet.store.put('upstreams', 'one', {})
         self.fleet.run(5.0)
         moved = {
             (name, details['topic'])
-            for name, details in self.list_notes('advanced')
+            for name, details in self.list_events('advanced')
             if details['since'] < details['revision']
         }
         self.assertIn('routes', {topic for _, topic in moved})
 
-    def test_what_is_learnt_tells_from_where_to_where(self):
+    def test_a_change_has_the_positions_before_and_after(self):
         self.fleet.store.put('routes', 'main', {'version': 2})
         self.fleet.run(1.0)
         learnt = {
@@ -67,7 +67,7 @@
             {(revisions.Revision(2, ERA), revisions.Revision(3, ERA))}, learnt
         )
 
-    def test_positions_can_be_looked_up(self):
+    def test_positions_can_be_read(self):
         found = {
             core.get_position('routes') for core in self.fleet.cores.values()
         }
