--- a/skylarkfold/affinity/_admission.py
+++ b/skylarkfold/affinity/_admission.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from skylarkfold.affinity import _directory
+from skylarkfold.affinity import _request_time
 from skylarkfold.affinity import _route
 from skylarkfold.affinity import _settings
 from skylarkfold.affinity import _speed
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _work
+from skylarkfold.affinity import _upstream_state
 
 # The bits of a flow's hash that are a draw, which falls alike on every
 # instance; the lower ones choose its service and upstream.
@@ -15,7 +15,7 @@
 _DRAWS = 1 << 16
 # An answer within this share of what it should take is none of work: an
 # upstream that is full or fails gives it at once.
-_HASTY_SHARE = 0.3
+_EARLY_ANSWER_SHARE = 0.3
 
 
 class Admission:
@@ -32,7 +32,7 @@
         answers; None where they are not.
     """
 
-    __slots__ = ('_by_address', '_by_service', '_settings', '_speeds')
+    __slots__ = ('_by_address', '_by_service', '_settings', '_speed_estimator')
 
     def __init__(
         self,
@@ -40,20 +40,20 @@
         directory: _directory.Directory | None = None,
     ) -> None:
         self._settings = settings
-        self._speeds: _speed.Speeds | None = None
+        self._speed_estimator: _speed.SpeedEstimator | None = None
         if directory is not None and settings.speed_tolerance:
-            self._speeds = _speed.Speeds(settings, directory)
+            self._speed_estimator = _speed.SpeedEstimator(settings, directory)
         # How long requests of a route take a slot; and those of a service,
         # which make up the queue.
-        self._by_address: dict[bytes, _work.WorkTime] = {}
-        self._by_service: dict[str, _work.WorkTime] = {}
+        self._by_address: dict[bytes, _request_time.RequestTime] = {}
+        self._by_service: dict[str, _request_time.RequestTime] = {}
 
-    def note(
+    def record(
         self,
         now: float,
-        standing: _standing.Standing,
+        state: _upstream_state.UpstreamState,
         address: bytes,
-        ahead: float,
+        requests_ahead: float,
         seconds: float,
     ) -> None:
         """Take an answer.
@@ -64,34 +64,42 @@
         :param ahead: requests that it had before this one.
         :param seconds: how long it took.
         """
-        service = standing.upstream.service
-        queue = self._by_service.get(service)
-        if queue is None:
-            queue = self._by_service[service] = _work.WorkTime()
-        own = self._by_address.get(address)
-        if own is None:
-            own = self._by_address[address] = _work.WorkTime()
-        speed = standing.speed
-        slots = standing.compute_capacity(now) / speed
-        turns = max(1.0, (ahead + 1) / slots)
-        expected = own.seconds + (turns - 1) * queue.seconds
+        service = state.upstream.service
+        service_time = self._by_service.get(service)
+        if service_time is None:
+            service_time = self._by_service[service] = (
+                _request_time.RequestTime()
+            )
+        route_time = self._by_address.get(address)
+        if route_time is None:
+            route_time = self._by_address[address] = (
+                _request_time.RequestTime()
+            )
+        speed = state.speed
+        slots = state.compute_capacity(now) / speed
+        rounds = max(1.0, (requests_ahead + 1) / slots)
+        expected = route_time.seconds + (rounds - 1) * service_time.seconds
         # As long as it would have taken at the usual speed.
         seconds *= speed
-        is_hasty = seconds < _HASTY_SHARE * expected
-        if turns > 1 and is_hasty:
+        is_early = seconds < _EARLY_ANSWER_SHARE * expected
+        if rounds > 1 and is_early:
             # It was full, which says nothing of its health.
             return
-        standing.note_haste(is_hasty)
-        if now < standing.warming_until:
-            if ahead < standing.upstream.slots and own.seconds:
-                standing.slowness.note(seconds / own.seconds)
+        state.record_early_answer(is_early)
+        if now < state.warming_until:
+            if requests_ahead < state.upstream.slots and route_time.seconds:
+                state.slowness.record(seconds / route_time.seconds)
             return
-        if self._speeds is not None and own.seconds and not is_hasty:
-            times = seconds / speed / own.seconds
-            self._speeds.note(now, standing, times)
-        queue.note(seconds / turns)
-        if turns == 1:
-            own.note(seconds)
+        if (
+            self._speed_estimator is not None
+            and route_time.seconds
+            and not is_early
+        ):
+            ratio = seconds / speed / route_time.seconds
+            self._speed_estimator.record(now, state, ratio)
+        service_time.record(seconds / rounds)
+        if rounds == 1:
+            route_time.record(seconds)
 
     def refresh(self, now: float) -> list[object]:
         """Compute the upstreams' speeds anew where that is due.
@@ -99,11 +107,18 @@
         :param now: the time.
         :returns: effects.
         """
-        return [] if self._speeds is None else self._speeds.refresh(now)
+        return (
+            []
+            if self._speed_estimator is None
+            else self._speed_estimator.refresh(now)
+        )
 
     def estimate(
-        self, now: float, route: _route.Route, standing: _standing.Standing
-    ) -> _work.Estimate:
+        self,
+        now: float,
+        route: _route.Route,
+        state: _upstream_state.UpstreamState,
+    ) -> _request_time.AnswerEstimate:
         """Estimate how soon an upstream would answer one request more.
 
         :param now: the time.
@@ -112,18 +127,20 @@
         :returns: the estimate; of no time where nothing is known of its
             service.
         """
-        queue = self._by_service.get(standing.upstream.service)
-        if queue is None:
-            return _work.Estimate(0.0, 0.0, 0.0)
-        own = self._by_address.get(route.address, queue)
-        speed = standing.speed
-        slots = standing.compute_capacity(now) / speed
-        turns = (standing.waiting + 1) / slots
-        usual = queue.seconds / speed
-        wait = max(0.0, turns - 1) * usual
-        return _work.Estimate(own.seconds / speed, wait, usual)
-
-    def get_work(self, address: bytes, service: str) -> float:
+        service_time = self._by_service.get(state.upstream.service)
+        if service_time is None:
+            return _request_time.AnswerEstimate(0.0, 0.0, 0.0)
+        route_time = self._by_address.get(route.address, service_time)
+        speed = state.speed
+        slots = state.compute_capacity(now) / speed
+        rounds = (state.in_flight + 1) / slots
+        typical_seconds = service_time.seconds / speed
+        wait = max(0.0, rounds - 1) * typical_seconds
+        return _request_time.AnswerEstimate(
+            route_time.seconds / speed, wait, typical_seconds
+        )
+
+    def get_request_seconds(self, address: bytes, service: str) -> float:
         """Tell how long a request takes a slot.
 
         :param address: of its route.
@@ -135,7 +152,10 @@
         return known.seconds if known is not None else 0.0
 
     def is_refused(
-        self, route: _route.Route, expected: _work.Estimate, hashed: int
+        self,
+        route: _route.Route,
+        expected: _request_time.AnswerEstimate,
+        flow_hash: int,
     ) -> bool:
         """Tell whether a new flow is refused.
 
@@ -148,13 +168,15 @@
             return False
         settings = self._settings
         if route.is_preferred:
-            least, limit = settings.preferred_share, settings.preferred_limit
+            lower, upper = settings.preferred_share, settings.preferred_limit
             share = expected.seconds / route.aim_seconds
         else:
-            least, limit = settings.crowd_share, settings.crowd_limit
-            weighted = expected.weigh(settings.length_weight)
+            lower, upper = settings.crowd_share, settings.crowd_limit
+            weighted = expected.compute_weighted_seconds(
+                settings.length_weight
+            )
             share = weighted / route.aim_seconds
-        if share <= least:
+        if share <= lower:
             return False
-        drawn = ((hashed >> _DRAW_SHIFT) % _DRAWS) / _DRAWS
-        return drawn * (limit - least) < share - least
+        draw = ((flow_hash >> _DRAW_SHIFT) % _DRAWS) / _DRAWS
+        return draw * (upper - lower) < share - lower
--- a/skylarkfold/affinity/_speed_evidence.py
+++ b/skylarkfold/affinity/_answer_statistics.py
@@ -8,7 +8,7 @@
 _HALF_LIFE_SECONDS = 1.5
 
 
-class SpeedEvidence:
+class AnswerStatistics:
     """What answers seen here say of one upstream.
 
     :ivar begun_at: when the first of them was seen.
@@ -21,20 +21,20 @@
         '_at',
         '_sampled_at',
         'answers',
-        'begun_at',
+        'mean_in_flight',
         'slowness',
-        'waiting',
+        'started_at',
     )
 
     def __init__(self, now: float) -> None:
         self._at = now
-        self.begun_at = now
+        self.started_at = now
         self._sampled_at: float | None = None
         self.answers = 0.0
         self.slowness = 0.0
-        self.waiting = 0.0
+        self.mean_in_flight = 0.0
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let all that is known count less.
 
         :param now: the time.
@@ -50,11 +50,11 @@
         :param now: the time.
         :param logarithm: of how long it took, bounded.
         """
-        self.fade(now)
+        self.decay(now)
         self.answers += 1.0
         self.slowness += logarithm
 
-    def note_waiting(self, now: float, waiting: float) -> None:
+    def record_in_flight(self, now: float, in_flight: float) -> None:
         """Take how many requests it has.
 
         :param now: the time.
@@ -65,16 +65,16 @@
             seconds = now - self._sampled_at
             share = 0.5 ** (seconds / _HALF_LIFE_SECONDS)
         self._sampled_at = now
-        self.waiting += (1 - share) * (waiting - self.waiting)
+        self.mean_in_flight += (1 - share) * (in_flight - self.mean_in_flight)
 
-    def tell(self, now: float) -> tuple[float, float]:
+    def export(self, now: float) -> tuple[float, float]:
         """Tell peers of it, with a bounded weight.
 
         :param now: the time.
         :returns: answers and slowness as in
             :class:`skylarkfold.upstream_load.UpstreamLoad`.
         """
-        self.fade(now)
+        self.decay(now)
         if self.answers < upstream_load.MINIMUM_ANSWERS:
             return 0.0, 0.0
         answers = min(self.answers, upstream_load.MAXIMUM_ANSWERS)
--- a/skylarkfold/affinity/_patience.py
+++ b/skylarkfold/affinity/_answer_timeouts.py
@@ -11,7 +11,7 @@
 _DEVIATIONS = 4
 
 
-class Patience:
+class AnswerTimeouts:
     """Learns for each service when a silent request is worth a doubt.
 
     :param settings: the least and the longest patience.
@@ -23,7 +23,7 @@
         self._settings = settings
         self._estimates: dict[str, tuple[float, float]] = {}
 
-    def note(self, service: str, seconds: float) -> None:
+    def record(self, service: str, seconds: float) -> None:
         """Learn from a request that was answered.
 
         :param service: the service's name.
--- a/skylarkfold/affinity/_binding.py
+++ b/skylarkfold/affinity/_binding.py
@@ -9,7 +9,7 @@
 from skylarkfold.affinity import _route
 
 
-class Binding:
+class FlowBinder:
     """Binds flows to the upstreams of their tokens.
 
     :param directory: all upstreams.
@@ -23,7 +23,7 @@
         self,
         directory: _directory.Directory,
         flows: _flow.FlowTable,
-        health: _health.HealthWatch,
+        health: _health.HealthMonitor,
     ) -> None:
         self._directory = directory
         self._flows = flows
@@ -46,11 +46,11 @@
         """
         if packet.token == 0:
             return flow
-        standing = self._directory.find(packet.token)
-        if standing is None:
+        state = self._directory.find_by_token(packet.token)
+        if state is None:
             return None
         if flow is None:
-            flow = _flow.Flow(packet.flow, standing, now)
+            flow = _flow.Flow(packet.flow, state, now)
             route = routes.get(packet.address)
             if route is not None:
                 flow.is_idempotent = route.is_idempotent
@@ -59,13 +59,13 @@
             flow.is_open = True
             if not self._flows.add(flow):
                 return flow
-            _flow.count_in(flow, standing)
+            _flow.bind_flow(flow, state)
             return flow
-        if flow.standing.is_former:
-            _flow.move(flow, standing, packet.acknowledged, now)
+        if flow.state.is_superseded:
+            _flow.rebind_flow(flow, state, packet.acknowledged, now)
             return flow
-        _flow.count_in(flow, standing)
-        self._health.note_open(now, flow, packet)
+        _flow.bind_flow(flow, state)
+        self._health.record_open(now, flow, packet)
         return flow
 
 
@@ -76,5 +76,5 @@
     :param packet: a packet of it.
     :returns: whether it is.
     """
-    standing = flow.standing
-    return packet.token == standing.upstream.token and not standing.is_former
+    state = flow.state
+    return packet.token == state.upstream.token and not state.is_superseded
--- a/skylarkfold/affinity/_core.py
+++ b/skylarkfold/affinity/_core.py
@@ -6,31 +6,31 @@
 
 from skylarkfold.affinity import _admission
 from skylarkfold.affinity import _binding
-from skylarkfold.affinity import _certainty
 from skylarkfold.affinity import _destination
 from skylarkfold.affinity import _directory
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
 from skylarkfold.affinity import _evacuation
+from skylarkfold.affinity import _failure_detector
 from skylarkfold.affinity import _flow
+from skylarkfold.affinity import _flow_opener
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _health
-from skylarkfold.affinity import _held
-from skylarkfold.affinity import _link
-from skylarkfold.affinity import _load
-from skylarkfold.affinity import _opening
+from skylarkfold.affinity import _held_packets
+from skylarkfold.affinity import _link_admission
 from skylarkfold.affinity import _packet
+from skylarkfold.affinity import _peer_loads
+from skylarkfold.affinity import _peer_reports
 from skylarkfold.affinity import _placement
-from skylarkfold.affinity import _presence
 from skylarkfold.affinity import _refusal
 from skylarkfold.affinity import _route
+from skylarkfold.affinity import _route_freshness
 from skylarkfold.affinity import _settings
 from skylarkfold.affinity import _share_switch
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _suspects
 from skylarkfold.affinity import _tally
 from skylarkfold.affinity import _upstream
+from skylarkfold.affinity import _upstream_state
+from skylarkfold.affinity import _upstream_sync
 from skylarkfold.affinity import _warm_up
-from skylarkfold.affinity import _words
 from skylarkfold import room as rooms
 
 Reason = _effect.Reason
@@ -59,41 +59,45 @@
         self.room = room or rooms.InstanceHeadroom()
         self._settings = settings
         self.tally = _tally.Tally()
-        self._routes = _route.EMPTY
+        self._routes = _route.EMPTY_TABLE
         self._directory = _directory.Directory(settings)
         self._flows = _flow.FlowTable(settings.flow_limit)
-        self._ending = _ending.Ending(settings, self._flows, self.tally)
+        self._flow_resetter = _flow_reset.FlowResetter(
+            settings, self._flows, self.tally
+        )
         self._admission = _admission.Admission(settings, self._directory)
-        self._suspects = _suspects.Suspects(
+        self._failure_detector = _failure_detector.FailureDetector(
             zone,
             settings,
             self._directory,
-            self._ending,
+            self._flow_resetter,
             self.tally,
             self.room,
         )
-        self._health = _health.HealthWatch(
-            settings, self._suspects, self._admission, self.tally
+        self._health = _health.HealthMonitor(
+            settings, self._failure_detector, self._admission, self.tally
         )
-        self._peer_loads = _load.PeerLoads(settings, self._directory)
-        self._limit = _warm_up.WarmUpLimit(zone, settings)
+        self._peer_loads = _peer_loads.PeerLoads(settings, self._directory)
+        self._warm_up_limiter = _warm_up.WarmUpLimiter(zone, settings)
         self._refusals = _refusal.Refusals(self.tally)
-        self.set_mates = self._limit.set_mates
-        self._opener = _opening.Opener(
+        self.set_mates = self._warm_up_limiter.set_mates
+        self._opener = _flow_opener.FlowOpener(
             zone,
             settings,
             self._directory,
             self._health,
-            self._limit,
+            self._warm_up_limiter,
             self._refusals,
             self.tally,
             self.room,
-            self._peer_loads.unseen,
+            self._peer_loads.load_trust,
         )
-        self._binding = _binding.Binding(
+        self._binding = _binding.FlowBinder(
             self._directory, self._flows, self._health
         )
-        self.link = _link.build_gate(self.room, self._refusals, self.tally)
+        self.link = _link_admission.build_link_admission(
+            self.room, self._refusals, self.tally
+        )
         self.shares = _share_switch.ShareSwitch(
             self._directory,
             self._admission,
@@ -101,34 +105,34 @@
             self._health,
             lambda address: self._routes.get(address),
         )
-        self._held = _held.HeldPackets()
-        self._presence = _presence.Presence(
+        self._held_packets = _held_packets.HeldPackets()
+        self._upstream_sync = _upstream_sync.UpstreamSync(
             settings,
             self._directory,
             self._health,
-            self._ending,
+            self._flow_resetter,
             self._peer_loads,
-            self._limit,
+            self._warm_up_limiter,
         )
-        words = _words.PeerWords(
-            settings, self._directory, self._suspects, self._peer_loads
+        peer_reports = _peer_reports.PeerReports(
+            settings, self._directory, self._failure_detector, self._peer_loads
         )
-        self.handle_load = words.handle_load
-        self.list_loads = words.list_loads
-        self.handle_last_seen = words.handle_last_seen
-        self.list_last_seen = words.list_last_seen
-        self.handle_unreachable = words.handle_unreachable
-        self.handle_probe_result = self._suspects.handle_probe_result
-        self.note_present = self._presence.note_present
-        self._certainty = _certainty.Certainty(settings)
-        self.note_confirmed = self._certainty.note
+        self.handle_load = peer_reports.handle_load
+        self.list_loads = peer_reports.list_loads
+        self.handle_last_seen = peer_reports.handle_last_seen
+        self.list_last_seen = peer_reports.list_last_seen
+        self.handle_unreachable = peer_reports.handle_unreachable
+        self.handle_probe_result = self._failure_detector.handle_probe_result
+        self.note_present = self._upstream_sync.note_present
+        self._route_freshness = _route_freshness.RouteFreshness(settings)
+        self.note_confirmed = self._route_freshness.record
         self._next_active = float('-inf')
         self._next_dormant = float('-inf')
 
     @property
     def is_ready(self) -> bool:
         """Whether all that a new flow needs is known."""
-        return self._presence.is_known and self._routes.version >= 0
+        return self._upstream_sync.is_known and self._routes.version >= 0
 
     @property
     def version(self) -> int:
@@ -155,15 +159,15 @@
         if is_same_era and routes.version <= self._routes.version:
             return []
         self._routes = routes
-        self._limit.set_warm_ups(routes.warm_ups)
+        self._warm_up_limiter.set_warm_ups(routes.warm_ups)
         if self.link is not None:
             self.link.set_routes(routes)
         details = {'version': routes.version, 'routes': len(routes)}
         effects: list[object] = [
             _effect.RecordDecision('routes', 'in-force', details=details)
         ]
-        effects += self._presence.set_services(now, routes.services)
-        return effects + self._release(now)
+        effects += self._upstream_sync.set_services(now, routes.services)
+        return effects + self._release_held(now)
 
     def set_upstreams(
         self, now: float, present: Iterable[_upstream.Upstream]
@@ -174,8 +178,8 @@
         :param present: every upstream that has an entry.
         :returns: effects.
         """
-        effects = self._presence.set_present(now, present)
-        return effects + self._release(now)
+        effects = self._upstream_sync.set_upstreams(now, present)
+        return effects + self._release_held(now)
 
     def set_evacuations(
         self, now: float, evacuations: _evacuation.Evacuations
@@ -186,8 +190,8 @@
         :param evacuations: all of them.
         :returns: effects.
         """
-        effects = self._presence.set_evacuations(now, evacuations)
-        return effects + self._release(now)
+        effects = self._upstream_sync.set_evacuations(now, evacuations)
+        return effects + self._release_held(now)
 
     def handle_packet(
         self, now: float, packet: _packet.Packet
@@ -199,14 +203,14 @@
         :returns: effects.
         """
         if packet.is_first:
-            return self._take_first(now, packet)
+            return self._handle_first_packet(now, packet)
         flow = self._flows.get(packet.flow)
         if flow is None or not _binding.is_bound(flow, packet):
             flow = self._binding.bind(now, packet, flow, self._routes)
             if flow is None:
-                return self._take_unknown(now, packet)
+                return self._handle_unknown_token(now, packet)
         elif not flow.is_open:
-            self._health.note_open(now, flow, packet)
+            self._health.record_open(now, flow, packet)
         route = self._routes.get(packet.address)
         if route is not None:
             flow.is_routed = True
@@ -215,7 +219,7 @@
         elif self._is_removed(now, flow):
             self._flows.remove(flow)
             return self._refuse(packet, Reason.ROUTE_REMOVED)
-        return self._carry(now, packet, flow)
+        return self._forward(now, packet, flow)
 
     def tick(self, now: float) -> list[object]:
         """Do what is due.
@@ -229,13 +233,13 @@
         if now >= self._next_dormant:
             self._next_dormant = now + self._routes.idle_seconds / 2
             self._flows.rotate_dormant()
-            self._directory.forget(now)
+            self._directory.remove_expired(now)
         self._peer_loads.expire(now)
-        effects = self._opener.repeat(now, self._routes)
+        effects = self._opener.retry_unanswered(now, self._routes)
         effects += self._health.tick(now)
         if self.link is not None:
             effects += self._release_link(now, self.link)
-        for _ in range(self._held.expire(now)):
+        for _ in range(self._held_packets.expire(now)):
             self.tally.count(_tally.DROPPED, _tally.HELD_TOO_LONG)
         return effects
 
@@ -245,20 +249,22 @@
         :param now: the time in seconds.
         :returns: the time, at once for a probe; None if nothing waits.
         """
-        if self._suspects.has_any:
+        if self._failure_detector.has_suspects:
             return now
         waiting = (
             self._opener.find_due(),
             self._health.find_due(),
-            self._held.find_due(),
+            self._held_packets.find_due(),
             None if self.link is None else self.link.find_due(now),
         )
         return min((at for at in waiting if at is not None), default=None)
 
-    def _take_first(self, now: float, packet: _packet.Packet) -> list[object]:
+    def _handle_first_packet(
+        self, now: float, packet: _packet.Packet
+    ) -> list[object]:
         flow = self._flows.get(packet.flow)
         if flow is not None:
-            return self._take_copy(now, packet, flow)
+            return self._handle_retransmission(now, packet, flow)
         if not self.is_ready:
             return self._hold(now, packet, Reason.ROUTE_UNKNOWN)
         route = self._routes.get(packet.address)
@@ -276,30 +282,30 @@
         link = self.link
         if link is not None and link.is_waiting(packet.flow):
             return self._drop(Reason.REPEATED)
-        hashed = _placement.hash_flow(packet.flow)
+        flow_hash = _placement.hash_flow(packet.flow)
         found = _destination.find_destination(
-            now, route, hashed, self._opener, self._admission
+            now, route, flow_hash, self._opener, self._admission
         )
         # Of a copy, another instance may have placed the first one.
-        is_copy = packet.acknowledged > 0
+        is_retransmission = packet.acknowledged > 0
         sharing = self.shares.sharing
-        if sharing is not None and not is_copy and not has_waited:
-            service = found and found.standing.upstream.service
-            refused = sharing.take_first(
-                now, packet, route, service, hashed, self._routes.version
+        if sharing is not None and not is_retransmission and not has_waited:
+            service = found and found.state.upstream.service
+            refused = sharing.check_first_packet(
+                now, packet, route, service, flow_hash, self._routes.version
             )
             if refused:
                 return refused
         if found is None:
             return self._refuse(packet, Reason.NO_UPSTREAM)
-        standing = found.standing
+        state = found.state
         if not has_waited:
             self.tally.observe(
                 _tally.WAIT_SECONDS, found.expected.wait_seconds
             )
-        if not is_copy and found.is_crowded:
+        if not is_retransmission and found.is_crowded:
             return self._refusals.refuse_crowded(
-                packet, self._routes.version, route, standing, found.expected
+                packet, self._routes.version, route, state, found.expected
             )
         if link is not None and not route.is_preferred:
             if not has_waited:
@@ -307,44 +313,46 @@
                 if held is not None:
                     return held
             link.begin(now, packet)
-        flow = _flow.Flow(packet.flow, standing, now)
+        flow = _flow.Flow(packet.flow, state, now)
         flow.is_idempotent = route.is_idempotent
         flow.is_routed = True
-        flow.first = packet.data
+        flow.first_packet = packet.data
         self._flows.add(flow)
-        return self._opener.send(
-            now, flow, standing, Reason.PLACED, self._routes.version
+        return self._opener.send_first_packet(
+            now, flow, state, Reason.PLACED, self._routes.version
         )
 
-    def _take_copy(
+    def _handle_retransmission(
         self, now: float, packet: _packet.Packet, flow: _flow.Flow
     ) -> list[object]:
-        patience = self._settings.open_patience_seconds
-        if flow.is_open or now < flow.placed_at + patience:
+        open_timeout = self._settings.open_patience_seconds
+        if flow.is_open or now < flow.placed_at + open_timeout:
             return self._drop(Reason.REPEATED)
         route = self._routes.get(packet.address)
         if route is None:
             return self._refuse_route(now, packet)
-        return self._opener.take_copy(now, flow, packet, self._routes)
+        return self._opener.handle_retransmission(
+            now, flow, packet, self._routes
+        )
 
-    def _carry(
+    def _forward(
         self, now: float, packet: _packet.Packet, flow: _flow.Flow
     ) -> list[object]:
-        flow.seen_at = now
-        standing = flow.standing
-        if standing.health != _standing.Health.GOOD or standing.is_replaced:
-            ended = self._ending.end_flow(now, flow, packet)
+        flow.last_packet_at = now
+        state = flow.state
+        if state.health != _upstream_state.Health.GOOD or state.is_replaced:
+            ended = self._flow_resetter.reset_flow(now, flow, packet)
             if ended is not None:
                 return ended
-            self._suspects.recheck(standing)
+            self._failure_detector.resume_probing(state)
         self._health.handle_packet(now, flow, packet)
         if packet.is_last:
             flow.is_closed = True
-            _flow.end_work(flow, now)
-            _flow.count_out(flow)
-        return [_effect.Forward(standing.upstream, packet.data)]
+            _flow.finish_request(flow, now)
+            _flow.unbind_flow(flow)
+        return [_effect.Forward(state.upstream, packet.data)]
 
-    def _take_unknown(
+    def _handle_unknown_token(
         self, now: float, packet: _packet.Packet
     ) -> list[object]:
         if packet.token == 0:
@@ -359,12 +367,12 @@
         """
         if not self.is_ready:
             return False
-        return flow.is_routed or self._certainty.is_certain(now)
+        return flow.is_routed or self._route_freshness.is_fresh(now)
 
     def _refuse_route(
         self, now: float, packet: _packet.Packet
     ) -> list[object]:
-        if not self._certainty.is_certain(now):
+        if not self._route_freshness.is_fresh(now):
             return self._drop(Reason.ROUTE_UNKNOWN)
         return self._refuse(packet, Reason.NO_ROUTE)
 
@@ -378,12 +386,14 @@
     def _hold(
         self, now: float, packet: _packet.Packet, reason: str
     ) -> list[object]:
-        if not self._held.add(now, packet):
+        if not self._held_packets.add(now, packet):
             return self._drop(reason)
         self.tally.count(_tally.HELD, reason)
         return []
 
-    def _release_link(self, now: float, link: _link.LinkGate) -> list[object]:
+    def _release_link(
+        self, now: float, link: _link_admission.LinkAdmission
+    ) -> list[object]:
         effects: list[object] = []
         for packet in link.release(now):
             route = self._routes.get(packet.address)
@@ -393,10 +403,10 @@
                 effects += self._place(now, packet, route, True)
         return effects + link.expire(now, self._routes.version)
 
-    def _release(self, now: float) -> list[object]:
+    def _release_held(self, now: float) -> list[object]:
         if not self.is_ready:
             return []
         effects: list[object] = []
-        for packet in self._held.release(now):
+        for packet in self._held_packets.release(now):
             effects += self.handle_packet(now, packet)
         return effects
--- a/skylarkfold/affinity/_destination.py
+++ b/skylarkfold/affinity/_destination.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from skylarkfold.affinity import _admission
-from skylarkfold.affinity import _opening
+from skylarkfold.affinity import _flow_opener
+from skylarkfold.affinity import _request_time
 from skylarkfold.affinity import _route
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _work
+from skylarkfold.affinity import _upstream_state
 
 
 class Destination:
@@ -18,15 +18,15 @@
     :param is_crowded: whether it would be too late.
     """
 
-    __slots__ = ('expected', 'is_crowded', 'standing')
+    __slots__ = ('expected', 'is_crowded', 'state')
 
     def __init__(
         self,
-        standing: _standing.Standing,
-        expected: _work.Estimate,
+        state: _upstream_state.UpstreamState,
+        expected: _request_time.AnswerEstimate,
         is_crowded: bool,
     ) -> None:
-        self.standing = standing
+        self.state = state
         self.expected = expected
         self.is_crowded = is_crowded
 
@@ -34,8 +34,8 @@
 def find_destination(
     now: float,
     route: _route.Route,
-    hashed: int,
-    opener: _opening.Opener,
+    flow_hash: int,
+    opener: _flow_opener.FlowOpener,
     admission: _admission.Admission,
 ) -> Destination | None:
     """Find where a new flow goes.
@@ -53,13 +53,13 @@
     :returns: the destination, None where no service has an upstream.
     """
     first: Destination | None = None
-    for service in route.list_services(hashed):
-        standing = opener.choose(now, service, hashed)
-        if standing is None:
+    for service in route.list_services(flow_hash):
+        state = opener.choose_upstream(now, service, flow_hash)
+        if state is None:
             continue
-        expected = admission.estimate(now, route, standing)
-        is_crowded = admission.is_refused(route, expected, hashed)
-        found = Destination(standing, expected, is_crowded)
+        expected = admission.estimate(now, route, state)
+        is_crowded = admission.is_refused(route, expected, flow_hash)
+        found = Destination(state, expected, is_crowded)
         if not is_crowded:
             return found
         first = first or found
--- a/skylarkfold/affinity/_directory.py
+++ b/skylarkfold/affinity/_directory.py
@@ -6,19 +6,19 @@
 from collections.abc import Iterator
 
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _slowness
-from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _upstream
+from skylarkfold.affinity import _upstream_state
+from skylarkfold.affinity import _warm_up_slowness
 from skylarkfold import revision as revisions
 
 
 # Before words have come: as often as they are told.
-_FIRST_GAP_SECONDS = 0.2
-_LEAST_GAP_SECONDS = 0.05
-_GAP_GAIN = 1 / 16
+_INITIAL_REPORT_INTERVAL_SECONDS = 0.2
+_MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
+_REPORT_INTERVAL_GAIN = 1 / 16
 
 
-class Change:
+class ChangeKind:
     """What has become of an upstream's entry."""
 
     ADDED = 'added'
@@ -37,17 +37,17 @@
         started again.
     """
 
-    __slots__ = ('former', 'kind', 'standing')
+    __slots__ = ('kind', 'previous', 'state')
 
     def __init__(
         self,
         kind: str,
-        standing: _standing.Standing,
-        former: _standing.Standing | None = None,
+        state: _upstream_state.UpstreamState,
+        previous: _upstream_state.UpstreamState | None = None,
     ) -> None:
         self.kind = kind
-        self.standing = standing
-        self.former = former
+        self.state = state
+        self.previous = previous
 
 
 class Directory:
@@ -73,25 +73,25 @@
         '_by_token',
         '_settings',
         '_slowness',
-        'gap_seconds',
+        'report_interval_seconds',
     )
 
     def __init__(self, settings: _settings.AffinitySettings) -> None:
         self._settings = settings
-        self._by_name: dict[str, _standing.Standing] = {}
-        self._by_token: dict[int, _standing.Standing] = {}
-        self._by_incarnation: dict[int, _standing.Standing] = {}
-        self._by_service: dict[str, list[_standing.Standing]] = {}
-        self._slowness: dict[str, _slowness.Slowness] = {}
-        self.gap_seconds = _FIRST_GAP_SECONDS
+        self._by_name: dict[str, _upstream_state.UpstreamState] = {}
+        self._by_token: dict[int, _upstream_state.UpstreamState] = {}
+        self._by_incarnation: dict[int, _upstream_state.UpstreamState] = {}
+        self._by_service: dict[str, list[_upstream_state.UpstreamState]] = {}
+        self._slowness: dict[str, _warm_up_slowness.WarmUpSlowness] = {}
+        self.report_interval_seconds = _INITIAL_REPORT_INTERVAL_SECONDS
 
     def __len__(self) -> int:
         return len(self._by_name)
 
-    def __iter__(self) -> Iterator[_standing.Standing]:
+    def __iter__(self) -> Iterator[_upstream_state.UpstreamState]:
         return iter(self._by_name.values())
 
-    def get(self, name: str) -> _standing.Standing | None:
+    def get(self, name: str) -> _upstream_state.UpstreamState | None:
         """Find an upstream by name.
 
         :param name: its name.
@@ -99,7 +99,9 @@
         """
         return self._by_name.get(name)
 
-    def find(self, token: int) -> _standing.Standing | None:
+    def find_by_token(
+        self, token: int
+    ) -> _upstream_state.UpstreamState | None:
         """Find the upstream of a packet.
 
         :param token: the token that the packet carries.
@@ -107,7 +109,9 @@
         """
         return self._by_token.get(token)
 
-    def find_incarnation(self, incarnation: int) -> _standing.Standing | None:
+    def find_by_incarnation(
+        self, incarnation: int
+    ) -> _upstream_state.UpstreamState | None:
         """Find the upstream that a peer speaks of.
 
         :param incarnation: what names its start.
@@ -115,7 +119,7 @@
         """
         return self._by_incarnation.get(incarnation)
 
-    def list_service(self, service: str) -> list[_standing.Standing]:
+    def list_states(self, service: str) -> list[_upstream_state.UpstreamState]:
         """List the upstreams of a service, gone ones included.
 
         :param service: the service's name.
@@ -123,13 +127,15 @@
         """
         return self._by_service.get(service, [])
 
-    def note_gap(self, seconds: float) -> None:
+    def record_report_interval(self, seconds: float) -> None:
         """Take that a peer has said what it carries.
 
         :param seconds: since its word before.
         """
-        seconds = max(seconds, _LEAST_GAP_SECONDS)
-        self.gap_seconds += _GAP_GAIN * (seconds - self.gap_seconds)
+        seconds = max(seconds, _MINIMUM_REPORT_INTERVAL_SECONDS)
+        self.report_interval_seconds += _REPORT_INTERVAL_GAIN * (
+            seconds - self.report_interval_seconds
+        )
 
     def list_services(self) -> list[str]:
         """List the services that have upstreams, gone ones included."""
@@ -137,15 +143,15 @@
 
     def count_busy(self) -> int:
         """Count the requests in flight of this instance's flows."""
-        return sum(standing.busy for standing in self)
+        return sum(state.busy for state in self)
 
     def count_flows(self) -> int:
         """Count the flows that this instance carries."""
-        return sum(standing.flows for standing in self)
+        return sum(state.flows for state in self)
 
     def count_evacuated(self) -> int:
         """Count the upstreams of zones that are evacuated."""
-        return sum(standing.is_evacuated for standing in self)
+        return sum(state.is_evacuated for state in self)
 
     def count_warming(self, now: float) -> int:
         """Count the upstreams that warm up after a start.
@@ -153,15 +159,15 @@
         :param now: the time.
         :returns: how many there are.
         """
-        return sum(now < standing.warming_until for standing in self)
+        return sum(now < state.warming_until for state in self)
 
     def count_slow(self) -> int:
         """Count the upstreams that are slower than others of a service."""
-        return sum(standing.speed < 1.0 for standing in self)
+        return sum(state.speed < 1.0 for state in self)
 
     def find_slowest(self) -> float:
         """Find the least speed; 1 where none is slow."""
-        return min((standing.speed for standing in self), default=1.0)
+        return min((state.speed for state in self), default=1.0)
 
     def compute_busiest(self, now: float) -> float:
         """Compute how long the longest expected wait of a service is.
@@ -170,16 +176,16 @@
         :returns: that of the busiest upstream over the mean of its service,
             of the service where that is largest; 1 where there are none.
         """
-        most = 1.0
-        for standings in self._by_service.values():
+        largest = 1.0
+        for states in self._by_service.values():
             waits = [
-                (each.waiting + 1) / each.compute_capacity(now)
-                for each in standings
+                (each.in_flight + 1) / each.compute_capacity(now)
+                for each in states
                 if each.takes_new_flows
             ]
             if waits:
-                most = max(most, max(waits) * len(waits) / sum(waits))
-        return most
+                largest = max(largest, max(waits) * len(waits) / sum(waits))
+        return largest
 
     def replace(
         self, now: float, present: Iterable[_upstream.Upstream]
@@ -194,56 +200,56 @@
         changes = []
         for upstream in present:
             names.add(upstream.name)
-            change = self._put(now, upstream)
+            change = self._update_entry(now, upstream)
             if change is not None:
                 changes.append(change)
-        for standing in self._by_name.values():
-            is_absent = standing.upstream.name not in names
-            if is_absent and standing.lapsed_at is None:
-                standing.lapsed_at = now
-                changes.append(EntryChange(Change.LAPSED, standing))
-        self._drop_old(now)
+        for state in self._by_name.values():
+            is_absent = state.upstream.name not in names
+            if is_absent and state.lapsed_at is None:
+                state.lapsed_at = now
+                changes.append(EntryChange(ChangeKind.LAPSED, state))
+        self._remove_expired(now)
         self._index()
         return changes
 
-    def forget(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Drop upstreams whose last flow must have ended.
 
         :param now: the time.
         """
-        if self._drop_old(now):
+        if self._remove_expired(now):
             self._index()
 
-    def _drop_old(self, now: float) -> bool:
+    def _remove_expired(self, now: float) -> bool:
         oldest = now - self._settings.flow_seconds
-        gone = [
+        expired = [
             name
-            for name, standing in self._by_name.items()
-            if standing.lapsed_at is not None and standing.lapsed_at < oldest
+            for name, state in self._by_name.items()
+            if state.lapsed_at is not None and state.lapsed_at < oldest
         ]
-        for name in gone:
+        for name in expired:
             del self._by_name[name]
-        return bool(gone)
+        return bool(expired)
 
-    def _put(
+    def _update_entry(
         self, now: float, upstream: _upstream.Upstream
     ) -> EntryChange | None:
-        standing = self._by_name.get(upstream.name)
-        if standing is None:
-            return self._add(now, upstream, Change.ADDED)
-        if upstream is standing.upstream and standing.lapsed_at is None:
+        state = self._by_name.get(upstream.name)
+        if state is None:
+            return self._add(now, upstream, ChangeKind.ADDED)
+        if upstream is state.upstream and state.lapsed_at is None:
             # As almost all are with each change of one.
             return None
-        if not upstream.is_same_start(standing.upstream):
-            standing.is_former = True
-            return self._add(now, upstream, Change.RESTARTED, standing)
-        before = standing.upstream
-        standing.take_entry(now, upstream)
-        if standing.lapsed_at is not None:
-            standing.lapsed_at = None
-            return EntryChange(Change.BACK, standing)
+        if not upstream.is_same_start(state.upstream):
+            state.is_superseded = True
+            return self._add(now, upstream, ChangeKind.RESTARTED, state)
+        before = state.upstream
+        state.update_entry(now, upstream)
+        if state.lapsed_at is not None:
+            state.lapsed_at = None
+            return EntryChange(ChangeKind.BACK, state)
         if upstream.is_draining and not before.is_draining:
-            return EntryChange(Change.DRAINING, standing)
+            return EntryChange(ChangeKind.DRAINING, state)
         return None
 
     def _add(
@@ -251,28 +257,28 @@
         now: float,
         upstream: _upstream.Upstream,
         kind: str,
-        former: _standing.Standing | None = None,
+        previous: _upstream_state.UpstreamState | None = None,
     ) -> EntryChange:
         slowness = self._slowness.get(upstream.service)
         if slowness is None:
-            slowness = _slowness.Slowness()
+            slowness = _warm_up_slowness.WarmUpSlowness()
             self._slowness[upstream.service] = slowness
-        standing = _standing.Standing(upstream, now, slowness)
-        self._by_name[upstream.name] = standing
-        return EntryChange(kind, standing, former)
+        state = _upstream_state.UpstreamState(upstream, now, slowness)
+        self._by_name[upstream.name] = state
+        return EntryChange(kind, state, previous)
 
     def _index(self) -> None:
         self._by_token = {}
         self._by_incarnation = {}
         self._by_service = {}
-        for standing in sorted(self._by_name.values(), key=_get_age):
-            upstream = standing.upstream
+        for state in sorted(self._by_name.values(), key=_get_creation_key):
+            upstream = state.upstream
             # The older upstream keeps a token that two share. The other
             # gets no new flow, so that no packet carries a token in doubt.
-            holder = self._by_token.setdefault(upstream.token, standing)
-            standing.has_token = holder is standing and upstream.token != 0
-            self._by_incarnation.setdefault(upstream.incarnation, standing)
-            self._by_service.setdefault(upstream.service, []).append(standing)
+            owner = self._by_token.setdefault(upstream.token, state)
+            state.owns_token = owner is state and upstream.token != 0
+            self._by_incarnation.setdefault(upstream.incarnation, state)
+            self._by_service.setdefault(upstream.service, []).append(state)
         self._mark_replaced()
 
     def _mark_replaced(self) -> None:
@@ -282,29 +288,29 @@
         created: an upstream that starts again at an address that it was
         given keeps the entry of its name.
         """
-        holders: dict[tuple[str, int], _standing.Standing] = {}
-        for standing in self._by_name.values():
-            address = standing.upstream.address
-            holder = holders.setdefault(address, standing)
-            if holder is standing:
+        owners: dict[tuple[str, int], _upstream_state.UpstreamState] = {}
+        for state in self._by_name.values():
+            address = state.upstream.address
+            owner = owners.setdefault(address, state)
+            if owner is state:
                 continue
-            if _get_revision(standing) > _get_revision(holder):
-                holders[address] = standing
-        for standing in self._by_name.values():
-            has_address = holders[standing.upstream.address] is standing
-            is_lapsed = standing.lapsed_at is not None
-            standing.is_replaced = is_lapsed and not has_address
+            if _get_revision_key(state) > _get_revision_key(owner):
+                owners[address] = state
+        for state in self._by_name.values():
+            owns_address = owners[state.upstream.address] is state
+            is_lapsed = state.lapsed_at is not None
+            state.is_replaced = is_lapsed and not owns_address
 
 
-def _get_age(
-    standing: _standing.Standing,
+def _get_creation_key(
+    state: _upstream_state.UpstreamState,
 ) -> tuple[revisions.Revision, str]:
-    return (standing.upstream.created, standing.upstream.name)
+    return (state.upstream.created, state.upstream.name)
 
 
-def _get_revision(
-    standing: _standing.Standing,
+def _get_revision_key(
+    state: _upstream_state.UpstreamState,
 ) -> tuple[revisions.Revision, revisions.Revision, str]:
     # Entries whose revision is not known are told apart by their creation.
-    upstream = standing.upstream
+    upstream = state.upstream
     return (upstream.revision, upstream.created, upstream.name)
--- a/skylarkfold/affinity/_evacuation.py
+++ b/skylarkfold/affinity/_evacuation.py
@@ -40,4 +40,4 @@
         return self._written[zone]
 
 
-NONE = Evacuations()
+NO_EVACUATIONS = Evacuations()
--- /dev/null
+++ b/skylarkfold/affinity/_failure_detector.py
@@ -0,0 +1,382 @@
+"""Upstreams in doubt: questions to peers, probes and verdicts.
+
+A silence is a doubt, no more: the peers of this zone are asked whether they
+have heard the upstream since. If none has, it is probed. Probes that fail
+are a verdict only if one of another upstream, sent at the same time, is
+answered, and if so many fail in a row as losses on this side seldom explain:
+an instance whose own link is full hears nobody, and ends nobody's flow.
+"""
+
+from __future__ import annotations
+
+from skylarkfold.affinity import _directory
+from skylarkfold.affinity import _effect
+from skylarkfold.affinity import _flow_reset
+from skylarkfold.affinity import _local_loss
+from skylarkfold.affinity import _settings
+from skylarkfold.affinity import _tally
+from skylarkfold.affinity import _upstream_state
+from skylarkfold import room as rooms
+
+Health = _upstream_state.Health
+Outcome = _effect.ProbeOutcome
+
+
+class FailureDetector:
+    """Finds out whether upstreams in doubt are out of reach.
+
+    :param zone: this instance's availability zone.
+    :param settings: the limits.
+    :param directory: all upstreams.
+    :param ending: resets the flows of upstreams that are gone.
+    :param tally: where durations are counted.
+    :param room: this instance's own, which a silence may be due to.
+    :ivar evidence: what silences prove.
+    """
+
+    __slots__ = (
+        '_controls',
+        '_directory',
+        '_flow_resetter',
+        '_histograms',
+        '_settings',
+        '_suspects',
+        '_zone',
+        'local_loss',
+    )
+
+    def __init__(
+        self,
+        zone: str,
+        settings: _settings.AffinitySettings,
+        directory: _directory.Directory,
+        flow_resetter: _flow_reset.FlowResetter,
+        tally: _tally.Tally,
+        room: rooms.InstanceHeadroom,
+    ) -> None:
+        self._zone = zone
+        self._settings = settings
+        self._directory = directory
+        self._flow_resetter = flow_resetter
+        self.local_loss = _local_loss.LocalLossMonitor(settings, room)
+        self._histograms = tally.histograms
+        self._suspects: dict[str, _upstream_state.UpstreamState] = {}
+        # Probes of upstreams that serve as a control, by name, with those
+        # that they were sent for.
+        self._controls: dict[str, list[_upstream_state.UpstreamState]] = {}
+
+    def suspect(
+        self,
+        now: float,
+        state: _upstream_state.UpstreamState,
+        silent_since: float,
+    ) -> list[object]:
+        """Doubt an upstream: ask the peers of this zone, then probe it.
+
+        :param now: the time.
+        :param standing: the upstream.
+        :param silent_since: since when it has not answered.
+        :returns: effects; none where it is in doubt already.
+        """
+        is_due = now >= state.probe_due
+        if state.is_replaced or state.health != Health.GOOD:
+            return []
+        if not is_due or not self._may_suspect(now):
+            return []
+        state.health = Health.SUSPECTED
+        state.silent_since = silent_since
+        self.local_loss.record_suspicion(now, state)
+        state.probe_due = now + self._settings.ask_seconds
+        self._suspects[state.upstream.name] = state
+        return [_effect.QueryPeers(state.upstream)]
+
+    def handle_last_seen(
+        self, now: float, state: _upstream_state.UpstreamState, at: float
+    ) -> None:
+        """Take when a peer last heard an upstream.
+
+        :param now: the time.
+        :param standing: the upstream.
+        :param at: when.
+        """
+        state.peer_heard_at = max(state.peer_heard_at, at)
+        if state.health == Health.SUSPECTED and self._has_answered(state):
+            self._clear_suspicion(now, state)
+
+    def handle_unreachable(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> list[object]:
+        """Take that a peer of this zone found an upstream out of reach.
+
+        It may be the peer's fault: this instance probes for itself, and so
+        passes the word on.
+
+        :param now: the time.
+        :param standing: the upstream.
+        :returns: effects.
+        """
+        recent = now - self._settings.answer_patience_seconds
+        is_known = state.health != Health.GOOD or state.is_replaced
+        if is_known or state.last_heard >= recent:
+            return []
+        if not self._may_suspect(now):
+            return []
+        if not self._is_worth_probing(state):
+            self._deprioritize(state, now)
+            return []
+        state.health = Health.SUSPECTED
+        state.silent_since = max(recent, state.last_heard)
+        self._suspects[state.upstream.name] = state
+        return self._probe(now, state)
+
+    def handle_probe_result(
+        self,
+        now: float,
+        name: str,
+        outcome: str,
+        incarnation: int | None = None,
+        is_control: bool | None = None,
+    ) -> list[object]:
+        """Take the end of a probe.
+
+        :param now: the time.
+        :param name: the upstream's name.
+        :param outcome: how it ended.
+        :param incarnation: which start of it was probed; None for the one
+            that is known now.
+        :param is_control: whether it was sent beside the probe of another
+            one; None where it may have been either.
+        :returns: effects.
+        """
+        state = self._directory.get(name)
+        if state is None or incarnation not in (
+            None,
+            state.upstream.incarnation,
+        ):
+            return self._handle_control_result(now, name)
+        self.local_loss.record_probe(now, state, outcome)
+        effects = []
+        if is_control is not False:
+            effects = self._handle_control_result(now, name)
+        # Two probes at once, one of them as a control, are one try.
+        if is_control or not state.is_probing:
+            return effects
+        state.is_probing = False
+        if outcome == Outcome.ALIVE or self._has_answered(state):
+            return effects + self._handle_alive(now, state)
+        tries = self.local_loss.count_required_failures(now, state)
+        if not tries and state.health == Health.SUSPECTED:
+            self._clear_suspicion(now, state)
+            return effects
+        state.probe_failures += 1
+        state.probe_failed_at = now
+        if state.probe_failures < tries:
+            return effects + self._probe_with_control(now, state)
+        state.probe_due = now + self._settings.probe_pause_seconds
+        if state.control_name in self._controls:
+            # Refused at once, while the control is still under way.
+            state.pending_outcome = outcome
+            return effects
+        return effects + self._declare_unreachable(now, state, outcome)
+
+    def resume_probing(self, state: _upstream_state.UpstreamState) -> None:
+        """Probe an upstream again whose verdict is out of date.
+
+        :param standing: the upstream.
+        """
+        if state.health == Health.UNREACHABLE:
+            self._suspects[state.upstream.name] = state
+
+    @property
+    def has_suspects(self) -> bool:
+        """Whether any upstream is in doubt."""
+        return bool(self._suspects)
+
+    def tick(self, now: float) -> list[object]:
+        """Probe what is due.
+
+        :param now: the time.
+        :returns: effects.
+        """
+        self.local_loss.attribute_losses(now)
+        effects: list[object] = []
+        for name, state in list(self._suspects.items()):
+            if not self._is_relevant(state):
+                del self._suspects[name]
+            elif state.probe_due <= now and not state.is_probing:
+                effects += self._repeat_probe(now, state)
+        return effects
+
+    def _handle_control_result(self, now: float, name: str) -> list[object]:
+        """Decide on those that waited for a control."""
+        effects: list[object] = []
+        for suspect in self._controls.pop(name, ()):
+            outcome, suspect.pending_outcome = suspect.pending_outcome, ''
+            if outcome and not self._has_answered(suspect):
+                effects += self._declare_unreachable(now, suspect, outcome)
+        return effects
+
+    def _declare_unreachable(
+        self, now: float, state: _upstream_state.UpstreamState, outcome: str
+    ) -> list[object]:
+        control = self._directory.get(state.control_name)
+        state.is_confirmed = (
+            control is not None
+            and control.probe_answered_at >= state.control_sent_at
+        )
+        if state.health == Health.UNREACHABLE:
+            return []
+        state.health = Health.UNREACHABLE
+        silent = now - state.silent_since
+        self._histograms[_tally.DOUBT_SECONDS].observe(silent)
+        effects: list[object] = [self._build_record(now, state, outcome)]
+        if state.is_confirmed:
+            effects.append(_effect.NotifyPeers(state.upstream))
+        effects += self._flow_resetter.reset_flows(now, [state])
+        return effects + self._suspect_zone(now, state)
+
+    def _suspect_zone(
+        self, now: float, failed: _upstream_state.UpstreamState
+    ) -> list[object]:
+        """Doubt the others of a zone that seems to be cut off.
+
+        Those with flows here are probed, one by one, before anything is
+        reset. Of the rest, of which there may be thousands, some are probed as
+        well; others only get no new flow until their entries have lapsed or
+        something is heard of them.
+        """
+        zone = failed.upstream.zone
+        if zone == self._zone:
+            return []
+        zone_states = [
+            each
+            for each in self._directory
+            if each.upstream.zone == zone and each.lapsed_at is None
+        ]
+        unreachable = [
+            each for each in zone_states if each.health == Health.UNREACHABLE
+        ]
+        since = min((each.probing_since for each in unreachable), default=now)
+        is_heard = any(each.last_heard > since for each in zone_states)
+        if len(unreachable) < self._settings.zone_failures or is_heard:
+            return []
+        effects: list[object] = []
+        for each in zone_states:
+            if self._is_worth_probing(each):
+                effects += self.suspect(now, each, since)
+            else:
+                self._deprioritize(each, since)
+        return effects
+
+    def _may_suspect(self, now: float) -> bool:
+        return self.local_loss.may_suspect(now, len(self._suspects))
+
+    def _is_worth_probing(self, state: _upstream_state.UpstreamState) -> bool:
+        has_room = len(self._suspects) < self._settings.suspect_limit
+        return has_room or state.flows > 0
+
+    def _deprioritize(
+        self, state: _upstream_state.UpstreamState, since: float
+    ) -> None:
+        """Have others go before an upstream until its entry would lapse."""
+        until = since + self._settings.return_seconds
+        state.deprioritized_until = max(state.deprioritized_until, until)
+
+    def _has_answered(self, state: _upstream_state.UpstreamState) -> bool:
+        return state.last_heard > state.silent_since
+
+    def _is_relevant(self, state: _upstream_state.UpstreamState) -> bool:
+        if self._directory.get(state.upstream.name) is not state:
+            return False
+        if state.is_replaced:
+            return False
+        return state.lapsed_at is None or state.flows > 0
+
+    def _probe(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> list[object]:
+        if state.is_probing:
+            return []
+        state.is_probing = True
+        if not state.probe_failures:
+            state.probing_since = now
+        timeout = self._settings.probe_timeout_seconds
+        return [_effect.Probe(state.upstream, timeout)]
+
+    def _repeat_probe(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> list[object]:
+        is_unconfirmed = (
+            state.health == Health.UNREACHABLE and not state.is_confirmed
+        )
+        # While something gets lost here, controls show when it ends.
+        if is_unconfirmed or self.local_loss.is_lossy(now):
+            return self._probe_with_control(now, state)
+        return self._probe(now, state)
+
+    def _probe_with_control(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> list[object]:
+        """Probe an upstream, and one that was heard just now with it."""
+        state.control_sent_at = now
+        state.control_name = ''
+        effects = self._probe(now, state)
+        control = max(
+            (
+                each
+                for each in self._directory
+                if each.health == Health.GOOD and each.lapsed_at is None
+            ),
+            key=lambda each: each.heard_at,
+            default=None,
+        )
+        if control is not None:
+            state.control_name = control.upstream.name
+            self._controls.setdefault(state.control_name, []).append(state)
+            timeout = self._settings.probe_timeout_seconds
+            effects.append(_effect.Probe(control.upstream, timeout, True))
+        return effects
+
+    def _handle_alive(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> list[object]:
+        was_unreachable = state.health == Health.UNREACHABLE
+        silent_since = state.silent_since
+        self._clear_suspicion(now, state)
+        if state.last_heard > silent_since:
+            return []
+        # It takes connections and answers no caller: full, slow, or, after
+        # a crash, another process that was given its address.
+        settings = self._settings
+        state.deprioritized_until = now + settings.full_seconds
+        if not was_unreachable:
+            return []
+        trusted_at = silent_since + settings.return_seconds
+        state.deprioritized_until = max(state.deprioritized_until, trusted_at)
+        return [self._build_record(now, state, Outcome.ALIVE)]
+
+    def _clear_suspicion(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> None:
+        state.probe_failures = 0
+        state.is_confirmed = False
+        state.pending_outcome = ''
+        state.health = Health.GOOD
+        state.probe_due = now + self._settings.probe_pause_seconds
+        self._suspects.pop(state.upstream.name, None)
+
+    def _build_record(
+        self, now: float, state: _upstream_state.UpstreamState, outcome: str
+    ) -> _effect.RecordDecision:
+        details = {
+            'probe': outcome,
+            'heard_ms_ago': _flow_reset.to_ms(now - state.last_heard),
+            'silent_ms': _flow_reset.to_ms(now - state.silent_since),
+            'proven': state.is_confirmed,
+            'flows': state.flows,
+            'zone': state.upstream.zone,
+        }
+        name = state.upstream.name
+        return _effect.RecordDecision(
+            'health', state.health, upstream=name, details=details
+        )
--- a/skylarkfold/affinity/_flow.py
+++ b/skylarkfold/affinity/_flow.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from skylarkfold.affinity import _standing
+from skylarkfold.affinity import _upstream_state
 
 # Sequence numbers wrap around at this.
 _MODULUS = 1 << 32
@@ -42,10 +42,7 @@
 
     __slots__ = (
         'acknowledged',
-        'ahead',
-        'begun_at',
-        'doubted_wait',
-        'first',
+        'first_packet',
         'is_busy',
         'is_closed',
         'is_counted',
@@ -53,34 +50,37 @@
         'is_open',
         'is_routed',
         'key',
+        'last_packet_at',
+        'next_sequence',
         'placed_at',
-        'seen_at',
-        'sent',
-        'standing',
+        'reported_wait',
+        'requests_ahead',
+        'started_at',
+        'state',
         'tried',
         'waiting_since',
     )
 
     def __init__(
-        self, key: bytes, standing: _standing.Standing, now: float
+        self, key: bytes, state: _upstream_state.UpstreamState, now: float
     ) -> None:
         self.key = key
-        self.standing = standing
-        self.begun_at = now
+        self.state = state
+        self.started_at = now
         self.placed_at = now
-        self.seen_at = now
+        self.last_packet_at = now
         self.is_open = False
         self.is_closed = False
         self.is_counted = False
         self.is_busy = False
-        self.ahead = 0
+        self.requests_ahead = 0
         self.is_idempotent = False
         self.is_routed = False
         self.waiting_since: float | None = None
-        self.doubted_wait: float | None = None
-        self.sent: int | None = None
+        self.reported_wait: float | None = None
+        self.next_sequence: int | None = None
         self.acknowledged = 0
-        self.first = b''
+        self.first_packet = b''
         self.tried: tuple[str, ...] = ()
 
 
@@ -117,21 +117,27 @@
     :param limit: flows remembered at most.
     """
 
-    __slots__ = ('_active', '_dormant', '_fading', '_forgotten', '_limit')
+    __slots__ = (
+        '_active',
+        '_active_aging',
+        '_dormant',
+        '_dormant_aging',
+        '_limit',
+    )
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._active: dict[bytes, Flow] = {}
-        self._fading: dict[bytes, Flow] = {}
+        self._active_aging: dict[bytes, Flow] = {}
         self._dormant: dict[bytes, Flow] = {}
-        self._forgotten: dict[bytes, Flow] = {}
+        self._dormant_aging: dict[bytes, Flow] = {}
 
     def __len__(self) -> int:
         return (
             len(self._active)
-            + len(self._fading)
+            + len(self._active_aging)
             + len(self._dormant)
-            + len(self._forgotten)
+            + len(self._dormant_aging)
         )
 
     def __iter__(self) -> Iterator[Flow]:
@@ -152,7 +158,7 @@
             if found is not None:
                 self._active[key] = found
                 if not found.is_closed and not found.is_counted:
-                    count_in(found, found.standing)
+                    bind_flow(found, found.state)
                 return found
         return None
 
@@ -174,37 +180,42 @@
         """
         for generation in self._list_generations():
             generation.pop(flow.key, None)
-        count_out(flow)
+        unbind_flow(flow)
 
     def rotate_active(self) -> None:
         """Count those no more that were not used for two rotations."""
-        for key, flow in self._fading.items():
-            count_out(flow)
+        for key, flow in self._active_aging.items():
+            unbind_flow(flow)
             if not flow.is_closed:
                 self._dormant[key] = flow
-        self._fading, self._active = self._active, {}
+        self._active_aging, self._active = self._active, {}
 
     def rotate_dormant(self) -> None:
         """Forget those that were not used for two rotations."""
-        self._forgotten, self._dormant = self._dormant, {}
+        self._dormant_aging, self._dormant = self._dormant, {}
 
     def _list_generations(self) -> tuple[dict[bytes, Flow], ...]:
-        return (self._active, self._fading, self._dormant, self._forgotten)
+        return (
+            self._active,
+            self._active_aging,
+            self._dormant,
+            self._dormant_aging,
+        )
 
 
-def count_in(flow: Flow, standing: _standing.Standing) -> None:
+def bind_flow(flow: Flow, state: _upstream_state.UpstreamState) -> None:
     """Bind a flow to an upstream and count it there.
 
     :param flow: the flow.
     :param standing: its upstream from now on.
     """
-    count_out(flow)
-    flow.standing = standing
+    unbind_flow(flow)
+    flow.state = state
     flow.is_counted = True
-    standing.flows += 1
+    state.flows += 1
 
 
-def begin_work(flow: Flow, now: float) -> None:
+def start_request(flow: Flow, now: float) -> None:
     """Count that a flow's upstream has a request of it.
 
     :param flow: the flow.
@@ -213,11 +224,11 @@
     if not flow.is_busy:
         flow.is_busy = True
         # A whole number: small ones take no memory of their own.
-        flow.ahead = round(flow.standing.waiting)
-        flow.standing.change_busy(now, 1)
+        flow.requests_ahead = round(flow.state.in_flight)
+        flow.state.change_busy(now, 1)
 
 
-def end_work(flow: Flow, now: float) -> None:
+def finish_request(flow: Flow, now: float) -> None:
     """Count that its upstream has none of it any more.
 
     :param flow: the flow.
@@ -225,11 +236,14 @@
     """
     if flow.is_busy:
         flow.is_busy = False
-        flow.standing.change_busy(now, -1)
+        flow.state.change_busy(now, -1)
 
 
-def move(
-    flow: Flow, standing: _standing.Standing, acknowledged: int, now: float
+def rebind_flow(
+    flow: Flow,
+    state: _upstream_state.UpstreamState,
+    acknowledged: int,
+    now: float,
 ) -> None:
     """Move a flow to the next start of its upstream.
 
@@ -241,23 +255,23 @@
     :param acknowledged: the caller's acknowledgement.
     :param now: the time.
     """
-    end_work(flow, now)
+    finish_request(flow, now)
     flow.waiting_since = None
-    flow.doubted_wait = None
+    flow.reported_wait = None
     flow.is_open = True
-    flow.first = b''
+    flow.first_packet = b''
     flow.acknowledged = acknowledged
-    count_in(flow, standing)
+    bind_flow(flow, state)
 
 
-def count_out(flow: Flow) -> None:
+def unbind_flow(flow: Flow) -> None:
     """Count a flow no more.
 
     :param flow: the flow.
     """
     if flow.is_counted:
         flow.is_counted = False
-        flow.standing.flows -= 1
+        flow.state.flows -= 1
     if flow.is_busy:
         flow.is_busy = False
-        flow.standing.busy -= 1
+        flow.state.busy -= 1
--- a/skylarkfold/affinity/_opening.py
+++ b/skylarkfold/affinity/_flow_opener.py
@@ -8,21 +8,21 @@
 from skylarkfold.affinity import _effect
 from skylarkfold.affinity import _flow
 from skylarkfold.affinity import _health
+from skylarkfold.affinity import _load_trust
 from skylarkfold.affinity import _packet
 from skylarkfold.affinity import _placement
 from skylarkfold.affinity import _refusal
 from skylarkfold.affinity import _route
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _tally
-from skylarkfold.affinity import _unseen
+from skylarkfold.affinity import _upstream_state
 from skylarkfold.affinity import _warm_up
 from skylarkfold import room as rooms
 
 Reason = _effect.Reason
 
 
-class Opener:
+class FlowOpener:
     """Sends first packets to upstreams until one of them answers.
 
     :param zone: this instance's availability zone.
@@ -39,13 +39,13 @@
     __slots__ = (
         '_directory',
         '_health',
-        '_limit',
+        '_load_trust',
         '_refusals',
         '_room',
         '_settings',
         '_tally',
-        '_unseen',
         '_waiting',
+        '_warm_up_limiter',
         '_zone',
     )
 
@@ -54,33 +54,33 @@
         zone: str,
         settings: _settings.AffinitySettings,
         directory: _directory.Directory,
-        health: _health.HealthWatch,
-        limit: _warm_up.WarmUpLimit,
+        health: _health.HealthMonitor,
+        warm_up_limiter: _warm_up.WarmUpLimiter,
         refusals: _refusal.Refusals,
         tally: _tally.Tally,
         room: rooms.InstanceHeadroom,
-        unseen: _unseen.Unseen | None,
+        load_trust: _load_trust.LoadTrust | None,
     ) -> None:
         self._zone = zone
         self._settings = settings
         self._directory = directory
         self._health = health
-        self._limit = limit
+        self._warm_up_limiter = warm_up_limiter
         self._refusals = refusals
         self._tally = tally
         self._room = room
-        self._unseen = unseen
+        self._load_trust = load_trust
         self._waiting: collections.deque[tuple[float, _flow.Flow]] = (
             collections.deque()
         )
 
-    def choose(
+    def choose_upstream(
         self,
         now: float,
         service: str | None,
-        hashed: int,
+        flow_hash: int,
         tried: tuple[str, ...] = (),
-    ) -> _standing.Standing | None:
+    ) -> _upstream_state.UpstreamState | None:
         """Choose an upstream for a new flow.
 
         :param now: the time.
@@ -93,20 +93,20 @@
             return None
         return _placement.choose_upstream(
             now,
-            self._directory.list_service(service),
+            self._directory.list_states(service),
             self._zone,
-            hashed >> 16,
+            flow_hash >> 16,
             tried,
             self._settings,
-            self._limit,
-            self._unseen,
+            self._warm_up_limiter,
+            self._load_trust,
         )
 
-    def send(
+    def send_first_packet(
         self,
         now: float,
         flow: _flow.Flow,
-        standing: _standing.Standing,
+        state: _upstream_state.UpstreamState,
         reason: str,
         version: int,
     ) -> list[object]:
@@ -119,29 +119,29 @@
         :param version: of the routes that led to it.
         :returns: effects.
         """
-        _flow.count_in(flow, standing)
-        _flow.begin_work(flow, now)
-        self._limit.note_opening(now, standing)
+        _flow.bind_flow(flow, state)
+        _flow.start_request(flow, now)
+        self._warm_up_limiter.record_first_packet(now, state)
         flow.placed_at = now
-        flow.tried = (*flow.tried, standing.upstream.name)
+        flow.tried = (*flow.tried, state.upstream.name)
         due = now + self._settings.open_patience_seconds
         self._waiting.append((due, flow))
         self._tally.count(_tally.OPENED, reason)
         details = {
             'version': version,
-            'load': standing.load,
-            'health': standing.health,
+            'load': state.load,
+            'health': state.health,
             'try': len(flow.tried),
         }
-        if standing.speed != 1.0:
-            details['speed'] = round(standing.speed, 2)
-        name = standing.upstream.name
+        if state.speed != 1.0:
+            details['speed'] = round(state.speed, 2)
+        name = state.upstream.name
         return [
             _effect.RecordDecision('open', reason, flow.key, name, details),
-            _effect.Forward(standing.upstream, flow.first),
+            _effect.Forward(state.upstream, flow.first_packet),
         ]
 
-    def take_copy(
+    def handle_retransmission(
         self,
         now: float,
         flow: _flow.Flow,
@@ -156,26 +156,26 @@
         :param routes: the routes in force.
         :returns: effects.
         """
-        effects = self._health.doubt_opening(now, flow)
-        standing = self._choose_again(now, flow, routes, flow.tried)
-        if standing is not None:
-            return effects + self.send(
-                now, flow, standing, Reason.REPEATED, routes.version
+        effects = self._health.suspect_unopened(now, flow)
+        state = self._choose_retry(now, flow, routes, flow.tried)
+        if state is not None:
+            return effects + self.send_first_packet(
+                now, flow, state, Reason.REPEATED, routes.version
             )
         # Every upstream has had it: one that may still have it once more,
         # which one that leaves or is evacuated by now may not.
-        again = self._choose_again(now, flow, routes, ())
+        again = self._choose_retry(now, flow, routes, ())
         if again is None:
             flow.is_closed = True
-            _flow.end_work(flow, now)
-            _flow.count_out(flow)
+            _flow.finish_request(flow, now)
+            _flow.unbind_flow(flow)
             return effects + self._refusals.refuse(
                 packet,
                 Reason.NO_UPSTREAM,
                 routes.version,
                 {'try': len(flow.tried)},
             )
-        self._limit.note_opening(now, again)
+        self._warm_up_limiter.record_first_packet(now, again)
         return [*effects, _effect.Forward(again.upstream, packet.data)]
 
     def find_due(self) -> float | None:
@@ -187,7 +187,9 @@
             self._waiting.popleft()
         return None
 
-    def repeat(self, now: float, routes: _route.RouteTable) -> list[object]:
+    def retry_unanswered(
+        self, now: float, routes: _route.RouteTable
+    ) -> list[object]:
         """Send what was not answered in time to another upstream.
 
         :param now: the time.
@@ -203,29 +205,29 @@
                 # A copy to another upstream would fill a full link still
                 # more; the caller's own one may go there.
                 continue
-            effects += self._health.doubt_opening(now, flow)
+            effects += self._health.suspect_unopened(now, flow)
             if len(flow.tried) >= self._settings.open_tries:
-                _flow.end_work(flow, now)
+                _flow.finish_request(flow, now)
                 continue
-            standing = self._choose_again(now, flow, routes, flow.tried)
-            if standing is not None:
-                effects += self.send(
-                    now, flow, standing, Reason.PLACED_AGAIN, routes.version
+            state = self._choose_retry(now, flow, routes, flow.tried)
+            if state is not None:
+                effects += self.send_first_packet(
+                    now, flow, state, Reason.PLACED_AGAIN, routes.version
                 )
         return effects
 
-    def _choose_again(
+    def _choose_retry(
         self,
         now: float,
         flow: _flow.Flow,
         routes: _route.RouteTable,
         tried: tuple[str, ...],
-    ) -> _standing.Standing | None:
+    ) -> _upstream_state.UpstreamState | None:
         route = routes.get(_packet.get_address(flow.key))
         if route is None:
             return None
-        hashed = _placement.hash_flow(flow.key)
-        service = flow.standing.upstream.service
+        flow_hash = _placement.hash_flow(flow.key)
+        service = flow.state.upstream.service
         if not route.has_service(service):
-            service = route.choose_service(hashed)
-        return self.choose(now, service, hashed, tried)
+            service = route.choose_service(flow_hash)
+        return self.choose_upstream(now, service, flow_hash, tried)
--- a/skylarkfold/affinity/_ending.py
+++ b/skylarkfold/affinity/_flow_reset.py
@@ -9,13 +9,13 @@
 from skylarkfold.affinity import _flow
 from skylarkfold.affinity import _packet
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _tally
+from skylarkfold.affinity import _upstream_state
 
 Reason = _effect.Reason
 
 
-class Ending:
+class FlowResetter:
     """Ends flows early, so that their callers open new ones at once.
 
     :param settings: how long a verdict counts.
@@ -35,7 +35,7 @@
         self._tally = tally
         self._flows = flows
 
-    def end_flow(
+    def reset_flow(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
     ) -> list[object] | None:
         """End the flow of a packet if its upstream is gone.
@@ -45,15 +45,15 @@
         :param packet: the packet.
         :returns: effects in place of forwarding it, None to forward it.
         """
-        if not flow.standing.may_reset(now, self._settings):
+        if not flow.state.may_reset(now, self._settings):
             return None
-        if packet.is_last or not _may_end(flow):
+        if packet.is_last or not _may_reset(flow):
             return None
         flow.acknowledged = packet.acknowledged
         return self._reset(now, flow)
 
-    def end_flows(
-        self, now: float, standings: Iterable[_standing.Standing]
+    def reset_flows(
+        self, now: float, states: Iterable[_upstream_state.UpstreamState]
     ) -> list[object]:
         """End all flows of upstreams that are gone.
 
@@ -63,20 +63,22 @@
         :param standings: upstreams that may be gone.
         :returns: effects.
         """
-        gone = {
-            each for each in standings if each.may_reset(now, self._settings)
+        unreachable = {
+            each for each in states if each.may_reset(now, self._settings)
         }
-        if not gone:
+        if not unreachable:
             return []
         effects: list[object] = []
         for flow in self._flows:
-            is_here = flow.standing in gone and flow.is_open
-            if is_here and not flow.is_closed and _may_end(flow):
+            is_here = flow.state in unreachable and flow.is_open
+            if is_here and not flow.is_closed and _may_reset(flow):
                 effects += self._reset(now, flow)
         return effects
 
-    def end_former(
-        self, now: float, ended: Mapping[_standing.Standing, float]
+    def reset_superseded(
+        self,
+        now: float,
+        present_until: Mapping[_upstream_state.UpstreamState, float],
     ) -> list[object]:
         """End flows of upstreams that have started again.
 
@@ -89,40 +91,40 @@
             was there for certain.
         :returns: effects.
         """
-        if not ended:
+        if not present_until:
             return []
         effects: list[object] = []
         for flow in self._flows:
-            until = ended.get(flow.standing)
+            until = present_until.get(flow.state)
             if until is None or not flow.is_open or flow.is_closed:
                 continue
-            if flow.begun_at <= until:
+            if flow.started_at <= until:
                 effects += self._reset(now, flow)
         return effects
 
     def _reset(self, now: float, flow: _flow.Flow) -> list[object]:
-        standing = flow.standing
+        state = flow.state
         reason = Reason.OUT_OF_REACH
-        if standing.is_replaced:
+        if state.is_replaced:
             reason = Reason.REPLACED
-        if standing.is_former:
+        if state.is_superseded:
             reason = Reason.RESTARTED
         self._flows.remove(flow)
         self._tally.count(_tally.RESET, reason)
         waited = flow.waiting_since
         details = {
             'waited_ms': 0 if waited is None else to_ms(now - waited),
-            'heard_ms_ago': to_ms(now - standing.last_heard),
-            'failed_ms_ago': to_ms(now - standing.failed_at),
+            'heard_ms_ago': to_ms(now - state.last_heard),
+            'failed_ms_ago': to_ms(now - state.probe_failed_at),
         }
-        name = standing.upstream.name
+        name = state.upstream.name
         return [
             _effect.RecordDecision('reset', reason, flow.key, name, details),
             _effect.Reset(flow.key, flow.acknowledged),
         ]
 
 
-def _may_end(flow: _flow.Flow) -> bool:
+def _may_reset(flow: _flow.Flow) -> bool:
     # A request that must not run twice may have been passed on: its caller
     # would not repeat it, and the answer may still come.
     return flow.is_idempotent or flow.waiting_since is None
--- a/skylarkfold/affinity/_health.py
+++ b/skylarkfold/affinity/_health.py
@@ -11,24 +11,24 @@
 import collections
 
 from skylarkfold.affinity import _admission
+from skylarkfold.affinity import _answer_timeouts
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
+from skylarkfold.affinity import _failure_detector
 from skylarkfold.affinity import _flow
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _packet
-from skylarkfold.affinity import _patience
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _suspects
 from skylarkfold.affinity import _tally
+from skylarkfold.affinity import _upstream_state
 from skylarkfold import light_imports
 
 if light_imports.TYPE_CHECKING:
-    from skylarkfold.affinity import _sharing
+    from skylarkfold.affinity import _share_enforcer
 
 _NEVER = float('-inf')
 
 
-class HealthWatch:
+class HealthMonitor:
     """Reads from callers' packets which upstreams answer, and how soon.
 
     :param settings: the limits.
@@ -41,10 +41,10 @@
 
     __slots__ = (
         '_admission',
+        '_answer_timeouts',
+        '_failure_detector',
         '_histograms',
-        '_patience',
         '_settings',
-        '_suspects',
         '_waits',
         'sharing',
     )
@@ -52,30 +52,32 @@
     def __init__(
         self,
         settings: _settings.AffinitySettings,
-        suspects: _suspects.Suspects,
+        failure_detector: _failure_detector.FailureDetector,
         admission: _admission.Admission,
         tally: _tally.Tally,
     ) -> None:
         self._settings = settings
-        self._suspects = suspects
+        self._failure_detector = failure_detector
         self._admission = admission
         self._histograms = tally.histograms
-        self._patience = _patience.Patience(settings)
-        self.sharing: _sharing.Sharing | None = None
+        self._answer_timeouts = _answer_timeouts.AnswerTimeouts(settings)
+        self.sharing: _share_enforcer.ShareEnforcer | None = None
         self._waits: collections.deque[tuple[float, _flow.Flow]] = (
             collections.deque()
         )
 
-    def note_heard(self, now: float, standing: _standing.Standing) -> None:
+    def record_heard(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> None:
         """Note that a packet proved an upstream to answer.
 
         :param now: the time.
         :param standing: the upstream.
         """
-        standing.heard_at = now
-        standing.avoided_until = _NEVER
+        state.heard_at = now
+        state.deprioritized_until = _NEVER
 
-    def note_open(
+    def record_open(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
     ) -> None:
         """Note that a flow's caller has answered its upstream.
@@ -84,20 +86,20 @@
         :param flow: the flow.
         :param packet: the first packet that shows it.
         """
-        seconds = now - flow.begun_at
+        seconds = now - flow.started_at
         self._histograms[_tally.OPEN_SECONDS].observe(seconds)
         flow.is_open = True
-        flow.first = b''
+        flow.first_packet = b''
         # Its upstream's numbers begin anywhere.
         flow.acknowledged = packet.acknowledged
-        self.note_heard(now, flow.standing)
+        self.record_heard(now, flow.state)
         # Of several that had the first packet, either may have answered.
         if len(flow.tried) == 1:
-            evidence = self._suspects.evidence
-            evidence.note_opened(now, flow.standing, flow.placed_at)
+            local_loss = self._failure_detector.local_loss
+            local_loss.record_opened(now, flow.state, flow.placed_at)
         if self.sharing is not None:
-            service = flow.standing.upstream.service
-            self.sharing.note_open(service, seconds)
+            service = flow.state.upstream.service
+            self.sharing.record_open(service, seconds)
 
     def handle_packet(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
@@ -110,40 +112,51 @@
         """
         if _flow.is_after(packet.acknowledged, flow.acknowledged):
             flow.acknowledged = packet.acknowledged
-            self._note_answer(now, flow)
-            _flow.end_work(flow, now)
+            self._record_answer(now, flow)
+            _flow.finish_request(flow, now)
         if not packet.length:
             return
         end = _flow.add_length(packet.sequence, packet.length)
-        if flow.sent is not None and not _flow.is_after(end, flow.sent):
+        if flow.next_sequence is not None and not _flow.is_after(
+            end, flow.next_sequence
+        ):
             return
-        is_further = flow.sent is not None and flow.waiting_since is None
-        flow.sent = end
-        _flow.begin_work(flow, now)
-        if self.sharing is not None and is_further:
-            self.sharing.note_request(now, flow)
+        is_followup = (
+            flow.next_sequence is not None and flow.waiting_since is None
+        )
+        flow.next_sequence = end
+        _flow.start_request(flow, now)
+        if self.sharing is not None and is_followup:
+            self.sharing.record_request(now, flow)
         if flow.waiting_since is None:
             flow.waiting_since = now
-            service = flow.standing.upstream.service
-            self._waits.append((now + self._patience.get(service), flow))
+            service = flow.state.upstream.service
+            self._waits.append(
+                (now + self._answer_timeouts.get(service), flow)
+            )
 
-    def doubt_opening(self, now: float, flow: _flow.Flow) -> list[object]:
+    def suspect_unopened(self, now: float, flow: _flow.Flow) -> list[object]:
         """Take a first packet that was not answered in time.
 
         :param now: the time.
         :param flow: its flow.
         :returns: effects.
         """
-        standing = flow.standing
-        if standing.is_former or standing.last_heard >= flow.placed_at:
+        state = flow.state
+        if state.is_superseded or state.last_heard >= flow.placed_at:
             return []
         reason = _effect.Reason.NOT_OPENED
-        doubt = _record_doubt(now, flow, flow.placed_at, reason)
-        self._suspects.evidence.note_unopened(standing, flow.placed_at)
-        return [doubt, *self._suspects.doubt(now, standing, flow.placed_at)]
+        doubt = _build_doubt_record(now, flow, flow.placed_at, reason)
+        self._failure_detector.local_loss.record_unopened(
+            state, flow.placed_at
+        )
+        return [
+            doubt,
+            *self._failure_detector.suspect(now, state, flow.placed_at),
+        ]
 
-    def take_lapse(
-        self, now: float, standing: _standing.Standing
+    def handle_lapse(
+        self, now: float, state: _upstream_state.UpstreamState
     ) -> list[object]:
         """Take that an upstream's entry has disappeared.
 
@@ -153,10 +166,10 @@
         """
         # One that left as planned ends its flows itself; one without flows
         # here may be looked at when there are some.
-        is_planned = standing.upstream.is_draining
-        if standing.is_replaced or is_planned or not standing.flows:
+        is_planned = state.upstream.is_draining
+        if state.is_replaced or is_planned or not state.flows:
             return []
-        return self._suspects.doubt(now, standing, now)
+        return self._failure_detector.suspect(now, state, now)
 
     def find_due(self) -> float | None:
         """Find when the next request has waited for too long."""
@@ -176,43 +189,43 @@
         effects: list[object] = []
         while self._waits and self._waits[0][0] <= now:
             _, flow = self._waits.popleft()
-            effects += self._judge_wait(now, flow)
+            effects += self._check_wait(now, flow)
         effects += self._admission.refresh(now)
-        return effects + self._suspects.tick(now)
+        return effects + self._failure_detector.tick(now)
 
-    def _note_answer(self, now: float, flow: _flow.Flow) -> None:
-        self.note_heard(now, flow.standing)
+    def _record_answer(self, now: float, flow: _flow.Flow) -> None:
+        self.record_heard(now, flow.state)
         if flow.waiting_since is not None:
-            service = flow.standing.upstream.service
+            service = flow.state.upstream.service
             waited = now - flow.waiting_since
-            self._patience.note(service, waited)
+            self._answer_timeouts.record(service, waited)
             address = _packet.get_address(flow.key)
-            self._admission.note(
-                now, flow.standing, address, flow.ahead, waited
+            self._admission.record(
+                now, flow.state, address, flow.requests_ahead, waited
             )
             self._histograms[_tally.ANSWER_SECONDS].observe(waited)
             flow.waiting_since = None
 
-    def _judge_wait(self, now: float, flow: _flow.Flow) -> list[object]:
+    def _check_wait(self, now: float, flow: _flow.Flow) -> list[object]:
         if flow.waiting_since is None or flow.is_closed:
             return []
-        if flow.standing.is_former or self._has_moved(now, flow):
+        if flow.state.is_superseded or self._has_moved(now, flow):
             flow.waiting_since = None
-            _flow.end_work(flow, now)
+            _flow.finish_request(flow, now)
             return []
-        standing = flow.standing
-        silent_since = max(flow.waiting_since, standing.last_heard)
-        patience = self._patience.get(standing.upstream.service)
-        if now - silent_since < patience:
-            self._waits.append((silent_since + patience, flow))
+        state = flow.state
+        silent_since = max(flow.waiting_since, state.last_heard)
+        answer_timeout = self._answer_timeouts.get(state.upstream.service)
+        if now - silent_since < answer_timeout:
+            self._waits.append((silent_since + answer_timeout, flow))
             return []
-        self._waits.append((now + patience, flow))
-        effects = self._suspects.doubt(now, standing, silent_since)
-        if flow.doubted_wait != flow.waiting_since:
-            flow.doubted_wait = flow.waiting_since
+        self._waits.append((now + answer_timeout, flow))
+        effects = self._failure_detector.suspect(now, state, silent_since)
+        if flow.reported_wait != flow.waiting_since:
+            flow.reported_wait = flow.waiting_since
             reason = _effect.Reason.NOT_ANSWERED
             since = flow.waiting_since
-            effects.insert(0, _record_doubt(now, flow, since, reason))
+            effects.insert(0, _build_doubt_record(now, flow, since, reason))
         return effects
 
     def _has_moved(self, now: float, flow: _flow.Flow) -> bool:
@@ -226,19 +239,19 @@
         if waited > settings.longest_wait_seconds:
             return True
         # A request of several packets takes some milliseconds to come.
-        said = flow.seen_at - flow.waiting_since
-        is_repeated = said > settings.repeat_seconds / 2
+        repeated_after = flow.last_packet_at - flow.waiting_since
+        is_repeated = repeated_after > settings.repeat_seconds / 2
         return waited > settings.repeat_seconds and not is_repeated
 
 
-def _record_doubt(
+def _build_doubt_record(
     now: float, flow: _flow.Flow, since: float, reason: str
 ) -> _effect.RecordDecision:
-    standing = flow.standing
+    state = flow.state
     details = {
-        'waited_ms': _ending.to_ms(now - since),
-        'heard_ms_ago': _ending.to_ms(now - standing.last_heard),
-        'health': standing.health,
+        'waited_ms': _flow_reset.to_ms(now - since),
+        'heard_ms_ago': _flow_reset.to_ms(now - state.last_heard),
+        'health': state.health,
     }
-    name = standing.upstream.name
+    name = state.upstream.name
     return _effect.RecordDecision('doubt', reason, flow.key, name, details)
--- a/skylarkfold/affinity/_link.py
+++ b/skylarkfold/affinity/_link_admission.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
 from skylarkfold.affinity import _flow
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _packet
 from skylarkfold.affinity import _refusal
 from skylarkfold.affinity import _route
@@ -17,7 +17,7 @@
 Reason = _effect.Reason
 
 
-class LinkGate:
+class LinkAdmission:
     """Asks the instance's room about bulk and says what came of it.
 
     :param gate: decides on what is bulk.
@@ -25,15 +25,15 @@
     :param tally: where first packets are counted.
     """
 
-    __slots__ = ('_gate', '_refusals', '_tally')
+    __slots__ = ('_bulk_admission', '_refusals', '_tally')
 
     def __init__(
         self,
-        gate: rooms.BulkAdmission,
+        bulk_admission: rooms.BulkAdmission,
         refusals: _refusal.Refusals,
         tally: _tally.Tally,
     ) -> None:
-        self._gate = gate
+        self._bulk_admission = bulk_admission
         self._refusals = refusals
         self._tally = tally
         tally.add_histogram(_tally.LINK_WAIT_SECONDS)
@@ -43,7 +43,7 @@
 
         :param addresses: those that there are.
         """
-        self._gate.keep_routes(addresses)
+        self._bulk_admission.keep_routes(addresses)
 
     def is_waiting(self, flow: bytes) -> bool:
         """Tell whether a flow's first packet waits.
@@ -51,7 +51,7 @@
         :param flow: the packed flow.
         :returns: whether it does.
         """
-        return self._gate.is_waiting(flow)
+        return self._bulk_admission.is_waiting(flow)
 
     def hold(
         self,
@@ -68,7 +68,7 @@
         :param version: of the routes.
         :returns: effects; None to send it to an upstream.
         """
-        verdict = self._gate.decide(now, packet, route.aim_seconds)
+        verdict = self._bulk_admission.decide(now, packet, route.aim_seconds)
         if verdict is None:
             return None
         if verdict.outcome == verdict.WAITS:
@@ -90,7 +90,7 @@
         :param now: the time.
         :param packet: the packet.
         """
-        self._gate.begin(now, packet)
+        self._bulk_admission.begin(now, packet)
 
     def handle_packet(
         self,
@@ -109,9 +109,11 @@
         # Of a flow that another instance opened, a request may have begun
         # there.
         is_start = bool(flow.tried)
-        if flow.sent is not None:
+        if flow.next_sequence is not None:
             is_start = flow.waiting_since is None
-        self._gate.handle_packet(now, packet, route.address, is_start)
+        self._bulk_admission.handle_packet(
+            now, packet, route.address, is_start
+        )
 
     def release(self, now: float) -> Iterator[_packet.Packet]:
         """Give back first packets as there is room for them.
@@ -120,7 +122,7 @@
         :returns: each, to be sent to an upstream before the next is asked
             for.
         """
-        while (waiter := self._gate.pop_ready(now)) is not None:
+        while (waiter := self._bulk_admission.pop_ready(now)) is not None:
             self._observe(now - waiter.since)
             yield waiter.packet
 
@@ -132,9 +134,9 @@
         :returns: effects.
         """
         effects: list[object] = []
-        while (waiter := self._gate.pop_late(now)) is not None:
+        while (waiter := self._bulk_admission.pop_late(now)) is not None:
             self._observe(now - waiter.since)
-            verdict = self._gate.describe(now, waiter)
+            verdict = self._bulk_admission.describe(now, waiter)
             effects += self._refuse(waiter.packet, verdict, version)
         return effects
 
@@ -144,18 +146,18 @@
         :param now: the time.
         :returns: the time, None where none waits.
         """
-        return self._gate.find_due(now)
+        return self._bulk_admission.find_due(now)
 
     def list_gauges(self) -> dict[str, float]:
         """List what is on its way and what waits.
 
         :returns: values by name.
         """
-        transfers = self._gate.transfers
+        transfers = self._bulk_admission.transfers
         return {
             'transfers': float(len(transfers)),
             'transfer_bytes': float(transfers.on_way),
-            'transfers_waiting': float(self._gate.waiting_count),
+            'transfers_waiting': float(self._bulk_admission.waiting_count),
         }
 
     def _observe(self, seconds: float) -> None:
@@ -182,16 +184,16 @@
         'bytes': verdict.on_way,
         'waiting': verdict.waiting,
         'link_share': round(verdict.link_share, 2),
-        'wait_ms': _ending.to_ms(verdict.wait_seconds),
-        'limit_ms': _ending.to_ms(verdict.limit_seconds),
+        'wait_ms': _flow_reset.to_ms(verdict.wait_seconds),
+        'limit_ms': _flow_reset.to_ms(verdict.limit_seconds),
     }
 
 
-def build_gate(
+def build_link_admission(
     room: rooms.InstanceHeadroom | None,
     refusals: _refusal.Refusals,
     tally: _tally.Tally,
-) -> LinkGate | None:
+) -> LinkAdmission | None:
     """Build a gate where there is something to be decided.
 
     :param room: the instance's own.
@@ -204,4 +206,6 @@
         return None
     if not room.settings.bulk_share:
         return None
-    return LinkGate(rooms.BulkAdmission(room.settings, room), refusals, tally)
+    return LinkAdmission(
+        rooms.BulkAdmission(room.settings, room), refusals, tally
+    )
--- a/skylarkfold/affinity/_load.py
+++ b/skylarkfold/affinity/_peer_loads.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from skylarkfold.affinity import _directory
+from skylarkfold.affinity import _load_trust
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _unseen
+from skylarkfold.affinity import _upstream_state
 from skylarkfold import upstream_load
 
 _Load = upstream_load.UpstreamLoad
-_NOTHING = upstream_load.NO_LOAD
+_NO_LOAD = upstream_load.NO_LOAD
 
 
 class PeerLoads:
@@ -22,7 +22,7 @@
         matter.
     """
 
-    __slots__ = ('_directory', '_reports', '_settings', 'unseen')
+    __slots__ = ('_directory', '_reports', '_settings', 'load_trust')
 
     def __init__(
         self,
@@ -31,12 +31,16 @@
     ) -> None:
         self._settings = settings
         self._directory = directory
-        self.unseen: _unseen.Unseen | None = None
+        self.load_trust: _load_trust.LoadTrust | None = None
         if settings.unseen_trust:
-            self.unseen = _unseen.Unseen(settings.unseen_trust, directory)
+            self.load_trust = _load_trust.LoadTrust(
+                settings.unseen_trust, directory
+            )
         self._reports: dict[str, tuple[float, dict[int, _Load]]] = {}
 
-    def take(self, now: float, source: str, loads: dict[int, _Load]) -> None:
+    def update_report(
+        self, now: float, source: str, loads: dict[int, _Load]
+    ) -> None:
         """Take what an instance or zone says.
 
         :param now: the time.
@@ -45,11 +49,13 @@
         """
         at, before = self._reports.get(source, (now, {}))
         if before:
-            self._directory.note_gap(now - at)
+            self._directory.record_report_interval(now - at)
         self._reports[source] = (now, loads)
         for incarnation in before.keys() | loads.keys():
-            known = before.get(incarnation, _NOTHING)
-            self._add(incarnation, loads.get(incarnation, _NOTHING), known)
+            known = before.get(incarnation, _NO_LOAD)
+            self._add_difference(
+                incarnation, loads.get(incarnation, _NO_LOAD), known
+            )
 
     def expire(self, now: float) -> None:
         """Forget what those said that are silent now.
@@ -61,37 +67,37 @@
             if at < oldest:
                 del self._reports[source]
                 for incarnation, load in report.items():
-                    self._add(incarnation, _NOTHING, load)
+                    self._add_difference(incarnation, _NO_LOAD, load)
 
-    def apply(self) -> None:
+    def recompute(self) -> None:
         """Sum up again after the upstreams have changed."""
-        for standing in self._directory:
-            standing.remote_flows = 0
-            standing.remote_answers = standing.remote_slowness = 0.0
-            standing.remote_busy = 0.0
+        for state in self._directory:
+            state.remote_flows = 0
+            state.remote_answers = state.remote_slowness = 0.0
+            state.remote_busy = 0.0
         for _, report in self._reports.values():
             for incarnation, load in report.items():
-                self._add(incarnation, load)
+                self._add_difference(incarnation, load)
 
-    def _add(
-        self, incarnation: int, load: _Load, before: _Load = _NOTHING
+    def _add_difference(
+        self, incarnation: int, load: _Load, before: _Load = _NO_LOAD
     ) -> None:
-        standing = self._directory.find_incarnation(incarnation)
-        if standing is not None:
-            standing.remote_flows += load.flows - before.flows
-            busy = standing.remote_busy + load.busy - before.busy
+        state = self._directory.find_by_incarnation(incarnation)
+        if state is not None:
+            state.remote_flows += load.flows - before.flows
+            busy = state.remote_busy + load.busy - before.busy
             # What is added and taken away again leaves a rounding error.
-            standing.remote_busy = max(0.0, busy)
+            state.remote_busy = max(0.0, busy)
             if load.answers or before.answers:
-                _add_answers(standing, load, before)
+                _add_answers(state, load, before)
 
 
 def _add_answers(
-    standing: _standing.Standing, load: _Load, before: _Load
+    state: _upstream_state.UpstreamState, load: _Load, before: _Load
 ) -> None:
-    answers = standing.remote_answers + load.answers - before.answers
+    answers = state.remote_answers + load.answers - before.answers
     if answers < upstream_load.MINIMUM_ANSWERS:
-        standing.remote_answers = standing.remote_slowness = 0.0
+        state.remote_answers = state.remote_slowness = 0.0
         return
-    standing.remote_answers = answers
-    standing.remote_slowness += load.slowness - before.slowness
+    state.remote_answers = answers
+    state.remote_slowness += load.slowness - before.slowness
--- a/skylarkfold/affinity/_words.py
+++ b/skylarkfold/affinity/_peer_reports.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 
 from skylarkfold.affinity import _directory
-from skylarkfold.affinity import _load
+from skylarkfold.affinity import _failure_detector
+from skylarkfold.affinity import _peer_loads
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _suspects
 from skylarkfold import upstream_load
 
 
-class PeerWords:
+class PeerReports:
     """Takes the words of peers, and says what is known here.
 
     Upstreams are named by incarnation: a word of an earlier start that is
@@ -23,18 +23,18 @@
     :param peer_loads: keeps what they carry.
     """
 
-    __slots__ = ('_directory', '_peer_loads', '_settings', '_suspects')
+    __slots__ = ('_directory', '_failure_detector', '_peer_loads', '_settings')
 
     def __init__(
         self,
         settings: _settings.AffinitySettings,
         directory: _directory.Directory,
-        suspects: _suspects.Suspects,
-        peer_loads: _load.PeerLoads,
+        failure_detector: _failure_detector.FailureDetector,
+        peer_loads: _peer_loads.PeerLoads,
     ) -> None:
         self._settings = settings
         self._directory = directory
-        self._suspects = suspects
+        self._failure_detector = failure_detector
         self._peer_loads = peer_loads
 
     def handle_load(
@@ -49,7 +49,7 @@
         :param source: who they are; a later word replaces an earlier one.
         :param loads: by incarnation of their upstream.
         """
-        self._peer_loads.take(now, source, loads)
+        self._peer_loads.update_report(now, source, loads)
 
     def list_loads(self, now: float) -> dict[int, upstream_load.UpstreamLoad]:
         """List what this instance carries, for its peers.
@@ -59,18 +59,16 @@
             since this was last asked.
         """
         loads = {}
-        for standing in self._directory:
+        for state in self._directory:
             answers, slowness = 0.0, 0.0
-            if standing.evidence is not None:
-                answers, slowness = standing.evidence.tell(now)
-            if standing.flows > 0 or answers:
-                loads[standing.upstream.incarnation] = (
-                    upstream_load.UpstreamLoad(
-                        standing.flows,
-                        standing.take_mean_busy(now),
-                        answers,
-                        slowness,
-                    )
+            if state.answer_statistics is not None:
+                answers, slowness = state.answer_statistics.export(now)
+            if state.flows > 0 or answers:
+                loads[state.upstream.incarnation] = upstream_load.UpstreamLoad(
+                    state.flows,
+                    state.pop_mean_busy(now),
+                    answers,
+                    slowness,
                 )
         return loads
 
@@ -86,10 +84,10 @@
         """
         heard = {}
         for incarnation in incarnations:
-            standing = self._directory.find_incarnation(incarnation)
-            if standing is None:
+            state = self._directory.find_by_incarnation(incarnation)
+            if state is None:
                 continue
-            age = now - standing.heard_at
+            age = now - state.heard_at
             if age <= self._settings.longest_wait_seconds:
                 heard[incarnation] = age
         return heard
@@ -101,9 +99,9 @@
         :param heard: how many seconds ago, by incarnation.
         """
         for incarnation, age in heard.items():
-            standing = self._directory.find_incarnation(incarnation)
-            if standing is not None:
-                self._suspects.handle_last_seen(now, standing, now - age)
+            state = self._directory.find_by_incarnation(incarnation)
+            if state is not None:
+                self._failure_detector.handle_last_seen(now, state, now - age)
 
     def handle_unreachable(
         self, now: float, incarnations: Iterable[int]
@@ -116,7 +114,9 @@
         """
         effects: list[object] = []
         for incarnation in incarnations:
-            standing = self._directory.find_incarnation(incarnation)
-            if standing is not None:
-                effects += self._suspects.handle_unreachable(now, standing)
+            state = self._directory.find_by_incarnation(incarnation)
+            if state is not None:
+                effects += self._failure_detector.handle_unreachable(
+                    now, state
+                )
         return effects
--- a/skylarkfold/affinity/_placement.py
+++ b/skylarkfold/affinity/_placement.py
@@ -7,19 +7,19 @@
 
 import xxhash
 
+from skylarkfold.affinity import _load_trust
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _unseen
+from skylarkfold.affinity import _upstream_state
 from skylarkfold.affinity import _warm_up
 
 # Requests at a time that a flow is taken to bring at least, so that flows
 # count where few requests come.
-_LEAST_RATE = 0.05
+_MINIMUM_REQUESTS_PER_FLOW = 0.05
 # The bits of a flow's hash that draw a sample; the lower ones choose where it
 # begins.
 _STEP_SHIFT = 20
 # What an upstream gets at least of its share, however much it carries.
-_LEAST_SHARE = 0.02
+_MINIMUM_SHARE = 0.02
 # Spreads a flow's hash over this many points of a line.
 _POINTS = 1 << 32
 _POINT_FACTOR = 0x9E3779B97F4A7C15
@@ -36,14 +36,14 @@
 
 def choose_upstream(
     now: float,
-    standings: Sequence[_standing.Standing],
+    states: Sequence[_upstream_state.UpstreamState],
     zone: str,
-    hashed: int,
+    flow_hash: int,
     tried: tuple[str, ...],
     settings: _settings.AffinitySettings,
-    limit: _warm_up.WarmUpLimit,
-    unseen: _unseen.Unseen | None = None,
-) -> _standing.Standing | None:
+    warm_up_limiter: _warm_up.WarmUpLimiter,
+    load_trust: _load_trust.LoadTrust | None = None,
+) -> _upstream_state.UpstreamState | None:
     """Choose an upstream for a flow's first packet.
 
     Good ones first, then ones in doubt or avoided, then ones whose entry has
@@ -63,36 +63,41 @@
         there are none.
     :returns: the upstream, None where there is none to try.
     """
-    best: list[_standing.Standing] = []
-    if len(standings) > settings.choice_sample:
-        sample = _draw_sample(standings, hashed, settings.choice_sample)
-        rank, best = _find_best(now, sample, tried, settings, limit)
+    best: list[_upstream_state.UpstreamState] = []
+    if len(states) > settings.choice_sample:
+        sample = _draw_sample(states, flow_hash, settings.choice_sample)
+        rank, best = _filter_best_rank(
+            now, sample, tried, settings, warm_up_limiter
+        )
         if rank:
             best = []
     if not best:
-        _, best = _find_best(now, standings, tried, settings, limit)
+        _, best = _filter_best_rank(
+            now, states, tried, settings, warm_up_limiter
+        )
     if not best:
         return None
-    trust = _unseen.FULL_TRUST
-    if unseen is not None:
-        trust = unseen.note_opening(now, standings)
-    if trust < _unseen.FULL_TRUST:
-        return _draw_by_load(now, best, zone, hashed, settings, trust)
-    return _choose_by_load(now, best, zone, hashed, settings)
+    trust = _load_trust.FULL_TRUST
+    if load_trust is not None:
+        trust = load_trust.record_placement(now, states)
+    if trust < _load_trust.FULL_TRUST:
+        return _draw_by_load(now, best, zone, flow_hash, settings, trust)
+    return _choose_by_load(now, best, zone, flow_hash, settings)
 
 
 def _draw_by_load(
     now: float,
-    standings: list[_standing.Standing],
+    states: list[_upstream_state.UpstreamState],
     zone: str,
-    hashed: int,
+    flow_hash: int,
     settings: _settings.AffinitySettings,
     trust: float,
-) -> _standing.Standing:
+) -> _upstream_state.UpstreamState:
     """Draw one by the flow's hash, the less loaded the more often."""
-    rate, mean = _compute_mean(now, standings)
+    requests_per_flow, mean = _compute_mean(now, states)
     loads = [
-        (each, _compute_load(now, each, rate, settings)) for each in standings
+        (each, _compute_load(now, each, requests_per_flow, settings))
+        for each in states
     ]
     near = [each for each in loads if each[0].upstream.zone == zone]
     if near:
@@ -101,9 +106,9 @@
             loads, mean = near, near_mean
     weights = []
     for each, load in loads:
-        share = max(_LEAST_SHARE, 1 + trust * (1 - load / mean))
+        share = max(_MINIMUM_SHARE, 1 + trust * (1 - load / mean))
         weights.append(each.compute_capacity(now) * share)
-    point = hashed * _POINT_FACTOR % _POINTS / _POINTS * sum(weights)
+    point = flow_hash * _POINT_FACTOR % _POINTS / _POINTS * sum(weights)
     for (each, _), weight in zip(loads, weights):
         point -= weight
         if point < 0:
@@ -112,34 +117,36 @@
 
 
 def _draw_sample(
-    standings: Sequence[_standing.Standing], hashed: int, count: int
-) -> list[_standing.Standing]:
+    states: Sequence[_upstream_state.UpstreamState], flow_hash: int, count: int
+) -> list[_upstream_state.UpstreamState]:
     """Draw some upstreams, for each flow others."""
-    total = len(standings)
-    step = 1 + (hashed >> _STEP_SHIFT) % (total - 1)
+    total = len(states)
+    step = 1 + (flow_hash >> _STEP_SHIFT) % (total - 1)
     # So that none is drawn twice, nor all from one zone where zones take
     # turns in the list.
     while math.gcd(step, total) > 1:
         step += 1
-    return [standings[(hashed + n * step) % total] for n in range(count)]
+    return [states[(flow_hash + n * step) % total] for n in range(count)]
 
 
-def _find_best(
+def _filter_best_rank(
     now: float,
-    standings: Sequence[_standing.Standing],
+    states: Sequence[_upstream_state.UpstreamState],
     tried: tuple[str, ...],
     settings: _settings.AffinitySettings,
-    limit: _warm_up.WarmUpLimit,
-) -> tuple[int, list[_standing.Standing]]:
+    warm_up_limiter: _warm_up.WarmUpLimiter,
+) -> tuple[int, list[_upstream_state.UpstreamState]]:
     """Find the upstreams of the best rank, which is 0 for good ones."""
-    ranked: dict[int, list[_standing.Standing]] = {}
-    for each in standings:
+    ranked: dict[int, list[_upstream_state.UpstreamState]] = {}
+    for each in states:
         if each.upstream.name in tried:
             continue
         rank = _rank(now, each, settings)
         if rank is None:
             continue
-        if now >= each.warming_until or limit.allows(now, each):
+        if now >= each.warming_until or warm_up_limiter.allows_first_packet(
+            now, each
+        ):
             ranked.setdefault(rank, []).append(each)
     if not ranked:
         return 0, []
@@ -149,96 +156,106 @@
 
 def _rank(
     now: float,
-    standing: _standing.Standing,
+    state: _upstream_state.UpstreamState,
     settings: _settings.AffinitySettings,
 ) -> int | None:
-    if standing.is_evacuated:
+    if state.is_evacuated:
         return None
-    if standing.is_replaced or not standing.has_token:
+    if state.is_replaced or not state.owns_token:
         return None
-    if not standing.takes_new_flows:
-        return _rank_lapsed(now, standing, settings)
-    if standing.health == _standing.Health.OUT_OF_REACH:
-        return None if standing.may_reset(now, settings) else 3
-    is_avoided = now < standing.avoided_until
-    if is_avoided or standing.health == _standing.Health.DOUBTED:
+    if not state.takes_new_flows:
+        return _rank_lapsed(now, state, settings)
+    if state.health == _upstream_state.Health.UNREACHABLE:
+        return None if state.may_reset(now, settings) else 3
+    is_deprioritized = now < state.deprioritized_until
+    if is_deprioritized or state.health == _upstream_state.Health.SUSPECTED:
         return 1
     return 0
 
 
 def _rank_lapsed(
     now: float,
-    standing: _standing.Standing,
+    state: _upstream_state.UpstreamState,
     settings: _settings.AffinitySettings,
 ) -> int | None:
-    if standing.lapsed_at is None or standing.upstream.is_draining:
+    if state.lapsed_at is None or state.upstream.is_draining:
         return None
-    if now - standing.lapsed_at > settings.lapsed_seconds:
+    if now - state.lapsed_at > settings.lapsed_seconds:
         return None
     return 2
 
 
 def _choose_by_load(
     now: float,
-    standings: list[_standing.Standing],
+    states: list[_upstream_state.UpstreamState],
     zone: str,
-    hashed: int,
+    flow_hash: int,
     settings: _settings.AffinitySettings,
-) -> _standing.Standing:
+) -> _upstream_state.UpstreamState:
     # Every new flow passes here: two plain loops over the upstreams.
-    rate, mean = _compute_mean(now, standings)
-    limit = (1 + settings.near_tolerance) * mean
+    requests_per_flow, mean = _compute_mean(now, states)
+    maximum_load = (1 + settings.near_tolerance) * mean
     least = nearest = None
     least_load = nearest_load = float('inf')
-    for each in standings:
-        load = _compute_load(now, each, rate, settings)
+    for each in states:
+        load = _compute_load(now, each, requests_per_flow, settings)
         if load <= least_load and (
-            load < least_load or _goes_before(each, least, hashed)
+            load < least_load or _wins_tie(each, least, flow_hash)
         ):
             least, least_load = each, load
         if (
             load <= nearest_load
             and each.upstream.zone == zone
-            and (load < nearest_load or _goes_before(each, nearest, hashed))
+            and (load < nearest_load or _wins_tie(each, nearest, flow_hash))
         ):
             nearest, nearest_load = each, load
-    return nearest if nearest_load <= limit else least
+    return nearest if nearest_load <= maximum_load else least
 
 
 def _compute_mean(
-    now: float, standings: list[_standing.Standing]
+    now: float, states: list[_upstream_state.UpstreamState]
 ) -> tuple[float, float]:
     """Compute what a flow brings on average, and the mean load."""
     flows = 0
-    waiting = capacity = 0.0
-    for each in standings:
+    in_flight = capacity = 0.0
+    for each in states:
         flows += each.flows + each.remote_flows
-        waiting += each.busy + each.remote_busy
+        in_flight += each.busy + each.remote_busy
         capacity += each.compute_capacity(now)
-    rate = max(waiting / flows, _LEAST_RATE) if flows else 0.0
-    return rate, (waiting + rate * flows + len(standings)) / capacity
+    requests_per_flow = (
+        max(in_flight / flows, _MINIMUM_REQUESTS_PER_FLOW) if flows else 0.0
+    )
+    return requests_per_flow, (
+        in_flight + requests_per_flow * flows + len(states)
+    ) / capacity
 
 
 def _compute_load(
     now: float,
-    standing: _standing.Standing,
-    rate: float,
+    state: _upstream_state.UpstreamState,
+    requests_per_flow: float,
     settings: _settings.AffinitySettings,
 ) -> float:
-    flows = standing.flows + standing.remote_flows
-    work = standing.busy + standing.remote_busy + rate * flows + 1
-    load = work / standing.compute_capacity(now)
+    flows = state.flows + state.remote_flows
+    work = state.busy + state.remote_busy + requests_per_flow * flows + 1
+    load = work / state.compute_capacity(now)
     # One that fails at once has little to do and would draw all flows.
-    return load * (1 + settings.haste_weight * standing.hasty_share)
+    return load * (1 + settings.haste_weight * state.early_answer_share)
 
 
-def _goes_before(
-    one: _standing.Standing, other: _standing.Standing, hashed: int
+def _wins_tie(
+    one: _upstream_state.UpstreamState,
+    other: _upstream_state.UpstreamState,
+    flow_hash: int,
 ) -> bool:
     """Decide between equals, for each flow in another way."""
-    return _mix(one, hashed) < _mix(other, hashed)
+    return _compute_tie_breaker(one, flow_hash) < _compute_tie_breaker(
+        other, flow_hash
+    )
 
 
-def _mix(standing: _standing.Standing, hashed: int) -> int:
+def _compute_tie_breaker(
+    state: _upstream_state.UpstreamState, flow_hash: int
+) -> int:
     # Any mixture that differs by flow and upstream will do.
-    return (hashed ^ standing.upstream.number * 0x9E3779B1) & 0xFFFFFFFF
+    return (flow_hash ^ state.upstream.number * 0x9E3779B1) & 0xFFFFFFFF
--- a/skylarkfold/affinity/_refusal.py
+++ b/skylarkfold/affinity/_refusal.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _packet
+from skylarkfold.affinity import _request_time
 from skylarkfold.affinity import _route
-from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _tally
-from skylarkfold.affinity import _work
+from skylarkfold.affinity import _upstream_state
 from skylarkfold import light_imports
 
 if light_imports.TYPE_CHECKING:
@@ -55,8 +55,8 @@
         packet: _packet.Packet,
         version: int,
         route: _route.Route,
-        standing: _standing.Standing,
-        expected: _work.Estimate,
+        state: _upstream_state.UpstreamState,
+        expected: _request_time.AnswerEstimate,
     ) -> list[object]:
         """Refuse a new flow whose request would be answered too late.
 
@@ -68,12 +68,12 @@
         :returns: effects.
         """
         details = {
-            'service': standing.upstream.service,
-            'upstream': standing.upstream.name,
-            'estimate_ms': _ending.to_ms(expected.seconds),
-            'wait_ms': _ending.to_ms(expected.wait_seconds),
-            'aim_ms': _ending.to_ms(route.aim_seconds),
-            'waiting': round(standing.waiting, 1),
+            'service': state.upstream.service,
+            'upstream': state.upstream.name,
+            'estimate_ms': _flow_reset.to_ms(expected.seconds),
+            'wait_ms': _flow_reset.to_ms(expected.wait_seconds),
+            'aim_ms': _flow_reset.to_ms(route.aim_seconds),
+            'waiting': round(state.in_flight, 1),
             'priority': route.priority,
         }
         reason = _effect.Reason.CROWDED
@@ -85,7 +85,7 @@
         version: int,
         route: _route.Route,
         service: str,
-        over: shares.OverShare,
+        over_share: shares.OverShare,
     ) -> list[object]:
         """Refuse a new flow that is beyond its caller's share.
 
@@ -100,11 +100,11 @@
         details = {
             'service': service,
             'caller': _packet.format_host(caller),
-            'demand_slots': round(over.demand, 2),
-            'share_slots': round(over.share, 2),
-            'room_slots': round(over.room, 2),
-            'refused_share': round(over.refused_share, 3),
-            'word_age_ms': _ending.to_ms(over.age_seconds),
+            'demand_slots': round(over_share.demand, 2),
+            'share_slots': round(over_share.share, 2),
+            'room_slots': round(over_share.room, 2),
+            'refused_share': round(over_share.refused_share, 3),
+            'word_age_ms': _flow_reset.to_ms(over_share.age_seconds),
             'priority': route.priority,
         }
         reason = _effect.Reason.OVER_SHARE
--- a/skylarkfold/affinity/_work.py
+++ b/skylarkfold/affinity/_request_time.py
@@ -5,10 +5,10 @@
 # A step of the estimate towards each new value, as a part of itself: the
 # first ones are larger, so that a wrong first value is left within them.
 _STEP = 0.02
-_FIRST_STEP = 0.2
+_INITIAL_STEP = 0.2
 
 
-class WorkTime:
+class RequestTime:
     """The median of how long requests take, without those that waited.
 
     A median, since answers that are much too fast (an upstream that is full
@@ -23,7 +23,7 @@
         self.seconds = 0.0
         self._count = 0
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Take a value.
 
         :param seconds: how long a request took.
@@ -31,14 +31,14 @@
         if not self.seconds:
             self.seconds = seconds
         self._count += 1
-        step = max(_STEP, _FIRST_STEP / self._count)
+        step = max(_STEP, _INITIAL_STEP / self._count)
         if seconds > self.seconds:
             self.seconds *= 1 + step
         elif seconds < self.seconds:
             self.seconds /= 1 + step
 
 
-class Estimate:
+class AnswerEstimate:
     """How soon a request would be answered.
 
     :param own_seconds: how long it takes a slot.
@@ -46,21 +46,21 @@
     :param usual_seconds: how long requests of its service take a slot.
     """
 
-    __slots__ = ('own_seconds', 'usual_seconds', 'wait_seconds')
+    __slots__ = ('run_seconds', 'typical_seconds', 'wait_seconds')
 
     def __init__(
-        self, own_seconds: float, wait_seconds: float, usual_seconds: float
+        self, run_seconds: float, wait_seconds: float, typical_seconds: float
     ) -> None:
-        self.own_seconds = own_seconds
+        self.run_seconds = run_seconds
         self.wait_seconds = wait_seconds
-        self.usual_seconds = usual_seconds
+        self.typical_seconds = typical_seconds
 
     @property
     def seconds(self) -> float:
         """Until its answer."""
-        return self.own_seconds + self.wait_seconds
+        return self.run_seconds + self.wait_seconds
 
-    def weigh(self, most: float) -> float:
+    def compute_weighted_seconds(self, maximum_weight: float) -> float:
         """Compute the same with the wait weighed by the request's length.
 
         Where not all can be served, a slot's time answers several short
@@ -70,6 +70,8 @@
         :returns: seconds.
         """
         weight = 1.0
-        if self.usual_seconds:
-            weight = max(1.0, self.own_seconds / self.usual_seconds)
-        return self.own_seconds + self.wait_seconds * min(weight, most)
+        if self.typical_seconds:
+            weight = max(1.0, self.run_seconds / self.typical_seconds)
+        return self.run_seconds + self.wait_seconds * min(
+            weight, maximum_weight
+        )
--- a/skylarkfold/affinity/_route.py
+++ b/skylarkfold/affinity/_route.py
@@ -55,21 +55,21 @@
         """
         return any(service == name for name, _ in self.shares)
 
-    def list_services(self, hashed: int) -> list[str]:
+    def list_services(self, flow_hash: int) -> list[str]:
         """List the services that a new flow may go to, in its order.
 
         :param hashed: the flow's hash.
         :returns: first the one that :meth:`choose_service` chooses, then the
             others in turn; none has a weight of 0.
         """
-        first = self.choose_service(hashed)
+        first = self.choose_service(flow_hash)
         names = [service for service, _ in self.shares]
         if first is None or len(names) == 1:
             return names
         place = names.index(first)
         return names[place:] + names[:place]
 
-    def choose_service(self, hashed: int) -> str | None:
+    def choose_service(self, flow_hash: int) -> str | None:
         """Choose the service of a new flow.
 
         :param hashed: the flow's hash, so that every instance chooses
@@ -78,7 +78,7 @@
         """
         if not self._total:
             return None
-        rest = hashed % self._total
+        rest = flow_hash % self._total
         for service, weight in self.shares:
             if rest < weight:
                 return service
@@ -144,4 +144,4 @@
         return self._routes.get(address)
 
 
-EMPTY = RouteTable(-1, ())
+EMPTY_TABLE = RouteTable(-1, ())
--- a/skylarkfold/affinity/_certainty.py
+++ b/skylarkfold/affinity/_route_freshness.py
@@ -5,7 +5,7 @@
 from skylarkfold.affinity import _settings
 
 
-class Certainty:
+class RouteFreshness:
     """Remembers when the routes were last known to be the newest.
 
     One that is not known here may be too new for this instance: only fresh
@@ -20,14 +20,14 @@
         self._settings = settings
         self._confirmed_at = float('-inf')
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         """Note that the routes were the newest a moment ago.
 
         :param now: when they were.
         """
         self._confirmed_at = max(self._confirmed_at, now)
 
-    def is_certain(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Tell whether all routes that there are were known just now.
 
         :param now: the time.
--- a/skylarkfold/affinity/_sharing.py
+++ b/skylarkfold/affinity/_share_enforcer.py
@@ -9,19 +9,19 @@
 from skylarkfold.affinity import _flow
 from skylarkfold.affinity import _packet
 from skylarkfold.affinity import _refusal
+from skylarkfold.affinity import _request_time
 from skylarkfold.affinity import _route
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _work
+from skylarkfold.affinity import _upstream_state
 from skylarkfold import shares
 
 # How often the upstreams are looked through: thousands of them take a
 # millisecond.
-_ROOMS_SECONDS = 0.4
+_CAPACITY_REFRESH_SECONDS = 0.4
 # Of the time until an answer is seen, what is work at least.
-_LEAST_WORK_SHARE = 0.1
+_MINIMUM_WORK_SHARE = 0.1
 
 
-class Sharing:
+class ShareEnforcer:
     """Keeps callers to their shares where a service has too little room.
 
     :param settings: how.
@@ -36,13 +36,13 @@
 
     __slots__ = (
         '_admission',
+        '_capacities',
         '_digests',
         '_directory',
         '_find_route',
-        '_next_rooms',
-        '_path_times',
+        '_next_capacity_refresh',
         '_refusals',
-        '_rooms',
+        '_round_trip_times',
         'callers',
     )
 
@@ -53,31 +53,31 @@
         admission: _admission.Admission,
         refusals: _refusal.Refusals,
         find_route: Callable[[bytes], _route.Route | None],
-        former: Sharing | None = None,
+        previous: ShareEnforcer | None = None,
     ) -> None:
-        if former is None:
+        if previous is None:
             self.callers = shares.CallerShares(settings)
             # How long a first packet and its answer are under way.
-            self._path_times: dict[str, _work.WorkTime] = {}
+            self._round_trip_times: dict[str, _request_time.RequestTime] = {}
         else:
-            self.callers = former.callers
+            self.callers = previous.callers
             self.callers.set_settings(settings)
-            self._path_times = former._path_times
+            self._round_trip_times = previous._round_trip_times
         self._directory = directory
         self._admission = admission
         self._refusals = refusals
         self._find_route = find_route
         self._digests: dict[str, int] = {}
-        self._rooms: dict[int, shares.Capacity] = {}
-        self._next_rooms = float('-inf')
+        self._capacities: dict[int, shares.Capacity] = {}
+        self._next_capacity_refresh = float('-inf')
 
-    def take_first(
+    def check_first_packet(
         self,
         now: float,
         packet: _packet.Packet,
         route: _route.Route,
         service: str | None,
-        hashed: int,
+        flow_hash: int,
         version: int,
     ) -> list[object]:
         """Count a new flow, and refuse it if it is beyond its caller's share.
@@ -92,21 +92,21 @@
         """
         if service is None:
             return []
-        seconds = self._estimate(route.address, service)
+        seconds = self._estimate_work(route.address, service)
         if not seconds:
             return []
         digest = self._digest(service)
         caller = _packet.get_caller(packet.flow)
         priority = route.priority
         self.callers.note(now, digest, priority, caller, seconds)
-        over = self.callers.check_share(now, digest, priority, caller)
-        if over is None or not over.refuses(hashed):
+        over_share = self.callers.check_share(now, digest, priority, caller)
+        if over_share is None or not over_share.refuses(flow_hash):
             return []
         return self._refusals.refuse_over_share(
-            packet, version, route, service, over
+            packet, version, route, service, over_share
         )
 
-    def note_request(self, now: float, flow: _flow.Flow) -> None:
+    def record_request(self, now: float, flow: _flow.Flow) -> None:
         """Count a further request on a flow that is open.
 
         :param now: the time.
@@ -114,8 +114,8 @@
         """
         address = _packet.get_address(flow.key)
         route = self._find_route(address)
-        service = flow.standing.upstream.service
-        seconds = self._estimate(address, service)
+        service = flow.state.upstream.service
+        seconds = self._estimate_work(address, service)
         if route is not None and seconds:
             digest = self._digest(service)
             caller = _packet.get_caller(flow.key)
@@ -123,16 +123,18 @@
                 now, digest, route.priority, caller, seconds, is_new=False
             )
 
-    def note_open(self, service: str, seconds: float) -> None:
+    def record_open(self, service: str, seconds: float) -> None:
         """Take how long a flow took to open, which is no work.
 
         :param service: its service.
         :param seconds: from its first packet to its second.
         """
-        known = self._path_times.get(service)
+        known = self._round_trip_times.get(service)
         if known is None:
-            known = self._path_times[service] = _work.WorkTime()
-        known.note(seconds)
+            known = self._round_trip_times[service] = (
+                _request_time.RequestTime()
+            )
+        known.record(seconds)
 
     def refresh(self, now: float, fleet: shares.FleetSize) -> None:
         """Work out the shares and what peers are told.
@@ -140,33 +142,36 @@
         :param now: the time; several times a second.
         :param fleet: how many instances there are.
         """
-        wanted = self.callers.list_services()
-        if now >= self._next_rooms or not wanted <= self._rooms.keys():
-            self._next_rooms = now + _ROOMS_SECONDS
-            self._rooms = self._measure_rooms(now, wanted)
-        self.callers.refresh(now, self._rooms, fleet)
-
-    def _measure_rooms(
-        self, now: float, wanted: set[int]
+        digests = self.callers.list_services()
+        if (
+            now >= self._next_capacity_refresh
+            or not digests <= self._capacities.keys()
+        ):
+            self._next_capacity_refresh = now + _CAPACITY_REFRESH_SECONDS
+            self._capacities = self._measure_capacities(now, digests)
+        self.callers.refresh(now, self._capacities, fleet)
+
+    def _measure_capacities(
+        self, now: float, digests: set[int]
     ) -> dict[int, shares.Capacity]:
         # A service without an upstream has no room to share.
-        rooms = {digest: shares.Capacity(0.0) for digest in wanted}
-        if not wanted:
-            return rooms
-        for standing in self._directory:
-            room = rooms.get(self._digest(standing.upstream.service))
-            if room is not None and _takes_flows(standing):
-                room.slots += standing.compute_capacity(now)
-                room.busy += standing.waiting
-        return rooms
-
-    def _estimate(self, address: bytes, service: str) -> float:
+        capacities = {digest: shares.Capacity(0.0) for digest in digests}
+        if not digests:
+            return capacities
+        for state in self._directory:
+            capacity = capacities.get(self._digest(state.upstream.service))
+            if capacity is not None and _takes_flows(state):
+                capacity.slots += state.compute_capacity(now)
+                capacity.busy += state.in_flight
+        return capacities
+
+    def _estimate_work(self, address: bytes, service: str) -> float:
         """Estimate how long a request takes a slot; 0 where nothing says."""
-        seconds = self._admission.get_work(address, service)
-        path = self._path_times.get(service)
-        if path is None:
+        seconds = self._admission.get_request_seconds(address, service)
+        round_trip = self._round_trip_times.get(service)
+        if round_trip is None:
             return seconds
-        return max(_LEAST_WORK_SHARE * seconds, seconds - path.seconds)
+        return max(_MINIMUM_WORK_SHARE * seconds, seconds - round_trip.seconds)
 
     def _digest(self, service: str) -> int:
         digest = self._digests.get(service)
@@ -175,10 +180,10 @@
         return digest
 
 
-def _takes_flows(standing: _standing.Standing) -> bool:
+def _takes_flows(state: _upstream_state.UpstreamState) -> bool:
     return (
-        standing.takes_new_flows
-        and standing.health == _standing.Health.GOOD
-        and not standing.is_evacuated
-        and not standing.is_replaced
+        state.takes_new_flows
+        and state.health == _upstream_state.Health.GOOD
+        and not state.is_evacuated
+        and not state.is_replaced
     )
--- a/skylarkfold/affinity/_share_switch.py
+++ b/skylarkfold/affinity/_share_switch.py
@@ -12,7 +12,7 @@
 from skylarkfold import light_imports
 
 if light_imports.TYPE_CHECKING:
-    from skylarkfold.affinity import _sharing
+    from skylarkfold.affinity import _share_enforcer
     from skylarkfold import shares
 
 
@@ -41,7 +41,7 @@
         directory: _directory.Directory,
         admission: _admission.Admission,
         refusals: _refusal.Refusals,
-        health: _health.HealthWatch,
+        health: _health.HealthMonitor,
         find_route: Callable[[bytes], _route.Route | None],
     ) -> None:
         self._directory = directory
@@ -49,23 +49,23 @@
         self._refusals = refusals
         self._health = health
         self._find_route = find_route
-        self.sharing: _sharing.Sharing | None = None
+        self.sharing: _share_enforcer.ShareEnforcer | None = None
 
     def put(self, settings: shares.SharesSettings | None) -> None:
         """Keep callers to their shares from now on, or no more.
 
         :param settings: how; None, or ones that don't ask for it, for not.
         """
-        former, self.sharing = self.sharing, None
+        previous, self.sharing = self.sharing, None
         if settings is not None and settings.is_enforced:
-            from skylarkfold.affinity import _sharing
+            from skylarkfold.affinity import _share_enforcer
 
-            self.sharing = _sharing.Sharing(
+            self.sharing = _share_enforcer.ShareEnforcer(
                 settings,
                 self._directory,
                 self._admission,
                 self._refusals,
                 self._find_route,
-                former,
+                previous,
             )
         self._health.sharing = self.sharing
--- a/skylarkfold/affinity/_speed.py
+++ b/skylarkfold/affinity/_speed.py
@@ -10,33 +10,33 @@
 
 import math
 
+from skylarkfold.affinity import _answer_statistics
 from skylarkfold.affinity import _directory
 from skylarkfold.affinity import _effect
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _speed_evidence
-from skylarkfold.affinity import _standing
+from skylarkfold.affinity import _upstream_state
 from skylarkfold import upstream_load
 
 # What one that fails often seems to be, at most, is a fast one.
-_MOST_SPEED = 2.0
+_MAXIMUM_SPEED = 2.0
 # Answers that say nothing, which each upstream is taken to have given.
 _PRIOR_ANSWERS = 4.0
-_LEAST_ANSWERS = 4.0
+_MINIMUM_ANSWERS = 4.0
 # Requests by slots beyond which answers say little: what waited is of a
 # swing, or more than counts of them.
-_QUEUED_SLOTS = 1.5
-_HIDDEN_SLOTS = 2.3
+_QUEUED_REQUESTS_PER_SLOT = 1.5
+_SATURATED_REQUESTS_PER_SLOT = 2.3
 # After a start, words of peers are yet to come and callers in a rush.
-_LEAST_SECONDS = 4.0
+_MINIMUM_OBSERVED_SECONDS = 4.0
 # Deviations of a mean beyond which it is no chance: weights that halve with
 # age make the true ones larger by a half.
 _DEVIATIONS = 3.5
 # Words that come so seldom make that twice as much.
-_GAP_SECONDS = 0.7
+_REPORT_INTERVAL_SCALE_SECONDS = 0.7
 # Half as much suffices to stay apart, so that none comes and goes.
-_STAYING_SHARE = 0.5
-_FIRST_VARIANCE = 0.25
-_LEAST_VARIANCE = 0.09
+_HYSTERESIS = 0.5
+_INITIAL_VARIANCE = 0.25
+_MINIMUM_VARIANCE = 0.09
 _VARIANCE_GAIN = 1 / 128
 # As often as loads are told, less often before many upstreams, so that it
 # takes less than a hundredth of a core.
@@ -45,29 +45,33 @@
 _RECORD_SECONDS = 1.0
 
 
-class _Spread:
+class _AnswerVariance:
     """How much the answers of a service differ by chance."""
 
     __slots__ = ('variance',)
 
     def __init__(self) -> None:
-        self.variance = _FIRST_VARIANCE
+        self.variance = _INITIAL_VARIANCE
 
     def add(self, deviation: float) -> None:
         change = deviation * deviation - self.variance
         self.variance += _VARIANCE_GAIN * change
 
-    def compute_limit(self, answers: float, gap_seconds: float) -> float:
+    def compute_limit(
+        self, answers: float, report_interval_seconds: float
+    ) -> float:
         """Compute how far a mean of so many may be off by chance.
 
         The older words are, the less is known of what waited meanwhile.
         """
-        variance = max(self.variance, _LEAST_VARIANCE)
+        variance = max(self.variance, _MINIMUM_VARIANCE)
         chance = _DEVIATIONS * math.sqrt(variance / answers)
-        return chance * (1 + (gap_seconds / _GAP_SECONDS) ** 2)
+        return chance * (
+            1 + (report_interval_seconds / _REPORT_INTERVAL_SCALE_SECONDS) ** 2
+        )
 
 
-class _Known:
+class _SpeedSample:
     """What is known of one upstream.
 
     :ivar slowness: the mean of its answers' logarithms, without their wait.
@@ -80,42 +84,56 @@
 
     __slots__ = (
         'answers',
-        'doubt',
-        'is_hidden',
         'is_new',
         'is_queued',
+        'is_saturated',
         'slowness',
-        'standing',
+        'state',
+        'uncertainty',
     )
 
     def __init__(
         self,
         now: float,
-        standing: _standing.Standing,
+        state: _upstream_state.UpstreamState,
         answers: float,
         slowness: float,
     ) -> None:
-        evidence = standing.evidence or _speed_evidence.SpeedEvidence(now)
-        slots = max(1, standing.upstream.slots)
-        queueing = math.log(_compute_queueing(evidence.waiting / slots))
-        longest = max(evidence.waiting, standing.waiting) / slots - 1
-        self.doubt = 1 + math.log(_compute_queueing(max(0.0, longest)))
-        self.is_new = now - evidence.begun_at < _LEAST_SECONDS
-        self.standing = standing
+        answer_statistics = (
+            state.answer_statistics or _answer_statistics.AnswerStatistics(now)
+        )
+        slots = max(1, state.upstream.slots)
+        queueing = math.log(
+            _compute_queueing(answer_statistics.mean_in_flight / slots)
+        )
+        longest = (
+            max(answer_statistics.mean_in_flight, state.in_flight) / slots - 1
+        )
+        self.uncertainty = 1 + math.log(_compute_queueing(max(0.0, longest)))
+        self.is_new = (
+            now - answer_statistics.started_at < _MINIMUM_OBSERVED_SECONDS
+        )
+        self.state = state
         self.answers = answers
         self.slowness = slowness - queueing
-        self.is_queued = evidence.waiting > _QUEUED_SLOTS * slots
-        self.is_hidden = evidence.waiting > _HIDDEN_SLOTS * slots
+        self.is_queued = (
+            answer_statistics.mean_in_flight
+            > _QUEUED_REQUESTS_PER_SLOT * slots
+        )
+        self.is_saturated = (
+            answer_statistics.mean_in_flight
+            > _SATURATED_REQUESTS_PER_SLOT * slots
+        )
 
 
-class Speeds:
+class SpeedEstimator:
     """Learns the speeds of all upstreams and keeps them in their standings.
 
     :param settings: from which difference on one counts.
     :param directory: all upstreams.
     """
 
-    __slots__ = ('_directory', '_refresh_due', '_settings', '_spreads')
+    __slots__ = ('_directory', '_refresh_due', '_settings', '_variances')
 
     def __init__(
         self,
@@ -125,10 +143,10 @@
         self._settings = settings
         self._directory = directory
         self._refresh_due = float('-inf')
-        self._spreads: dict[str, _Spread] = {}
+        self._variances: dict[str, _AnswerVariance] = {}
 
-    def note(
-        self, now: float, standing: _standing.Standing, times: float
+    def record(
+        self, now: float, state: _upstream_state.UpstreamState, ratio: float
     ) -> None:
         """Take an answer.
 
@@ -137,21 +155,21 @@
         :param times: how long it took, with its wait for a slot, as a
             multiple of what such requests take.
         """
-        if times <= 0.0:
+        if ratio <= 0.0:
             return
         least, most = (
             -upstream_load.MAXIMUM_FASTNESS,
             upstream_load.MAXIMUM_SLOWNESS,
         )
-        logarithm = min(max(math.log(times), least), most)
-        if standing.evidence is None:
-            standing.evidence = _speed_evidence.SpeedEvidence(now)
-        standing.evidence.add(now, logarithm)
-        service = standing.upstream.service
-        spread = self._spreads.get(service)
-        if spread is None:
-            spread = self._spreads[service] = _Spread()
-        spread.add(logarithm + math.log(standing.speed))
+        logarithm = min(max(math.log(ratio), least), most)
+        if state.answer_statistics is None:
+            state.answer_statistics = _answer_statistics.AnswerStatistics(now)
+        state.answer_statistics.add(now, logarithm)
+        service = state.upstream.service
+        answer_variance = self._variances.get(service)
+        if answer_variance is None:
+            answer_variance = self._variances[service] = _AnswerVariance()
+        answer_variance.add(logarithm + math.log(state.speed))
 
     def refresh(self, now: float) -> list[object]:
         """Compute all speeds anew.
@@ -164,71 +182,85 @@
         count = 0
         effects: list[object] = []
         for service in self._directory.list_services():
-            standings = [
+            states = [
                 each
-                for each in self._directory.list_service(service)
-                if each.evidence is not None
+                for each in self._directory.list_states(service)
+                if each.answer_statistics is not None
                 or each.remote_answers
                 or each.speed != 1.0
             ]
-            count += len(standings)
-            if standings:
-                effects += self._refresh_service(now, service, standings)
+            count += len(states)
+            if states:
+                effects += self._refresh_service(now, service, states)
         pause = max(_REFRESH_SECONDS, count * _REFRESH_SECONDS_EACH)
         self._refresh_due = now + pause
         return effects
 
     def _refresh_service(
-        self, now: float, service: str, standings: list[_standing.Standing]
+        self,
+        now: float,
+        service: str,
+        states: list[_upstream_state.UpstreamState],
     ) -> list[object]:
-        known: list[_Known] = []
+        sample: list[_SpeedSample] = []
         effects: list[object] = []
-        for each in standings:
-            answers, slowness = _sum_up(now, each)
-            if answers >= _LEAST_ANSWERS:
-                known.append(_Known(now, each, answers, slowness / answers))
+        for each in states:
+            answers, slowness = _combine_answers(now, each)
+            if answers >= _MINIMUM_ANSWERS:
+                sample.append(
+                    _SpeedSample(now, each, answers, slowness / answers)
+                )
             elif each.speed != 1.0:
                 effects += _set_speed(now, each, 1.0)
-        told = [each.slowness for each in known if not each.is_hidden]
-        if not told:
+        means = [each.slowness for each in sample if not each.is_saturated]
+        if not means:
             return effects
-        usual = _find_median(told)
-        spread = self._spreads.get(service) or _Spread()
-        for each in known:
-            speed = self._compute_speed(each, usual, spread)
-            effects += _set_speed(now, each.standing, speed)
+        median = _find_median(means)
+        answer_variance = self._variances.get(service) or _AnswerVariance()
+        for each in sample:
+            speed = self._compute_speed(each, median, answer_variance)
+            effects += _set_speed(now, each.state, speed)
         return effects
 
     def _compute_speed(
-        self, known: _Known, usual: float, spread: _Spread
+        self,
+        sample: _SpeedSample,
+        median: float,
+        answer_variance: _AnswerVariance,
     ) -> float:
-        before = known.standing.speed
-        slowness = known.slowness - usual
-        gap_seconds = self._directory.gap_seconds
-        limit = spread.compute_limit(known.answers, gap_seconds)
-        limit *= known.doubt
+        before = sample.state.speed
+        slowness = sample.slowness - median
+        report_interval_seconds = self._directory.report_interval_seconds
+        limit = answer_variance.compute_limit(
+            sample.answers, report_interval_seconds
+        )
+        limit *= sample.uncertainty
         limit = max(limit, math.log1p(self._settings.speed_tolerance))
         if before != 1.0:
-            limit *= _STAYING_SHARE
+            limit *= _HYSTERESIS
         speed = 1.0
-        if abs(slowness) > limit and not known.is_new:
-            trusted = known.answers / (known.answers + _PRIOR_ANSWERS)
-            speed = min(math.exp(-slowness * trusted), _MOST_SPEED)
+        if abs(slowness) > limit and not sample.is_new:
+            confidence = sample.answers / (sample.answers + _PRIOR_ANSWERS)
+            speed = min(math.exp(-slowness * confidence), _MAXIMUM_SPEED)
         # A queue hides how fast it is, not how slow.
-        return min(speed, before) if known.is_queued else speed
+        return min(speed, before) if sample.is_queued else speed
 
 
-def _sum_up(now: float, standing: _standing.Standing) -> tuple[float, float]:
+def _combine_answers(
+    now: float, state: _upstream_state.UpstreamState
+) -> tuple[float, float]:
     """Sum up what is known here and at the peers."""
-    own = standing.evidence
+    own = state.answer_statistics
     if own is None:
-        own = standing.evidence = _speed_evidence.SpeedEvidence(now)
-    own.fade(now)
-    own.note_waiting(now, standing.waiting)
-    answers = own.answers + standing.remote_answers
+        own = state.answer_statistics = _answer_statistics.AnswerStatistics(
+            now
+        )
+    own.decay(now)
+    own.record_in_flight(now, state.in_flight)
+    answers = own.answers + state.remote_answers
     if answers < upstream_load.MINIMUM_ANSWERS:
-        standing.evidence = None
-    return answers, own.slowness + standing.remote_slowness
+        state.answer_statistics = None
+    return answers, own.slowness + state.remote_slowness
 
 
 def _find_median(values: list[float]) -> float:
@@ -254,31 +286,31 @@
 
 
 def _set_speed(
-    now: float, standing: _standing.Standing, speed: float
+    now: float, state: _upstream_state.UpstreamState, speed: float
 ) -> list[object]:
     """Set a speed, and say so where the upstream changes sides."""
-    before, standing.speed = standing.speed, speed
+    before, state.speed = state.speed, speed
     if (before > 1.0) == (speed > 1.0) and (before < 1.0) == (speed < 1.0):
         return []
-    lasted = now - standing.speed_since
-    standing.speed_since = now
+    lasted = now - state.speed_since
+    state.speed_since = now
     if lasted < _RECORD_SECONDS:
         return []
-    own = standing.evidence
+    own = state.answer_statistics
     reason = _effect.Reason.USUAL
     if speed != 1.0:
         reason = _effect.Reason.FAST if speed > 1.0 else _effect.Reason.SLOW
     details = {
-        'service': standing.upstream.service,
+        'service': state.upstream.service,
         'speed': round(speed, 2),
         'before': round(before, 2),
         'own_answers': round(own.answers, 1) if own is not None else 0.0,
-        'peers_answers': round(standing.remote_answers, 1),
-        'waiting': round(standing.waiting, 1),
+        'peers_answers': round(state.remote_answers, 1),
+        'waiting': round(state.in_flight, 1),
     }
     if before != 1.0:
         details['lasted_ms'] = round(lasted * 1000)
-    name = standing.upstream.name
+    name = state.upstream.name
     return [
         _effect.RecordDecision('speed', reason, upstream=name, details=details)
     ]
--- a/skylarkfold/affinity/_standing.py
+++ b/skylarkfold/affinity/_upstream_state.py
@@ -4,26 +4,26 @@
 
 import collections
 
+from skylarkfold.affinity import _answer_statistics
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _slowness
-from skylarkfold.affinity import _speed_evidence
 from skylarkfold.affinity import _upstream
+from skylarkfold.affinity import _warm_up_slowness
 
 _NEVER = float('-inf')
 # What one answer more counts in the share of those that came too soon: the
 # last sixteen are most of it.
-_HASTE_GAIN = 1 / 16
+_EARLY_ANSWER_GAIN = 1 / 16
 
 
 class Health:
     """How an upstream is seen from this instance."""
 
     GOOD = 'good'
-    DOUBTED = 'doubted'
-    OUT_OF_REACH = 'out-of-reach'
+    SUSPECTED = 'doubted'
+    UNREACHABLE = 'out-of-reach'
 
 
-class Standing:
+class UpstreamState:
     """One upstream with its load and health, as seen from here.
 
     :param upstream: its entry, replaced as it changes.
@@ -72,44 +72,44 @@
     """
 
     __slots__ = (
-        '_busy_area',
         '_busy_at',
-        '_busy_told_at',
-        'alive_at',
-        'avoided_until',
+        '_busy_reported_at',
+        '_busy_seconds',
+        'answer_statistics',
         'busy',
-        'compared_at',
-        'control',
-        'evidence',
-        'failed_at',
-        'failures',
+        'control_name',
+        'control_sent_at',
+        'deprioritized_until',
+        'early_answer_share',
         'flows',
-        'has_token',
-        'hasty_share',
         'health',
         'heard_at',
-        'heard_elsewhere_at',
+        'is_confirmed',
         'is_evacuated',
-        'is_former',
         'is_probing',
-        'is_proven',
         'is_replaced',
+        'is_superseded',
         'lapsed_at',
-        'openings',
-        'outcome',
-        'present_at',
+        'last_listed_at',
+        'owns_token',
+        'peer_heard_at',
+        'pending_outcome',
+        'probe_answered_at',
         'probe_due',
-        'probed_at',
+        'probe_failed_at',
+        'probe_failures',
+        'probing_since',
         'remote_answers',
         'remote_busy',
         'remote_flows',
         'remote_slowness',
-        'settled_at',
         'silent_since',
         'slowness',
         'speed',
         'speed_since',
         'upstream',
+        'warm_up_expected_until',
+        'warm_up_openings',
         'warming_until',
     )
 
@@ -117,49 +117,51 @@
         self,
         upstream: _upstream.Upstream,
         now: float,
-        slowness: _slowness.Slowness | None = None,
+        slowness: _warm_up_slowness.WarmUpSlowness | None = None,
     ) -> None:
         self.upstream = upstream
-        self.slowness = slowness or _slowness.Slowness()
+        self.slowness = slowness or _warm_up_slowness.WarmUpSlowness()
         self.flows = 0
         self.remote_flows = 0
         self.busy = 0
         self.remote_busy = 0.0
-        self.hasty_share = 0.0
+        self.early_answer_share = 0.0
         self.speed = 1.0
         self.speed_since = now
-        self.evidence: _speed_evidence.SpeedEvidence | None = None
+        self.answer_statistics: _answer_statistics.AnswerStatistics | None = (
+            None
+        )
         self.remote_answers = 0.0
         self.remote_slowness = 0.0
-        self._busy_area = 0.0
+        self._busy_seconds = 0.0
         self._busy_at = now
-        self._busy_told_at = now
+        self._busy_reported_at = now
         self.heard_at = _NEVER
-        self.heard_elsewhere_at = _NEVER
+        self.peer_heard_at = _NEVER
         self.silent_since = _NEVER
-        self.probed_at = _NEVER
-        self.alive_at = _NEVER
-        self.compared_at = _NEVER
-        self.control = ''
-        self.outcome = ''
-        self.is_proven = False
+        self.probing_since = _NEVER
+        self.probe_answered_at = _NEVER
+        self.control_sent_at = _NEVER
+        self.control_name = ''
+        self.pending_outcome = ''
+        self.is_confirmed = False
         self.lapsed_at: float | None = None
-        self.present_at = _NEVER
+        self.last_listed_at = _NEVER
         self.is_replaced = False
-        self.is_former = False
+        self.is_superseded = False
         self.is_evacuated = False
-        self.has_token = True
+        self.owns_token = True
         self.health = Health.GOOD
-        self.failures = 0
-        self.failed_at = _NEVER
+        self.probe_failures = 0
+        self.probe_failed_at = _NEVER
         self.probe_due = _NEVER
         self.is_probing = False
-        self.avoided_until = _NEVER
-        self.settled_at = _NEVER
+        self.deprioritized_until = _NEVER
+        self.warm_up_expected_until = _NEVER
         self.warming_until = now + upstream.warm_up_seconds
-        self.openings: collections.deque[float] | None = None
+        self.warm_up_openings: collections.deque[float] | None = None
 
-    def take_entry(self, now: float, upstream: _upstream.Upstream) -> None:
+    def update_entry(self, now: float, upstream: _upstream.Upstream) -> None:
         """Take a later form of its entry.
 
         :param now: the time.
@@ -168,7 +170,7 @@
         """
         self.upstream = upstream
         until = now + upstream.warm_up_seconds
-        self.warming_until = max(until, self.settled_at)
+        self.warming_until = max(until, self.warm_up_expected_until)
 
     def expect_warm_up(self, now: float, seconds: float) -> None:
         """Take that it is idle and may be slow, before its entry says so.
@@ -176,8 +178,10 @@
         :param now: the time.
         :param seconds: for how long.
         """
-        self.settled_at = now + seconds
-        self.warming_until = max(self.warming_until, self.settled_at)
+        self.warm_up_expected_until = now + seconds
+        self.warming_until = max(
+            self.warming_until, self.warm_up_expected_until
+        )
 
     def compute_capacity(self, now: float) -> float:
         """Compute how much work it takes relative to others.
@@ -191,12 +195,14 @@
             return slots * self.slowness.share
         return slots
 
-    def note_haste(self, is_hasty: bool) -> None:
+    def record_early_answer(self, is_early: bool) -> None:
         """Take whether an answer came much too soon.
 
         :param is_hasty: whether it did.
         """
-        self.hasty_share += _HASTE_GAIN * (is_hasty - self.hasty_share)
+        self.early_answer_share += _EARLY_ANSWER_GAIN * (
+            is_early - self.early_answer_share
+        )
 
     def change_busy(self, now: float, change: int) -> None:
         """Count requests that come or go.
@@ -204,31 +210,31 @@
         :param now: the time.
         :param change: how many more there are.
         """
-        self._busy_area += self.busy * (now - self._busy_at)
+        self._busy_seconds += self.busy * (now - self._busy_at)
         self._busy_at = now
         self.busy += change
 
-    def take_mean_busy(self, now: float) -> float:
+    def pop_mean_busy(self, now: float) -> float:
         """Compute how many requests it had since this was last asked.
 
         :param now: the time.
         :returns: the mean over that time.
         """
         self.change_busy(now, 0)
-        seconds = now - self._busy_told_at
-        area, self._busy_area = self._busy_area, 0.0
-        self._busy_told_at = now
-        return area / seconds if seconds > 0 else float(self.busy)
+        seconds = now - self._busy_reported_at
+        busy_seconds, self._busy_seconds = self._busy_seconds, 0.0
+        self._busy_reported_at = now
+        return busy_seconds / seconds if seconds > 0 else float(self.busy)
 
     @property
-    def waiting(self) -> float:
+    def in_flight(self) -> float:
         """Requests that it has, as far as is known here."""
         return self.busy + self.remote_busy
 
     @property
     def last_heard(self) -> float:
         """When it was last known to answer, here or at a peer."""
-        return max(self.heard_at, self.heard_elsewhere_at)
+        return max(self.heard_at, self.peer_heard_at)
 
     @property
     def load(self) -> int:
@@ -240,7 +246,7 @@
         """Whether its entry allows new flows."""
         return (
             self.lapsed_at is None
-            and self.has_token
+            and self.owns_token
             and not self.upstream.is_draining
         )
 
@@ -259,6 +265,6 @@
             return True
         if self.upstream.is_draining:
             return False
-        if self.health != Health.OUT_OF_REACH or not self.is_proven:
+        if self.health != Health.UNREACHABLE or not self.is_confirmed:
             return False
-        return now - self.failed_at <= settings.verdict_seconds
+        return now - self.probe_failed_at <= settings.verdict_seconds
--- a/skylarkfold/affinity/_warm_up.py
+++ b/skylarkfold/affinity/_warm_up.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _standing
+from skylarkfold.affinity import _upstream_state
 
 # The limit holds for any second. Packets that are sent within more than one
 # may arrive within one, where the first ones wait on a link.
@@ -20,13 +20,13 @@
 _USED_SHARE = 0.25
 # An owner's share at least, where the limit allows it: with one, a second
 # first packet of the same caller has to wait.
-_LEAST_SHARE = 2
+_MINIMUM_SHARE = 2
 # Before its own zone's instances are known for certain, an instance owns
 # nothing: names of all travel once a second, and views meet within 5 s.
 _SETTLE_SECONDS = 5.0
 # An instance that is not heard any more counts for so long, so that one that
 # is cut off from its zone owns no more than before.
-_MEMORY_SECONDS = 600.0
+_PEER_EXPIRY_SECONDS = 600.0
 # Mixes a name's digest with an upstream's.
 _FIRST_FACTOR = 0x9E3779B1
 _SECOND_FACTOR = 0x85EBCA6B
@@ -47,10 +47,10 @@
         self.per_second = per_second
 
 
-_UNKNOWN = WarmUp(0.0, 0.0)
+_NO_WARM_UP = WarmUp(0.0, 0.0)
 
 
-class WarmUpLimit:
+class WarmUpLimiter:
     """Bounds the first packets that one gets in a second, from all instances.
 
     Each upstream that warms up has few owners, drawn by rendezvous hashing
@@ -63,13 +63,13 @@
     """
 
     __slots__ = (
-        '_begun_at',
         '_digests',
-        '_mates',
         '_own_digest',
         '_settings',
+        '_started_at',
         '_warm_ups',
         '_zone',
+        '_zone_peers',
     )
 
     def __init__(
@@ -78,10 +78,10 @@
         self._zone = zone
         self._settings = settings
         self._warm_ups: Mapping[str, WarmUp] = {}
-        self._begun_at: float | None = None
+        self._started_at: float | None = None
         self._own_digest = 0
         # When each instance of the zone was last known to be there.
-        self._mates: dict[str, float] = {}
+        self._zone_peers: dict[str, float] = {}
         self._digests: tuple[int, ...] = ()
 
     def set_warm_ups(self, warm_ups: Mapping[str, WarmUp]) -> None:
@@ -91,27 +91,31 @@
         """
         self._warm_ups = warm_ups
 
-    def set_mates(self, now: float, own: str, mates: Iterable[str]) -> None:
+    def set_mates(
+        self, now: float, own: str, zone_peers: Iterable[str]
+    ) -> None:
         """Take which instances there are in this zone.
 
         :param now: the time.
         :param own: this instance's name.
         :param mates: the names of the others, silent ones included.
         """
-        if self._begun_at is None:
-            self._begun_at = now
+        if self._started_at is None:
+            self._started_at = now
             self._own_digest = _hash_name(own)
-        before = len(self._mates)
-        for name in mates:
-            self._mates[name] = now
-        oldest = now - _MEMORY_SECONDS
-        gone = [name for name, at in self._mates.items() if at < oldest]
-        for name in gone:
-            del self._mates[name]
-        if gone or len(self._mates) != before:
-            self._digests = tuple(map(_hash_name, self._mates))
-
-    def find_seconds(self, service: str) -> float:
+        preceding = len(self._zone_peers)
+        for name in zone_peers:
+            self._zone_peers[name] = now
+        oldest = now - _PEER_EXPIRY_SECONDS
+        expired = [
+            name for name, at in self._zone_peers.items() if at < oldest
+        ]
+        for name in expired:
+            del self._zone_peers[name]
+        if expired or len(self._zone_peers) != preceding:
+            self._digests = tuple(map(_hash_name, self._zone_peers))
+
+    def get_warm_up_seconds(self, service: str) -> float:
         """Tell how long an upstream is slow after a start.
 
         :param service: its service.
@@ -119,9 +123,11 @@
         """
         if not self._settings.limits_warm_up:
             return 0.0
-        return self._warm_ups.get(service, _UNKNOWN).seconds
+        return self._warm_ups.get(service, _NO_WARM_UP).seconds
 
-    def allows(self, now: float, standing: _standing.Standing) -> bool:
+    def allows_first_packet(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> bool:
         """Tell whether an upstream that warms up may get a first packet.
 
         :param now: the time.
@@ -130,52 +136,56 @@
         """
         if not self._settings.limits_warm_up:
             return True
-        share = self._compute_share(now, standing)
-        openings = standing.openings or ()
+        share = self._compute_share(now, state)
+        openings = state.warm_up_openings or ()
         while openings and openings[0] <= now - _WINDOW_SECONDS:
             openings.popleft()
         return len(openings) < share
 
-    def note_opening(self, now: float, standing: _standing.Standing) -> None:
+    def record_first_packet(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> None:
         """Note that an upstream is sent a first packet.
 
         :param now: the time.
         :param standing: the upstream.
         """
-        if not self._settings.limits_warm_up or now >= standing.warming_until:
+        if not self._settings.limits_warm_up or now >= state.warming_until:
             return
-        if standing.openings is None:
-            standing.openings = collections.deque()
-        standing.openings.append(now)
+        if state.warm_up_openings is None:
+            state.warm_up_openings = collections.deque()
+        state.warm_up_openings.append(now)
 
-    def _compute_share(self, now: float, standing: _standing.Standing) -> int:
+    def _compute_share(
+        self, now: float, state: _upstream_state.UpstreamState
+    ) -> int:
         """Compute what this instance may send an upstream in a second."""
-        upstream = standing.upstream
+        upstream = state.upstream
         is_settled = (
-            self._begun_at is not None
-            and now - self._begun_at >= _SETTLE_SECONDS
+            self._started_at is not None
+            and now - self._started_at >= _SETTLE_SECONDS
         )
         if upstream.zone != self._zone or not is_settled:
             return 0
-        warm_up = self._warm_ups.get(upstream.service, _UNKNOWN)
+        warm_up = self._warm_ups.get(upstream.service, _NO_WARM_UP)
         limit = warm_up.per_second * self._settings.warm_up_factor
         limit += self._settings.warm_up_slack
         used = math.floor(limit * _USED_SHARE)
-        owners = max(1, min(used // _LEAST_SHARE, len(self._digests) + 1))
-        if self._count_before(upstream.incarnation, owners) >= owners:
+        owners = max(1, min(used // _MINIMUM_SHARE, len(self._digests) + 1))
+        if self._count_preceding(upstream.incarnation, owners) >= owners:
             return 0
         return used // owners
 
-    def _count_before(self, incarnation: int, enough: int) -> int:
+    def _count_preceding(self, incarnation: int, limit: int) -> int:
         """Count the instances that own an upstream before this one."""
         own = _mix(self._own_digest, incarnation)
-        before = 0
+        preceding = 0
         for digest in self._digests:
             if _mix(digest, incarnation) > own:
-                before += 1
-                if before >= enough:
+                preceding += 1
+                if preceding >= limit:
                     break
-        return before
+        return preceding
 
 
 def _hash_name(name: str) -> int:
--- a/skylarkfold/affinity/_slowness.py
+++ b/skylarkfold/affinity/_warm_up_slowness.py
@@ -4,14 +4,14 @@
 
 # Taken before any answer is known: half of the slots, so that one that is
 # sent too much at first is not late for all of its start.
-_FIRST_SLOWNESS = 2.0
+_INITIAL_SLOWNESS = 2.0
 # Eight answers in a row move it by half: one start of one upstream is enough.
 _SLOWNESS_STEP = 1.05
 # Beyond this an upstream is taken for out of order, not slow.
-_MOST_SLOWNESS = 10.0
+_MAXIMUM_SLOWNESS = 10.0
 
 
-class Slowness:
+class WarmUpSlowness:
     """How much longer requests take while upstreams of a service warm up.
 
     Learnt from answers: how long one takes beside what others of its route
@@ -20,21 +20,21 @@
     :ivar share: of its slots that one counts for meanwhile.
     """
 
-    __slots__ = ('_times', 'share')
+    __slots__ = ('_ratio', 'share')
 
     def __init__(self) -> None:
-        self._times = _FIRST_SLOWNESS
-        self.share = 1 / self._times
+        self._ratio = _INITIAL_SLOWNESS
+        self.share = 1 / self._ratio
 
-    def note(self, times: float) -> None:
+    def record(self, ratio: float) -> None:
         """Take an answer of one that warms up.
 
         :param times: how long it took, as a multiple of the usual time.
         """
         # Towards the median, as single requests differ by their work.
-        if times > self._times:
-            self._times *= _SLOWNESS_STEP
-        elif times < self._times:
-            self._times /= _SLOWNESS_STEP
-        self._times = min(max(self._times, 1.0), _MOST_SLOWNESS)
-        self.share = 1 / self._times
+        if ratio > self._ratio:
+            self._ratio *= _SLOWNESS_STEP
+        elif ratio < self._ratio:
+            self._ratio /= _SLOWNESS_STEP
+        self._ratio = min(max(self._ratio, 1.0), _MAXIMUM_SLOWNESS)
+        self.share = 1 / self._ratio
--- a/skylarkfold/tests/affinity/deciders.py
+++ b/skylarkfold/tests/affinity/simulation.py
@@ -11,8 +11,8 @@
 from skylarkfold import affinity
 from skylarkfold.affinity import _admission
 from skylarkfold.affinity import _directory
+from skylarkfold.affinity import _load_trust
 from skylarkfold.affinity import _placement
-from skylarkfold.affinity import _unseen
 from skylarkfold.affinity import _warm_up
 from skylarkfold.tests.affinity import samples
 
@@ -25,56 +25,64 @@
 MEAN_SECONDS = WORK_SECONDS * (1 + LONG_SHARE * (LONG_TIMES - 1))
 
 
-class Decider:
+class SimulatedInstance:
     """What one instance knows of the upstreams."""
 
     def __init__(self, entries, settings):
         self.directory = _directory.Directory(settings)
         self.directory.replace(0.0, entries)
         self.admission = _admission.Admission(settings, self.directory)
-        self.standings = self.directory.list_service(samples.SERVICE)
+        self.states = self.directory.list_states(samples.SERVICE)
         self.settings = settings
-        self.limit = _warm_up.WarmUpLimit(samples.ZONE, settings)
-        self.unseen = _unseen.Unseen(settings.unseen_trust, self.directory)
+        self.limit = _warm_up.WarmUpLimiter(samples.ZONE, settings)
+        self.load_trust = _load_trust.LoadTrust(
+            settings.unseen_trust, self.directory
+        )
 
-    def place(self, now, hashed):
+    def place(self, now, flow_hash):
         """Choose an upstream for a flow of one request."""
         chosen = _placement.choose_upstream(
             now,
-            self.standings,
+            self.states,
             samples.ZONE,
-            hashed,
+            flow_hash,
             (),
             self.settings,
             self.limit,
-            self.unseen,
+            self.load_trust,
         )
-        ahead = round(chosen.waiting)
+        requests_ahead = round(chosen.in_flight)
         chosen.flows += 1
         chosen.change_busy(now, 1)
-        return chosen, ahead
+        return chosen, requests_ahead
 
-    def handle_answer(self, now, chosen, ahead, seconds):
+    def handle_answer(self, now, chosen, requests_ahead, seconds):
         """Take the answer of a flow's request, which ends it."""
         chosen.flows -= 1
         chosen.change_busy(now, -1)
-        self.admission.note(now, chosen, samples.ADDRESS, ahead, seconds)
+        self.admission.record(
+            now, chosen, samples.ADDRESS, requests_ahead, seconds
+        )
 
     def tell(self, now):
         """List what peers are told, by place of the upstream."""
         return [
             (
                 each.flows,
-                each.take_mean_busy(now),
-                *(each.evidence.tell(now) if each.evidence else (0.0, 0.0)),
+                each.pop_mean_busy(now),
+                *(
+                    each.answer_statistics.export(now)
+                    if each.answer_statistics
+                    else (0.0, 0.0)
+                ),
             )
-            for each in self.standings
+            for each in self.states
         ]
 
-    def hear(self, gap_seconds, total, own):
+    def hear(self, report_interval_seconds, total, own):
         """Take what all told, this one's own word included."""
-        self.directory.note_gap(gap_seconds)
-        for each, sums, mine in zip(self.standings, total, own):
+        self.directory.record_report_interval(report_interval_seconds)
+        for each, sums, mine in zip(self.states, total, own):
             flows, busy, answers, slowness = (
                 one - other for one, other in zip(sums, mine)
             )
@@ -84,7 +92,7 @@
             each.remote_slowness = slowness
 
 
-class Deciders:
+class SimulatedFleet:
     """Instances and upstreams in play.
 
     :param count: instances.
@@ -107,7 +115,9 @@
             samples.build_upstream(number + 1, slots=SLOTS)
             for number in range(len(self.speeds))
         ]
-        self.deciders = [Decider(entries, limits) for _ in range(count)]
+        self.deciders = [
+            SimulatedInstance(entries, limits) for _ in range(count)
+        ]
         self._age_seconds = age_seconds
         self._told = told
         self._pause = MEAN_SECONDS / (share * SLOTS * sum(self.speeds))
@@ -128,7 +138,7 @@
 
     def list_known(self):
         """List the speeds that the last instance knows."""
-        return [each.speed for each in self.deciders[-1].standings]
+        return [each.speed for each in self.deciders[-1].states]
 
     def compute_wait(self):
         """Compute how soon a request would be done, on average."""
@@ -141,7 +151,7 @@
         now = self.now
         self._call(now + self._draw.expovariate(1 / self._pause), self._arrive)
         decider = self._draw.choice(self.deciders)
-        chosen, ahead = decider.place(now, self._draw.getrandbits(64))
+        chosen, requests_ahead = decider.place(now, self._draw.getrandbits(64))
         place = chosen.upstream.number - 1
         work = WORK_SECONDS * self._draw.lognormvariate(-(SIGMA**2) / 2, SIGMA)
         if self._draw.random() < LONG_SHARE:
@@ -153,10 +163,10 @@
         seconds = free_at[slot] - now
         answer = decider.handle_answer
         at = free_at[slot]
-        self._call(at, self._answer, answer, chosen, ahead, seconds)
+        self._call(at, self._answer, answer, chosen, requests_ahead, seconds)
 
-    def _answer(self, answer, chosen, ahead, seconds):
-        answer(self.now, chosen, ahead, seconds)
+    def _answer(self, answer, chosen, requests_ahead, seconds):
+        answer(self.now, chosen, requests_ahead, seconds)
 
     def _tell(self):
         now = self.now
--- a/skylarkfold/tests/affinity/test_admission.py
+++ b/skylarkfold/tests/affinity/test_admission.py
@@ -7,8 +7,8 @@
 from skylarkfold import affinity
 from skylarkfold.affinity import _admission
 from skylarkfold.affinity import _placement
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _work
+from skylarkfold.affinity import _request_time
+from skylarkfold.affinity import _upstream_state
 from skylarkfold.tests.affinity import samples
 
 AIM_SECONDS = 0.12
@@ -31,33 +31,33 @@
     return affinity.RouteTable(1, routes)
 
 
-def build_standing(waiting, slots=2):
+def build_state(waiting, slots=2):
     """Build an upstream that has some requests."""
     upstream = samples.build_upstream(1, slots=slots)
-    standing = _standing.Standing(upstream, 0.0)
-    standing.change_busy(0.0, waiting)
-    return standing
+    state = _upstream_state.UpstreamState(upstream, 0.0)
+    state.change_busy(0.0, waiting)
+    return state
 
 
 def build_admission(answers=32, seconds=WORK_SECONDS):
     """Build what has seen requests that did not wait."""
     admission = _admission.Admission(affinity.AffinitySettings())
-    idle = build_standing(0)
+    idle = build_state(0)
     for _ in range(answers):
-        admission.note(0.0, idle, samples.ADDRESS, 0.0, seconds)
+        admission.record(0.0, idle, samples.ADDRESS, 0.0, seconds)
     return admission
 
 
 def estimate_work(admission):
     """Estimate how long a request takes that does not wait."""
     route = build_routes().get(samples.ADDRESS)
-    return admission.estimate(0.0, route, build_standing(0)).seconds
+    return admission.estimate(0.0, route, build_state(0)).seconds
 
 
-def count_refused(admission, standing, address=samples.ADDRESS, **fields):
+def count_refused(admission, state, address=samples.ADDRESS, **fields):
     """Count how many of new flows would be refused."""
     route = build_routes(**fields).get(address)
-    expected = admission.estimate(0.0, route, standing)
+    expected = admission.estimate(0.0, route, state)
     return sum(
         admission.is_refused(
             route,
@@ -70,55 +70,55 @@
 
 class AdmissionTest(testtools.TestCase):
     def test_where_a_slot_is_free_nothing_is_refused(self):
-        refused = count_refused(build_admission(), build_standing(1))
+        refused = count_refused(build_admission(), build_state(1))
         self.assertEqual(0, refused)
 
     def test_a_queue_that_passes_in_time_refuses_nothing(self):
         # Four before it: answered after 55 of 120 ms.
-        refused = count_refused(build_admission(), build_standing(4))
+        refused = count_refused(build_admission(), build_state(4))
         self.assertEqual(0, refused)
 
     def test_a_queue_that_takes_most_of_the_aim_refuses_every_new_flow(self):
-        refused = count_refused(build_admission(), build_standing(8))
+        refused = count_refused(build_admission(), build_state(8))
         self.assertEqual(FLOWS, refused)
 
     def test_in_between_it_refuses_a_part(self):
-        refused = count_refused(build_admission(), build_standing(5.5))
+        refused = count_refused(build_admission(), build_state(5.5))
         self.assertTrue(FLOWS * 0.3 < refused < FLOWS * 0.7, refused)
 
     def test_more_slots_take_more(self):
-        refused = count_refused(build_admission(), build_standing(8, slots=4))
+        refused = count_refused(build_admission(), build_state(8, slots=4))
         self.assertEqual(0, refused)
 
     def test_one_that_is_slow_from_its_start_takes_less(self):
-        standing = build_standing(4)
-        standing.warming_until = 1.0
-        refused = count_refused(build_admission(), standing)
+        state = build_state(4)
+        state.warming_until = 1.0
+        refused = count_refused(build_admission(), state)
         self.assertEqual(FLOWS, refused)
 
     def test_preferred_routes_are_refused_last(self):
         admission = build_admission()
-        standing = build_standing(8)
+        state = build_state(8)
         address = samples.OTHER_ADDRESS
-        self.assertEqual(0, count_refused(admission, standing, address))
-        full = build_standing(12)
+        self.assertEqual(0, count_refused(admission, state, address))
+        full = build_state(12)
         self.assertEqual(FLOWS, count_refused(admission, full, address))
 
     def test_without_an_aim_nothing_is_refused(self):
         refused = count_refused(
-            build_admission(), build_standing(50), aim_seconds=0.0
+            build_admission(), build_state(50), aim_seconds=0.0
         )
         self.assertEqual(0, refused)
 
     def test_where_nothing_was_answered_nothing_is_refused(self):
-        refused = count_refused(build_admission(0), build_standing(50))
+        refused = count_refused(build_admission(0), build_state(50))
         self.assertEqual(0, refused)
 
     def test_answers_that_waited_do_not_make_work_longer(self):
         admission = build_admission()
-        crowded = build_standing(9)
+        crowded = build_state(9)
         for _ in range(100):
-            admission.note(
+            admission.record(
                 0.0, crowded, samples.ADDRESS, 9.0, 5 * WORK_SECONDS
             )
         self.assertAlmostEqual(
@@ -130,19 +130,19 @@
     def test_requests_that_were_turned_away_do_not_make_work_shorter(self):
         # Else a full upstream would seem to be a fast one.
         admission = build_admission()
-        full = build_standing(10)
+        full = build_state(10)
         for _ in range(100):
-            admission.note(0.0, full, samples.ADDRESS, 10.0, 0.002)
+            admission.record(0.0, full, samples.ADDRESS, 10.0, 0.002)
         estimate = estimate_work(admission)
         self.assertAlmostEqual(WORK_SECONDS, estimate, delta=WORK_SECONDS / 10)
 
     def test_long_requests_make_room_for_short_ones(self):
         admission = build_admission()
-        idle = build_standing(0)
+        idle = build_state(0)
         for number in range(200):
-            admission.note(0.0, idle, samples.ADDRESS, 0.0, 0.008)
+            admission.record(0.0, idle, samples.ADDRESS, 0.0, 0.008)
             if number % 4 == 0:
-                admission.note(0.0, idle, samples.OTHER_ADDRESS, 0.0, 0.08)
+                admission.record(0.0, idle, samples.OTHER_ADDRESS, 0.0, 0.08)
         table = affinity.RouteTable(
             1,
             [
@@ -156,8 +156,8 @@
 
         def count(address, waiting):
             route = table.get(address)
-            standing = build_standing(waiting)
-            expected = admission.estimate(0.0, route, standing)
+            state = build_state(waiting)
+            expected = admission.estimate(0.0, route, state)
             return sum(
                 admission.is_refused(
                     route,
@@ -250,16 +250,16 @@
             **dict(zip(names.split(), limits))
         )
         admission = _admission.Admission(settings)
-        standing = build_standing(waiting)
-        admission.note(0.0, standing, samples.ADDRESS, waiting, seconds)
+        state = build_state(waiting)
+        admission.record(0.0, state, samples.ADDRESS, waiting, seconds)
         for address in (samples.ADDRESS, samples.OTHER_ADDRESS):
-            count_refused(admission, standing, address)
+            count_refused(admission, state, address)
 
     @hypothesis.given(waiting=strategies.floats(0, 40))
     def test_the_longer_the_queue_the_more_are_refused(self, waiting):
         admission = build_admission()
         less, more = (
-            count_refused(admission, build_standing(each))
+            count_refused(admission, build_state(each))
             for each in (waiting, waiting + 1)
         )
         self.assertLessEqual(less, more)
@@ -267,23 +267,23 @@
 
 class WorkTimeTest(testtools.TestCase):
     def test_the_first_value_is_taken_as_it_is(self):
-        time = _work.WorkTime()
-        time.note(0.02)
+        time = _request_time.RequestTime()
+        time.record(0.02)
         self.assertEqual(0.02, time.seconds)
 
     def test_a_wrong_first_value_is_left(self):
-        time = _work.WorkTime()
+        time = _request_time.RequestTime()
         for seconds in [0.5] + [0.02] * 200:
-            time.note(seconds)
+            time.record(seconds)
         self.assertAlmostEqual(0.02, time.seconds, delta=0.002)
 
     @hypothesis.given(
         strays=strategies.lists(strategies.floats(0, 10), max_size=30)
     )
     def test_a_few_strays_move_it_little(self, strays):
-        time = _work.WorkTime()
+        time = _request_time.RequestTime()
         for index in range(200):
-            time.note(0.02)
+            time.record(0.02)
             if index % 7 == 6 and index // 7 < len(strays):
-                time.note(strays[index // 7])
+                time.record(strays[index // 7])
         self.assertAlmostEqual(0.02, time.seconds, delta=0.004)
--- a/skylarkfold/tests/affinity/test_destination.py
+++ b/skylarkfold/tests/affinity/test_destination.py
@@ -31,16 +31,16 @@
         core = samples.build_core(
             *upstreams, routes=affinity.RouteTable(1, [route])
         )
-        for standing in core.directory:
+        for state in core.directory:
             for _ in range(40):
-                core._admission.note(
-                    0.0, standing, samples.ADDRESS, 0, WORK_SECONDS
+                core._admission.record(
+                    0.0, state, samples.ADDRESS, 0, WORK_SECONDS
                 )
         return core
 
     def crowd(self, core, service):
-        for standing in core.directory.list_service(service):
-            standing.remote_busy = 40.0
+        for state in core.directory.list_states(service):
+            state.remote_busy = 40.0
 
     def place(self, core, copy=0):
         """Count the services of new flows, and refusals under None."""
@@ -51,9 +51,9 @@
 
     def place_one(self, core, port, copy=0):
         effects = core.handle_packet(0.0, samples.build_first(port, copy))
-        for standing in core.directory:
+        for state in core.directory:
             # Nothing of it counts for the next one.
-            standing.change_busy(0.0, -standing.busy)
+            state.change_busy(0.0, -state.busy)
         names = samples.list_forwards(effects)
         if not names:
             return None
--- a/skylarkfold/tests/affinity/test_evacuation.py
+++ b/skylarkfold/tests/affinity/test_evacuation.py
@@ -101,7 +101,7 @@
 
     def find_upstream(self, port):
         flow = self.core._flows.get(samples.build_flow(port))
-        return flow.standing.upstream.name
+        return flow.state.upstream.name
 
     def test_a_second_try_does_not_go_to_one(self):
         self.open_flows(0.0, range(20))
@@ -120,7 +120,7 @@
             core.tick(step * TICK_SECONDS)
         (flow,) = core._flows
         self.assertEqual(len(few), len(flow.tried))
-        last = flow.standing.upstream.zone
+        last = flow.state.upstream.zone
         core.set_evacuations(COPY_SECONDS, evacuate(last))
         copy = samples.build_first(1, copy=1)
         effects = core.handle_packet(COPY_SECONDS, copy)
--- a/skylarkfold/tests/affinity/test_health.py
+++ b/skylarkfold/tests/affinity/test_health.py
@@ -45,14 +45,14 @@
         effects = self.core.tick(now + 0.11)
         return effects + self.core.tick(now + 0.14)
 
-    def fail_probes(self, now, outcome=SILENT, count=2, is_proven=True):
+    def fail_probes(self, now, outcome=SILENT, count=2, is_confirmed=True):
         effects = []
         for _ in range(count):
             effects += self.core.handle_probe_result(
                 now, self.upstream.name, outcome
             )
         if self.other.name in samples.list_probes(effects):
-            control = ALIVE if is_proven else SILENT
+            control = ALIVE if is_confirmed else SILENT
             effects += self.core.handle_probe_result(
                 now, self.other.name, control
             )
@@ -220,7 +220,7 @@
 
     def test_failed_probes_prove_nothing_if_another_one_fails_too(self):
         self.doubt(1.0)
-        effects = self.fail_probes(1.3, is_proven=False)
+        effects = self.fail_probes(1.3, is_confirmed=False)
         self.assertEqual([], samples.list_resets(effects))
         self.assertEqual([], samples.list_resets(self.ask(1.4, 1)))
         new = self.core.handle_packet(1.4, samples.build_first(9))
--- a/skylarkfold/tests/affinity/test_unseen.py
+++ b/skylarkfold/tests/affinity/test_load_trust.py
@@ -11,8 +11,8 @@
 
 from skylarkfold import affinity
 from skylarkfold.affinity import _directory
+from skylarkfold.affinity import _load_trust
 from skylarkfold.affinity import _placement
-from skylarkfold.affinity import _unseen
 from skylarkfold.affinity import _warm_up
 from skylarkfold.tests.affinity import samples
 
@@ -29,27 +29,27 @@
         directory.replace(
             0.0, [samples.build_upstream(n + 1) for n in range(UPSTREAMS)]
         )
-        standings = directory.list_service(samples.SERVICE)
-        for each in standings[1:]:
+        states = directory.list_states(samples.SERVICE)
+        for each in states[1:]:
             each.flows = 1
             each.remote_flows = remote
             each.remote_busy = 1.0
-        unseen = None
+        load_trust = None
         if trust:
-            unseen = _unseen.Unseen(trust, directory)
-        limit = _warm_up.WarmUpLimit(ZONE, settings)
+            load_trust = _load_trust.LoadTrust(trust, directory)
+        limit = _warm_up.WarmUpLimiter(ZONE, settings)
         chosen = collections.Counter()
         for number in range(FLOWS):
-            hashed = _placement.hash_flow(samples.build_flow(number))
+            flow_hash = _placement.hash_flow(samples.build_flow(number))
             found = _placement.choose_upstream(
                 number / per_second,
-                standings,
+                states,
                 ZONE,
-                hashed,
+                flow_hash,
                 (),
                 settings,
                 limit,
-                unseen,
+                load_trust,
             )
             chosen[found.upstream.name] += 1
         return chosen
@@ -74,5 +74,7 @@
     def test_words_that_come_seldom_are_trusted_less(self):
         directory = _directory.Directory(affinity.AffinitySettings())
         for _ in range(100):
-            directory.note_gap(1.0)
-        self.assertAlmostEqual(1.0, directory.gap_seconds, places=2)
+            directory.record_report_interval(1.0)
+        self.assertAlmostEqual(
+            1.0, directory.report_interval_seconds, places=2
+        )
--- a/skylarkfold/tests/affinity/test_own_link.py
+++ b/skylarkfold/tests/affinity/test_local_loss.py
@@ -273,8 +273,8 @@
                 1.24, probed, affinity.ProbeOutcome.SILENT
             )
             self.assertEqual([], samples.list_resets(effects))
-        standing = self.core.directory.get(probed)
-        self.assertEqual('good', standing.health)
+        state = self.core.directory.get(probed)
+        self.assertEqual('good', state.health)
 
     def test_a_peer_s_verdict_is_not_looked_into(self):
         self.fill(1.0)
--- a/skylarkfold/tests/affinity/test_opening.py
+++ b/skylarkfold/tests/affinity/test_opening.py
@@ -145,9 +145,9 @@
             max_size=4,
         ),
     )
-    def test_a_share_without_weight_gets_nothing(self, hashed, shares):
+    def test_a_share_without_weight_gets_nothing(self, flow_hash, shares):
         route = affinity.Route(samples.ADDRESS, shares)
-        chosen = route.choose_service(hashed)
+        chosen = route.choose_service(flow_hash)
         if chosen is None:
             self.assertEqual(0, sum(weight for _, weight in shares))
         else:
