--- a/skylarkfold/tests/affinity/test_placement.py
+++ b/skylarkfold/tests/affinity/test_placement.py
@@ -6,7 +6,7 @@
 
 from skylarkfold import affinity
 from skylarkfold.affinity import _placement
-from skylarkfold.affinity import _standing
+from skylarkfold.affinity import _upstream_state
 from skylarkfold.affinity import _warm_up
 from skylarkfold.tests.affinity import samples
 
@@ -27,9 +27,9 @@
     def setUp(self):
         super().setUp()
         self.settings = affinity.AffinitySettings()
-        self.limit = _warm_up.WarmUpLimit('a', self.settings)
-        self.standings = [
-            _standing.Standing(
+        self.limit = _warm_up.WarmUpLimiter('a', self.settings)
+        self.states = [
+            _upstream_state.UpstreamState(
                 samples.build_upstream(number + 1, zone='abc'[number % 3]),
                 0.0,
             )
@@ -37,14 +37,14 @@
         ]
         self.read = collections.Counter()
 
-    def place(self, port, standings=None):
+    def place(self, port, states=None):
         key = samples.build_flow(port % 60000, bytes(str(port), 'ascii'))
-        hashed = _placement.hash_flow(key)
+        flow_hash = _placement.hash_flow(key)
         chosen = _placement.choose_upstream(
             0.0,
-            standings or self.standings,
+            states or self.states,
             'abc'[port % 3],
-            hashed,
+            flow_hash,
             (),
             self.settings,
             self.limit,
@@ -65,14 +65,14 @@
                 read.extend(range(len(self)))
                 return super().__iter__()
 
-        self.place(1, Counted(self.standings))
+        self.place(1, Counted(self.states))
         self.assertEqual(self.settings.choice_sample, len(set(read)))
         self.assertEqual(self.settings.choice_sample, len(read))
 
     def test_the_busiest_stays_near_the_mean(self):
         for port in range(MANY * EACH):
             self.place(port)
-        busiest = max(each.flows for each in self.standings)
+        busiest = max(each.flows for each in self.states)
         self.assertLessEqual(busiest, 1.25 * EACH)
 
     def test_most_flows_stay_in_their_zone(self):
@@ -83,13 +83,13 @@
         self.assertLess(strangers, MANY / 10)
 
     def test_where_the_sample_holds_no_good_one_all_are_read(self):
-        for each in self.standings[:-1]:
-            each.health = _standing.Health.DOUBTED
+        for each in self.states[:-1]:
+            each.health = _upstream_state.Health.SUSPECTED
         chosen = self.place(7)
-        self.assertIs(self.standings[-1], chosen)
+        self.assertIs(self.states[-1], chosen)
 
     def test_where_none_may_take_it_none_is_chosen(self):
-        for each in self.standings:
+        for each in self.states:
             each.is_evacuated = True
         self.assertIsNone(self.place(7))
 
@@ -98,19 +98,19 @@
     def setUp(self):
         super().setUp()
         self.settings = affinity.AffinitySettings()
-        self.limit = _warm_up.WarmUpLimit('a', self.settings)
-        self.standings = []
+        self.limit = _warm_up.WarmUpLimiter('a', self.settings)
+        self.states = []
         for zone, count in UPSTREAMS.items():
             for _ in range(count):
-                number = len(self.standings) + 1
+                number = len(self.states) + 1
                 upstream = samples.build_upstream(number, zone=zone)
-                standing = _standing.Standing(upstream, 0.0)
-                self.standings.append(standing)
+                state = _upstream_state.UpstreamState(upstream, 0.0)
+                self.states.append(state)
 
     def place(self, zone, port):
-        hashed = _placement.hash_flow(samples.build_flow(port))
+        flow_hash = _placement.hash_flow(samples.build_flow(port))
         chosen = _placement.choose_upstream(
-            0.0, self.standings, zone, hashed, (), self.settings, self.limit
+            0.0, self.states, zone, flow_hash, (), self.settings, self.limit
         )
         chosen.flows += 1
         return chosen
@@ -127,7 +127,7 @@
         return strangers
 
     def compute_imbalance(self):
-        loads = [each.flows for each in self.standings]
+        loads = [each.flows for each in self.states]
         return max(loads) * len(loads) / sum(loads)
 
     def test_the_busiest_is_near_the_mean_where_zones_are_uneven(self):
@@ -139,9 +139,9 @@
 
     def test_one_that_fails_at_once_does_not_draw_all_flows(self):
         # It has nothing to do, since it does nothing.
-        failing, *others = self.standings
+        failing, *others = self.states
         for _ in range(16):
-            failing.note_haste(True)
+            failing.record_early_answer(True)
         for each in others:
             each.change_busy(0.0, 1)
         counts = collections.Counter(
@@ -150,19 +150,19 @@
         self.assertLess(counts[failing.upstream.name], 30 / len(UPSTREAMS))
 
     def test_one_hasty_answer_among_many_changes_little(self):
-        standing = self.standings[0]
+        state = self.states[0]
         for number in range(64):
-            standing.note_haste(number % 20 == 0)
-        self.assertLess(standing.hasty_share, 0.15)
+            state.record_early_answer(number % 20 == 0)
+        self.assertLess(state.early_answer_share, 0.15)
 
     def test_a_slow_one_gets_less_from_its_first_waiting_requests_on(self):
-        slow = self.standings[0]
+        slow = self.states[0]
         slow.change_busy(0.0, 4)
         names = {self.place('a', port).upstream.name for port in range(3)}
         self.assertNotIn(slow.upstream.name, names)
 
     def test_an_idle_flow_weighs_less_than_a_request(self):
-        idle, *others = self.standings
+        idle, *others = self.states
         idle.flows = 24
         for each in others:
             each.flows = 20
--- a/skylarkfold/tests/affinity/test_restart.py
+++ b/skylarkfold/tests/affinity/test_restart.py
@@ -44,48 +44,48 @@
         )
         return core.handle_packet(now, packet)
 
-    def get_standing(self):
+    def get_state(self):
         return self.core.directory.get(self.first.name)
 
     def test_nothing_of_the_start_before_holds(self):
         self.open_flow(0.0, 1)
         loads = {self.first.incarnation: upstream_load.UpstreamLoad(7, 3.0)}
         self.core.handle_load(0.1, 'peer', loads)
-        before = self.get_standing()
+        before = self.get_state()
         before.health = 'out-of-reach'
-        before.hasty_share = 0.9
-        before.avoided_until = 1000.0
+        before.early_answer_share = 0.9
+        before.deprioritized_until = 1000.0
         self.core.set_upstreams(1.0, [self.second])
-        standing = self.get_standing()
-        self.assertIsNot(before, standing)
-        self.assertEqual('good', standing.health)
-        self.assertEqual(0.0, standing.hasty_share)
-        self.assertEqual(0, standing.load)
-        self.assertEqual(0.0, standing.waiting)
-        self.assertLess(standing.avoided_until, 1.0)
-        self.assertLess(standing.last_heard, 0.0)
+        state = self.get_state()
+        self.assertIsNot(before, state)
+        self.assertEqual('good', state.health)
+        self.assertEqual(0.0, state.early_answer_share)
+        self.assertEqual(0, state.load)
+        self.assertEqual(0.0, state.in_flight)
+        self.assertLess(state.deprioritized_until, 1.0)
+        self.assertLess(state.last_heard, 0.0)
         self.assertEqual(0, self.core.directory.count_flows())
 
     def test_a_lapse_of_the_start_before_does_not_hold(self):
         self.core.set_upstreams(1.0, [])
         self.core.set_upstreams(2.0, [self.second])
-        self.assertIsNone(self.get_standing().lapsed_at)
+        self.assertIsNone(self.get_state().lapsed_at)
         effects = self.core.handle_packet(2.1, samples.build_first(1))
         self.assertEqual([self.second.name], samples.list_forwards(effects))
 
     def test_the_same_start_keeps_all(self):
-        before = self.get_standing()
+        before = self.get_state()
         again = build(revision=SECOND, is_draining=True)
         self.core.set_upstreams(1.0, [again])
-        self.assertIs(before, self.get_standing())
+        self.assertIs(before, self.get_state())
 
     def test_clocks_don_t_tell_which_start_is_later(self):
         for born in (BORN - 86_400_000, BORN + 1, None):
-            before = self.get_standing()
+            before = self.get_state()
             other = build(born=born, revision=SECOND)
             self.core.set_upstreams(1.0, [other])
-            self.assertIsNot(before, self.get_standing())
-            self.assertIs(other, self.get_standing().upstream)
+            self.assertIsNot(before, self.get_state())
+            self.assertIs(other, self.get_state().upstream)
             self.core.set_upstreams(2.0, [self.first])
 
     def test_another_address_or_service_is_another_start(self):
@@ -93,10 +93,10 @@
             {'address': ('10.9.9.9', 80)},
             {'service': samples.OTHER_SERVICE},
         ):
-            before = self.get_standing()
+            before = self.get_state()
             other = build(revision=SECOND, **fields)
             self.core.set_upstreams(1.0, [other])
-            self.assertIsNot(before, self.get_standing())
+            self.assertIsNot(before, self.get_state())
             self.core.set_upstreams(2.0, [self.first])
 
     def test_older_words_of_peers_are_not_of_the_new_start(self):
@@ -108,17 +108,17 @@
         effects = self.core.handle_unreachable(1.1, [old])
         self.assertEqual([], effects)
         self.assertEqual({}, self.core.list_last_seen(1.1, [old]))
-        standing = self.get_standing()
-        self.assertEqual(0, standing.load)
-        self.assertLess(standing.last_heard, 0.0)
-        self.assertEqual('good', standing.health)
+        state = self.get_state()
+        self.assertEqual(0, state.load)
+        self.assertLess(state.last_heard, 0.0)
+        self.assertEqual('good', state.health)
 
     def test_words_of_peers_who_were_first_hold_once_it_is_known(self):
         loads = {self.second.incarnation: upstream_load.UpstreamLoad(7, 3.0)}
         self.core.handle_load(0.9, 'peer', loads)
-        self.assertEqual(0, self.get_standing().load)
+        self.assertEqual(0, self.get_state().load)
         self.core.set_upstreams(1.0, [self.second])
-        self.assertEqual(7, self.get_standing().load)
+        self.assertEqual(7, self.get_state().load)
 
     def test_a_probe_of_the_start_before_says_nothing(self):
         core = self.core
@@ -131,13 +131,13 @@
         core.handle_probe_result(
             1.35, probed, affinity.ProbeOutcome.REFUSED, self.first.incarnation
         )
-        standing = self.get_standing()
-        self.assertEqual('good', standing.health)
-        self.assertEqual(0, standing.failures)
+        state = self.get_state()
+        self.assertEqual('good', state.health)
+        self.assertEqual(0, state.probe_failures)
         core.handle_probe_result(
             1.35, probed, affinity.ProbeOutcome.ALIVE, self.first.incarnation
         )
-        self.assertLess(standing.alive_at, 0.0)
+        self.assertLess(state.probe_answered_at, 0.0)
 
     def test_old_flows_are_ended_at_once(self):
         self.open_flow(0.0, 1)
@@ -164,7 +164,7 @@
         effects = self.send(LONG + 0.1, 1)
         self.assertEqual([], samples.list_resets(effects))
         self.assertEqual([self.second.name], samples.list_forwards(effects))
-        self.assertEqual(1, self.get_standing().flows)
+        self.assertEqual(1, self.get_state().flows)
 
     def test_while_the_store_is_away_no_flow_is_known_to_be_old(self):
         # Confirmed last at 0 s; the restart may have been any time since.
@@ -198,26 +198,26 @@
         self.core.set_upstreams(1.05, [self.second])
         for number in range(1, 30):
             self.assertEqual([], self.core.tick(1.05 + number / 20))
-        self.assertEqual('good', self.get_standing().health)
+        self.assertEqual('good', self.get_state().health)
 
     def test_a_first_packet_to_the_start_before_is_no_doubt_either(self):
         self.core.handle_packet(1.0, samples.build_first(1))
         self.core.set_upstreams(1.01, [self.second])
         self.assertEqual([], samples.list_asked(self.core.tick(1.1)))
-        self.assertEqual('good', self.get_standing().health)
+        self.assertEqual('good', self.get_state().health)
 
     def test_a_flow_that_goes_on_is_no_word_of_the_new_start(self):
         self.open_flow(0.0, 1)
         self.core.set_upstreams(1.0, [self.second])
         self.send(1.1, 1)
-        self.assertLess(self.get_standing().last_heard, 0.0)
-        self.assertEqual(1, self.get_standing().flows)
+        self.assertLess(self.get_state().last_heard, 0.0)
+        self.assertEqual(1, self.get_state().flows)
 
     def test_an_answer_to_whatever_start_is_no_word_of_the_new_one(self):
         self.core.handle_packet(1.0, samples.build_first(1))
         self.core.set_upstreams(1.01, [self.second])
         self.send(1.1, 1)
-        self.assertLess(self.get_standing().last_heard, 0.0)
+        self.assertLess(self.get_state().last_heard, 0.0)
 
     def test_flows_of_one_that_had_its_new_address_are_ended(self):
         other = samples.build_upstream(
--- a/skylarkfold/tests/affinity/test_sharing.py
+++ b/skylarkfold/tests/affinity/test_sharing.py
@@ -56,10 +56,10 @@
             *upstreams, routes=affinity.RouteTable(1, [route])
         )
         self.core.shares.put(settings or shares.SharesSettings(True))
-        standing = next(iter(self.core.directory))
+        state = next(iter(self.core.directory))
         for _ in range(32):
-            self.core._admission.note(
-                0.0, standing, samples.ADDRESS, 0.0, WORK_SECONDS
+            self.core._admission.record(
+                0.0, state, samples.ADDRESS, 0.0, WORK_SECONDS
             )
         self.now = 0.0
         self.port = 1000
@@ -197,8 +197,8 @@
         case = Case()
         sharing = case.core.shares.sharing
         for _ in range(16):
-            sharing.note_open(samples.SERVICE, 0.02)
-        seconds = sharing._estimate(samples.ADDRESS, samples.SERVICE)
+            sharing.record_open(samples.SERVICE, 0.02)
+        seconds = sharing._estimate_work(samples.ADDRESS, samples.SERVICE)
         self.assertAlmostEqual(WORK_SECONDS - 0.02, seconds, delta=0.003)
 
     def test_where_nothing_was_answered_nothing_is_refused(self):
@@ -237,7 +237,7 @@
         over = shares.OverShare(2.0, 1.0, 1.0, 0.5, 0.0)
         late = []
         for port in range(2000):
-            hashed = _placement.hash_flow(build_flow(QUIET, port))
-            if not over.refuses(hashed):
-                late.append((hashed >> 32) % (1 << 16) < 1 << 15)
+            flow_hash = _placement.hash_flow(build_flow(QUIET, port))
+            if not over.refuses(flow_hash):
+                late.append((flow_hash >> 32) % (1 << 16) < 1 << 15)
         self.assertAlmostEqual(0.5, sum(late) / len(late), delta=0.05)
--- a/skylarkfold/tests/affinity/test_speeds.py
+++ b/skylarkfold/tests/affinity/test_speeds.py
@@ -14,8 +14,8 @@
 from skylarkfold import affinity
 from skylarkfold.affinity import _admission
 from skylarkfold.affinity import _directory
-from skylarkfold.tests.affinity import deciders
 from skylarkfold.tests.affinity import samples
+from skylarkfold.tests.affinity import simulation
 from skylarkfold import upstream_load
 
 UNEQUAL = (0.6, 1.0, 1.6)
@@ -43,24 +43,24 @@
         self.admission = _admission.Admission(self.settings, self.directory)
 
     @property
-    def standings(self):
-        return self.directory.list_service(samples.SERVICE)
+    def states(self):
+        return self.directory.list_states(samples.SERVICE)
 
     def list_speeds(self):
-        return [each.speed for each in self.standings]
+        return [each.speed for each in self.states]
 
     def answer(self, seconds, speeds, tails=True):
         """Let upstreams answer for some time, with one request at a time."""
         until = self.now + seconds
         while self.now < until:
             self.now += 1 / ANSWERS_PER_SECOND
-            for each, speed in zip(self.standings, speeds):
+            for each, speed in zip(self.states, speeds):
                 if not speed:
                     continue
                 work = WORK_SECONDS * self.draw.lognormvariate(-0.125, 0.5)
                 if tails and self.draw.random() < 1 / 30:
                     work *= 7
-                self.admission.note(
+                self.admission.record(
                     self.now, each, samples.ADDRESS, 0, work / speed
                 )
             self.effects += self.admission.refresh(self.now)
@@ -99,13 +99,13 @@
         self.answer(6.0, [0.4, 1.0, 1.0, 1.0, 1.0])
         again = samples.build_upstream(1, born=7)
         self.directory.replace(self.now, [again, *self.entries[1:]])
-        standing = self.directory.get(again.name)
-        self.assertEqual(1.0, standing.speed)
-        self.assertIsNone(standing.evidence)
+        state = self.directory.get(again.name)
+        self.assertEqual(1.0, state.speed)
+        self.assertIsNone(state.answer_statistics)
 
     def test_a_queue_is_no_slowness(self):
         self.answer(6.0, [1.0] * 5, tails=False)
-        queued = self.standings[0]
+        queued = self.states[0]
         # Eight on two slots: four turns.
         queued.remote_busy = 8.0
         self.answer(4.0, [0.25, 1.0, 1.0, 1.0, 1.0], tails=False)
@@ -124,13 +124,13 @@
             -upstream_load.MAXIMUM_MEAN_SLOWNESS,
         ):
             self.answer(4.0, [1.0] * 5)
-            self.standings[0].remote_answers = MOST
-            self.standings[0].remote_slowness = MOST * said
+            self.states[0].remote_answers = MOST
+            self.states[0].remote_slowness = MOST * said
             self.answer(1.0, [1.0] * 5)
             self.assertEqual([1.0] * 5, self.list_speeds())
 
     def test_speeds_are_learnt_from_peers_alone(self):
-        for number, each in enumerate(self.standings):
+        for number, each in enumerate(self.states):
             each.remote_answers = 60.0
             each.remote_slowness = 60.0 * (number == 0)
         for second in range(6):
@@ -158,14 +158,14 @@
         self.build(speed_tolerance=0.0)
         self.answer(6.0, [0.3, 1.0, 1.0, 1.0, 1.0])
         self.assertEqual([1.0] * 5, self.list_speeds())
-        kept = {each.evidence for each in self.standings}
+        kept = {each.answer_statistics for each in self.states}
         self.assertEqual({None}, kept)
 
     def test_gauges_tell_the_slowest_and_the_busiest(self):
         self.assertEqual(0, self.directory.count_slow())
         self.assertEqual(1.0, self.directory.find_slowest())
         self.answer(8.0, [0.5, 1.0, 1.0, 1.0, 1.0])
-        slow = self.standings[0]
+        slow = self.states[0]
         self.assertEqual(1, self.directory.count_slow())
         self.assertEqual(slow.speed, self.directory.find_slowest())
         # Nobody has work: how soon the next request would be answered.
@@ -183,7 +183,7 @@
     def test_a_slow_one_answers_later_by_estimate(self):
         self.answer(8.0, [0.5, 1.0, 1.0, 1.0, 1.0])
         route = samples.build_routes().get(samples.ADDRESS)
-        slow, usual, *_ = self.standings
+        slow, usual, *_ = self.states
         late = self.admission.estimate(self.now, route, slow).seconds
         soon = self.admission.estimate(self.now, route, usual).seconds
         self.assertAlmostEqual(soon / slow.speed, late)
@@ -199,7 +199,9 @@
             (7, 9, 1.0),
             (64, 24, 0.4),
         ):
-            fleet = deciders.Deciders(count, [1.0] * upstreams, age, 0.5)
+            fleet = simulation.SimulatedFleet(
+                count, [1.0] * upstreams, age, 0.5
+            )
             for step in range(1, 7):
                 fleet.run(step)
                 self.assertEqual([1.0] * upstreams, fleet.list_known())
@@ -211,7 +213,7 @@
             (64, 24, 0.4),
         ):
             speeds = [UNEQUAL[n % 3] for n in range(upstreams)]
-            fleet = deciders.Deciders(count, speeds, age, 0.5)
+            fleet = simulation.SimulatedFleet(count, speeds, age, 0.5)
             fleet.run(8.0)
             known = collections.defaultdict(list)
             for speed, each in zip(speeds, fleet.list_known()):
@@ -235,7 +237,7 @@
             speeds = [UNEQUAL[n % 3] for n in range(upstreams)]
             waits = []
             for tolerance in (0.15, 0.0):
-                fleet = deciders.Deciders(
+                fleet = simulation.SimulatedFleet(
                     count, speeds, age, 0.6, speed_tolerance=tolerance
                 )
                 fleet.run(3.0)
@@ -247,7 +249,7 @@
         speeds = [UNEQUAL[n % 3] for n in range(24)]
         waits = []
         for trust in (4.0, 0.0):
-            fleet = deciders.Deciders(
+            fleet = simulation.SimulatedFleet(
                 600, speeds, 1.0, 0.6, unseen_trust=trust
             )
             fleet.run(4.0)
@@ -258,7 +260,7 @@
     def test_one_liar_among_seven_sends_nobody_astray(self):
         lie = (0, 0.0, MOST, MOST * upstream_load.MAXIMUM_MEAN_SLOWNESS)
         told = [lie] + [(0, 0.0, 0.0, 0.0)] * 8
-        fleet = deciders.Deciders(7, [1.0] * 9, 0.2, 0.5, told=told)
+        fleet = simulation.SimulatedFleet(7, [1.0] * 9, 0.2, 0.5, told=told)
         for step in range(2, 7):
             fleet.run(step)
             self.assertEqual([1.0] * 9, fleet.list_known())
--- a/skylarkfold/tests/affinity/test_machine.py
+++ b/skylarkfold/tests/affinity/test_state_machine.py
@@ -352,12 +352,10 @@
         for instance in self.instances.values():
             core = instance.core
             busy = collections.Counter(
-                flow.standing for flow in core._flows if flow.is_busy
+                flow.state for flow in core._flows if flow.is_busy
             )
             counted = {
-                standing: standing.busy
-                for standing in core.directory
-                if standing.busy
+                state: state.busy for state in core.directory if state.busy
             }
             assert counted == busy
 
--- a/skylarkfold/tests/affinity/test_warm_up.py
+++ b/skylarkfold/tests/affinity/test_warm_up.py
@@ -9,7 +9,7 @@
 import testtools
 
 from skylarkfold import affinity
-from skylarkfold.affinity import _standing
+from skylarkfold.affinity import _upstream_state
 from skylarkfold.affinity import _warm_up
 from skylarkfold.tests.affinity import samples
 
@@ -189,8 +189,8 @@
         self.core.set_upstreams(SETTLED, [first])
         second = samples.build_upstream(2)
         self.core.set_upstreams(SETTLED + 1.5, [first, second])
-        standing = self.core.directory.get(first.name)
-        self.assertEqual(SETTLED + 2.0, standing.warming_until)
+        state = self.core.directory.get(first.name)
+        self.assertEqual(SETTLED + 2.0, state.warming_until)
         self.assertEqual(1, self.core.directory.count_warming(SETTLED + 1.9))
         self.assertEqual(0, self.core.directory.count_warming(SETTLED + 2.0))
 
@@ -236,7 +236,7 @@
     def test_mates_that_fell_silent_still_count(self):
         names = [f'entry-{number}' for number in range(30)]
         limits = {
-            name: _warm_up.WarmUpLimit(samples.ZONE, build_settings())
+            name: _warm_up.WarmUpLimiter(samples.ZONE, build_settings())
             for name in names
         }
         for name, limit in limits.items():
@@ -247,8 +247,8 @@
         allowed = 0
         for limit in limits.values():
             # Each has a view of its own.
-            standing = _standing.Standing(upstream, SETTLED)
-            allowed += limit.allows(SETTLED, standing)
+            state = _upstream_state.UpstreamState(upstream, SETTLED)
+            allowed += limit.allows_first_packet(SETTLED, state)
         self.assertEqual(1, allowed)
 
     def test_without_a_bound_there_is_none(self):
--- a/skylarkfold/tests/affinity/test_zone_loss.py
+++ b/skylarkfold/tests/affinity/test_zone_loss.py
@@ -126,8 +126,8 @@
         lost = [each.incarnation for each in self.far]
         effects = self.core.handle_unreachable(1.0, lost)
         self.assertEqual(SAMPLED, len(samples.list_probes(effects)))
-        standing = self.core.directory.get(self.far[-1].name)
-        self.assertGreater(standing.avoided_until, 4.0)
+        state = self.core.directory.get(self.far[-1].name)
+        self.assertGreater(state.deprioritized_until, 4.0)
 
     def test_one_that_is_passed_by_is_used_again_once_it_is_heard(self):
         self.core.handle_unreachable(
@@ -139,5 +139,5 @@
                 60001, far.token, sequence, sequence + 400, 100
             )
             self.core.handle_packet(1.1, packet)
-        standing = self.core.directory.get(far.name)
-        self.assertLess(standing.avoided_until, 1.0)
+        state = self.core.directory.get(far.name)
+        self.assertLess(state.deprioritized_until, 1.0)
