--- a/skylarkfold/affinity/__init__.py
+++ b/skylarkfold/affinity/__init__.py
@@ -1,11 +1,11 @@
-"""Flows whose packets carry a token of their upstream.
+"""Affinity by tokens that packets carry.
 
-The third form of affinity beside closed and pinned buckets: the first
-packet of a flow is placed and marked with its upstream's token, both ends
-repeat the token in all later packets, and any instance forwards them
-knowing nothing but the list of upstreams. No table, home, replica or pin.
+The first packet of a flow is placed on an upstream and marked with that
+upstream's token. Both ends repeat the token in all later packets, so any
+instance can forward them knowing only the list of upstreams: no flow state is
+shared between instances.
 
-Pure decisions: time is an argument, effects are returned.
+The modules here perform no I/O: time is an argument, effects are returned.
 """
 
 from skylarkfold.affinity._core import AffinityCore
--- a/skylarkfold/affinity/_admission.py
+++ b/skylarkfold/affinity/_admission.py
@@ -1,4 +1,4 @@
-"""Which new flows are refused because their answer would come too late."""
+"""Admission of new flows by the estimated time of their answer."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from skylarkfold.affinity import _speed
 from skylarkfold.affinity import _upstream_state
 
-# The bits of a flow's hash that are a draw, which falls alike on every
-# instance; the lower ones choose its service and upstream.
+# The bits of a flow's hash from here on are a random draw that is the same on
+# every instance; the lower ones choose its service and upstream.
 _DRAW_SHIFT = 32
 _DRAWS = 1 << 16
-# An answer within this share of what it should take is none of work: an
-# upstream that is full or fails gives it at once.
+# An answer in less than this share of the expected time is no sign of work:
+# overloaded or failing upstreams answer at once.
 _EARLY_ANSWER_SHARE = 0.3
 
 
 class Admission:
     """Refuses new flows whose request would be answered too late.
 
-    An upstream that has more requests than slots queues them. How many it
-    has is known from the flows here and the peers' words, how long one
-    takes a slot is learnt; together they say when the next one is
-    answered. Flows that are open can't be refused any more; a new one can,
-    at once and truly without a run.
+    An upstream with more requests than slots queues them. The requests in
+    flight are known from the flows here and the peers' reports, and the time
+    that a request occupies a slot is learnt; together they give the time of
+    the next answer. Open flows can no longer be refused, but a new one can be
+    refused at once without any part of it having run.
 
-    :param settings: from which share of the aim on flows are refused.
+    :param settings: thresholds of refusals.
     :param directory: all upstreams, whose speeds are learnt from their
-        answers; None where they are not.
+        answers; None to learn none.
     """
 
     __slots__ = ('_by_address', '_by_service', '_settings', '_speed_estimator')
@@ -43,8 +43,7 @@
         self._speed_estimator: _speed.SpeedEstimator | None = None
         if directory is not None and settings.speed_tolerance:
             self._speed_estimator = _speed.SpeedEstimator(settings, directory)
-        # How long requests of a route take a slot; and those of a service,
-        # which make up the queue.
+        # Request times by route, and by service for the queue of an upstream.
         self._by_address: dict[bytes, _request_time.RequestTime] = {}
         self._by_service: dict[str, _request_time.RequestTime] = {}
 
@@ -56,13 +55,14 @@
         requests_ahead: float,
         seconds: float,
     ) -> None:
-        """Take an answer.
+        """Record the time of an answer.
 
         :param now: the time.
-        :param standing: the upstream that gave it.
-        :param address: of the route.
-        :param ahead: requests that it had before this one.
-        :param seconds: how long it took.
+        :param state: the upstream that answered.
+        :param address: the address of the route.
+        :param requests_ahead: requests in flight at the upstream when this one
+            was sent.
+        :param seconds: the time until the answer.
         """
         service = state.upstream.service
         service_time = self._by_service.get(service)
@@ -79,11 +79,12 @@
         slots = state.compute_capacity(now) / speed
         rounds = max(1.0, (requests_ahead + 1) / slots)
         expected = route_time.seconds + (rounds - 1) * service_time.seconds
-        # As long as it would have taken at the usual speed.
+        # Convert to the time at the usual speed.
         seconds *= speed
         is_early = seconds < _EARLY_ANSWER_SHARE * expected
         if rounds > 1 and is_early:
-            # It was full, which says nothing of its health.
+            # The upstream's queue was full, which says nothing about its
+            # health.
             return
         state.record_early_answer(is_early)
         if now < state.warming_until:
@@ -102,7 +103,7 @@
             route_time.record(seconds)
 
     def refresh(self, now: float) -> list[object]:
-        """Compute the upstreams' speeds anew where that is due.
+        """Recompute the upstreams' speeds if that is due.
 
         :param now: the time.
         :returns: effects.
@@ -119,13 +120,12 @@
         route: _route.Route,
         state: _upstream_state.UpstreamState,
     ) -> _request_time.AnswerEstimate:
-        """Estimate how soon an upstream would answer one request more.
+        """Estimate how soon an upstream would answer another request.
 
         :param now: the time.
         :param route: the request's route.
-        :param standing: the upstream.
-        :returns: the estimate; of no time where nothing is known of its
-            service.
+        :param state: the upstream.
+        :returns: the estimate; zero if nothing is known of its service.
         """
         service_time = self._by_service.get(state.upstream.service)
         if service_time is None:
@@ -141,12 +141,11 @@
         )
 
     def get_request_seconds(self, address: bytes, service: str) -> float:
-        """Tell how long a request takes a slot.
+        """Return how long a request occupies a slot.
 
-        :param address: of its route.
-        :param service: its service, whose usual requests stand for those of
-            a route that is not known yet.
-        :returns: seconds; 0 where nothing is known.
+        :param address: the address of its route.
+        :param service: its service, whose mean is used for an unknown route.
+        :returns: seconds; 0 if nothing is known.
         """
         known = self._by_address.get(address) or self._by_service.get(service)
         return known.seconds if known is not None else 0.0
@@ -157,12 +156,12 @@
         expected: _request_time.AnswerEstimate,
         flow_hash: int,
     ) -> bool:
-        """Tell whether a new flow is refused.
+        """Return whether a new flow is refused.
 
         :param route: its route.
-        :param expected: when its request would be answered.
-        :param hashed: its hash.
-        :returns: whether it is.
+        :param expected: the estimated time of its answer.
+        :param flow_hash: its hash.
+        :returns: whether it is refused.
         """
         if not route.aim_seconds:
             return False
--- a/skylarkfold/affinity/_answer_statistics.py
+++ b/skylarkfold/affinity/_answer_statistics.py
@@ -1,20 +1,20 @@
-"""What answers say of the speed of an upstream."""
+"""Decaying statistics of the answer times of an upstream."""
 
 from __future__ import annotations
 
 from skylarkfold import upstream_load
 
-# One that turned slow is known after one to two seconds of answers.
+# Short enough to detect an upstream that becomes slow within two seconds.
 _HALF_LIFE_SECONDS = 1.5
 
 
 class AnswerStatistics:
-    """What answers seen here say of one upstream.
+    """Answer times of one upstream as seen by this instance.
 
-    :ivar begun_at: when the first of them was seen.
-    :ivar answers: their weight; one counts half after a half-life.
-    :ivar slowness: the sum of their logarithms, weighted alike.
-    :ivar waiting: requests that it had meanwhile, on average.
+    :ivar started_at: when the first answer was seen.
+    :ivar answers: the weight of the answers, which halves with each half-life.
+    :ivar slowness: the weighted sum of the logarithms of their relative times.
+    :ivar mean_in_flight: the mean number of requests in flight.
     """
 
     __slots__ = (
@@ -35,7 +35,7 @@
         self.mean_in_flight = 0.0
 
     def decay(self, now: float) -> None:
-        """Let all that is known count less.
+        """Reduce the weight of all answers by their age.
 
         :param now: the time.
         """
@@ -45,20 +45,20 @@
         self.slowness *= share
 
     def add(self, now: float, logarithm: float) -> None:
-        """Take an answer.
+        """Add an answer.
 
         :param now: the time.
-        :param logarithm: of how long it took, bounded.
+        :param logarithm: the logarithm of its relative time, bounded.
         """
         self.decay(now)
         self.answers += 1.0
         self.slowness += logarithm
 
     def record_in_flight(self, now: float, in_flight: float) -> None:
-        """Take how many requests it has.
+        """Update the mean number of requests in flight.
 
         :param now: the time.
-        :param waiting: the requests, here and at the peers.
+        :param in_flight: the present number, here and at peers.
         """
         share = 0.0
         if self._sampled_at is not None:
@@ -68,10 +68,10 @@
         self.mean_in_flight += (1 - share) * (in_flight - self.mean_in_flight)
 
     def export(self, now: float) -> tuple[float, float]:
-        """Tell peers of it, with a bounded weight.
+        """Return the statistics for peers, with a bounded weight.
 
         :param now: the time.
-        :returns: answers and slowness as in
+        :returns: ``answers`` and ``slowness`` as in
             :class:`skylarkfold.upstream_load.UpstreamLoad`.
         """
         self.decay(now)
--- a/skylarkfold/affinity/_answer_timeouts.py
+++ b/skylarkfold/affinity/_answer_timeouts.py
@@ -1,20 +1,20 @@
-"""How long the answers of a service take."""
+"""Adaptive timeouts of the answers of each service."""
 
 from __future__ import annotations
 
 from skylarkfold.affinity import _settings
 
-# The gains of RFC 6298: an eighth and a quarter of each new value, and
-# four deviations above the mean.
+# The gains of RFC 6298 for mean and deviation; the timeout is four deviations
+# above the mean.
 _MEAN_GAIN = 1 / 8
 _DEVIATION_GAIN = 1 / 4
 _DEVIATIONS = 4
 
 
 class AnswerTimeouts:
-    """Learns for each service when a silent request is worth a doubt.
+    """Learns for each service after how long a silence is suspicious.
 
-    :param settings: the least and the longest patience.
+    :param settings: the bounds of the timeout.
     """
 
     __slots__ = ('_estimates', '_settings')
@@ -24,10 +24,10 @@
         self._estimates: dict[str, tuple[float, float]] = {}
 
     def record(self, service: str, seconds: float) -> None:
-        """Learn from a request that was answered.
+        """Record how long a request waited for its answer.
 
         :param service: the service's name.
-        :param seconds: how long its caller waited.
+        :param seconds: the time until the answer.
         """
         known = self._estimates.get(service)
         if known is None:
@@ -39,7 +39,7 @@
         self._estimates[service] = (mean, deviation)
 
     def get(self, service: str) -> float:
-        """Tell how long a request may wait without a doubt.
+        """Return how long a request may wait before its upstream is suspected.
 
         :param service: the service's name.
         :returns: seconds.
--- a/skylarkfold/affinity/_binding.py
+++ b/skylarkfold/affinity/_binding.py
@@ -1,4 +1,4 @@
-"""Which upstream a flow is bound to that its packets name."""
+"""Binding of flows to the upstreams of their tokens."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class FlowBinder:
-    """Binds flows to the upstreams of their tokens.
+    """Binds flows to the upstreams that their tokens name.
 
     :param directory: all upstreams.
-    :param flows: the flows carried here.
-    :param health: told of upstreams that are heard.
+    :param flows: the flows that this instance carries.
+    :param health: notified of upstreams that have answered.
     """
 
     __slots__ = ('_directory', '_flows', '_health')
@@ -36,13 +36,13 @@
         flow: _flow.Flow | None,
         routes: _route.RouteTable,
     ) -> _flow.Flow | None:
-        """Bind a flow to the upstream of its token.
+        """Bind the flow of a packet to the upstream of its token.
 
         :param now: the time.
-        :param packet: a packet of it.
+        :param packet: the packet.
         :param flow: the flow, None if it is not known here.
-        :param routes: the routes in force.
-        :returns: the flow, None where its upstream is not known.
+        :param routes: the active routes.
+        :returns: the flow, None if its upstream is not known.
         """
         if packet.token == 0:
             return flow
@@ -54,7 +54,7 @@
             route = routes.get(packet.address)
             if route is not None:
                 flow.is_idempotent = route.is_idempotent
-            # Its former instance may have passed on a request.
+            # The instance that carried it before may have forwarded a request.
             flow.acknowledged = packet.acknowledged
             flow.is_open = True
             if not self._flows.add(flow):
@@ -70,10 +70,10 @@
 
 
 def is_bound(flow: _flow.Flow, packet: _packet.Packet) -> bool:
-    """Tell whether a flow is bound to the upstream that a packet names.
+    """Return whether a flow is bound to the upstream that a packet names.
 
     :param flow: the flow.
-    :param packet: a packet of it.
+    :param packet: a packet of the flow.
     :returns: whether it is.
     """
     state = flow.state
--- a/skylarkfold/affinity/_core.py
+++ b/skylarkfold/affinity/_core.py
@@ -1,4 +1,4 @@
-"""The decisions on flows whose packets carry a token."""
+"""Decisions on packets of flows that carry a token."""
 
 from __future__ import annotations
 
@@ -37,16 +37,19 @@
 
 
 class AffinityCore:
-    """Places new flows, forwards known ones, finds what has failed.
+    """Places new flows, forwards open ones and detects failed upstreams.
 
-    What peers say and are told goes through methods of
-    :class:`._words.PeerWords`, the ends of probes through one of
-    :class:`._suspects.Suspects`; they stand here under their names.
+    Several methods are those of its parts and are bound in the constructor:
+    reports to and from peers (``_peer_reports.PeerReports``), probe results
+    (``_failure_detector.FailureDetector``), the instances of this zone
+    (``_warm_up.WarmUpLimiter``) and the times at which the store was known to
+    be up to date.
 
     :param zone: this instance's availability zone.
-    :param settings: the limits.
-    :param room: the instance's own; None for one that nothing is told of.
-    :ivar shares: whether callers are kept to shares.
+    :param settings: limits and timeouts.
+    :param room: the headroom of this instance's own link; None for a default
+        one without any reports.
+    :ivar shares: switches the enforcement of callers' shares.
     """
 
     def __init__(
@@ -81,7 +84,7 @@
         self._warm_up_limiter = _warm_up.WarmUpLimiter(zone, settings)
         self._refusals = _refusal.Refusals(self.tally)
         self.set_mates = self._warm_up_limiter.set_mates
-        self._opener = _flow_opener.FlowOpener(
+        self._flow_opener = _flow_opener.FlowOpener(
             zone,
             settings,
             self._directory,
@@ -92,7 +95,7 @@
             self.room,
             self._peer_loads.load_trust,
         )
-        self._binding = _binding.FlowBinder(
+        self._flow_binder = _binding.FlowBinder(
             self._directory, self._flows, self._health
         )
         self.link = _link_admission.build_link_admission(
@@ -131,12 +134,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether all that a new flow needs is known."""
+        """Whether routes, upstreams and evacuations have all been received."""
         return self._upstream_sync.is_known and self._routes.version >= 0
 
     @property
     def version(self) -> int:
-        """The version of the routes in force; -1 before the first."""
+        """The version of the active routes; -1 before the first."""
         return self._routes.version
 
     @property
@@ -147,12 +150,12 @@
     def set_routes(
         self, now: float, routes: _route.RouteTable
     ) -> list[object]:
-        """Put routes in force.
+        """Activate a version of the routes.
 
         :param now: the time in seconds of a monotonic clock.
-        :param routes: the routes; an older version than the one in force
-            is ignored, unless the two are of different eras of the store: a
-            version may be gone for good then.
+        :param routes: the routes; a version older than the active one is
+            ignored, unless the two are of different eras of the store: a
+            version may be lost for good then.
         :returns: effects.
         """
         is_same_era = routes.revision.era == self._routes.revision.era
@@ -172,10 +175,10 @@
     def set_upstreams(
         self, now: float, present: Iterable[_upstream.Upstream]
     ) -> list[object]:
-        """Take the list of all upstreams.
+        """Replace the list of all upstreams.
 
         :param now: the time in seconds.
-        :param present: every upstream that has an entry.
+        :param present: every upstream that has an entry in the store.
         :returns: effects.
         """
         effects = self._upstream_sync.set_upstreams(now, present)
@@ -184,10 +187,10 @@
     def set_evacuations(
         self, now: float, evacuations: _evacuation.Evacuations
     ) -> list[object]:
-        """Take which availability zones are evacuated.
+        """Replace the set of evacuated availability zones.
 
         :param now: the time in seconds.
-        :param evacuations: all of them.
+        :param evacuations: all evacuated zones.
         :returns: effects.
         """
         effects = self._upstream_sync.set_evacuations(now, evacuations)
@@ -196,7 +199,7 @@
     def handle_packet(
         self, now: float, packet: _packet.Packet
     ) -> list[object]:
-        """Decide on one packet of a caller.
+        """Decide on a packet from a caller.
 
         :param now: the time in seconds.
         :param packet: the packet.
@@ -206,7 +209,7 @@
             return self._handle_first_packet(now, packet)
         flow = self._flows.get(packet.flow)
         if flow is None or not _binding.is_bound(flow, packet):
-            flow = self._binding.bind(now, packet, flow, self._routes)
+            flow = self._flow_binder.bind(now, packet, flow, self._routes)
             if flow is None:
                 return self._handle_unknown_token(now, packet)
         elif not flow.is_open:
@@ -222,7 +225,7 @@
         return self._forward(now, packet, flow)
 
     def tick(self, now: float) -> list[object]:
-        """Do what is due.
+        """Run what is due: timeouts, retries, probes and expiry.
 
         :param now: the time in seconds; a few dozen times a second.
         :returns: effects.
@@ -235,7 +238,7 @@
             self._flows.rotate_dormant()
             self._directory.remove_expired(now)
         self._peer_loads.expire(now)
-        effects = self._opener.retry_unanswered(now, self._routes)
+        effects = self._flow_opener.retry_unanswered(now, self._routes)
         effects += self._health.tick(now)
         if self.link is not None:
             effects += self._release_link(now, self.link)
@@ -244,20 +247,21 @@
         return effects
 
     def find_due(self, now: float) -> float | None:
-        """Find when a tick has something to do that can't wait.
+        """Return the time at which the next tick is needed.
 
         :param now: the time in seconds.
-        :returns: the time, at once for a probe; None if nothing waits.
+        :returns: the time, ``now`` while any upstream is suspected; None if
+            nothing is pending.
         """
         if self._failure_detector.has_suspects:
             return now
-        waiting = (
-            self._opener.find_due(),
+        deadlines = (
+            self._flow_opener.find_due(),
             self._health.find_due(),
             self._held_packets.find_due(),
             None if self.link is None else self.link.find_due(now),
         )
-        return min((at for at in waiting if at is not None), default=None)
+        return min((at for at in deadlines if at is not None), default=None)
 
     def _handle_first_packet(
         self, now: float, packet: _packet.Packet
@@ -284,9 +288,9 @@
             return self._drop(Reason.REPEATED)
         flow_hash = _placement.hash_flow(packet.flow)
         found = _destination.find_destination(
-            now, route, flow_hash, self._opener, self._admission
+            now, route, flow_hash, self._flow_opener, self._admission
         )
-        # Of a copy, another instance may have placed the first one.
+        # Another instance may have placed the first transmission.
         is_retransmission = packet.acknowledged > 0
         sharing = self.shares.sharing
         if sharing is not None and not is_retransmission and not has_waited:
@@ -318,7 +322,7 @@
         flow.is_routed = True
         flow.first_packet = packet.data
         self._flows.add(flow)
-        return self._opener.send_first_packet(
+        return self._flow_opener.send_first_packet(
             now, flow, state, Reason.PLACED, self._routes.version
         )
 
@@ -331,7 +335,7 @@
         route = self._routes.get(packet.address)
         if route is None:
             return self._refuse_route(now, packet)
-        return self._opener.handle_retransmission(
+        return self._flow_opener.handle_retransmission(
             now, flow, packet, self._routes
         )
 
@@ -341,9 +345,9 @@
         flow.last_packet_at = now
         state = flow.state
         if state.health != _upstream_state.Health.GOOD or state.is_replaced:
-            ended = self._flow_resetter.reset_flow(now, flow, packet)
-            if ended is not None:
-                return ended
+            resets = self._flow_resetter.reset_flow(now, flow, packet)
+            if resets is not None:
+                return resets
             self._failure_detector.resume_probing(state)
         self._health.handle_packet(now, flow, packet)
         if packet.is_last:
@@ -360,10 +364,10 @@
         return self._hold(now, packet, Reason.TOKEN_UNKNOWN)
 
     def _is_removed(self, now: float, flow: _flow.Flow) -> bool:
-        """Tell whether a flow's route is there no more.
+        """Return whether a flow's route has been removed.
 
-        One that was never known here may be too new for this instance:
-        whoever opened the flow knew it.
+        A route that was never known here may be newer than this instance's
+        configuration: the instance that opened the flow knew it.
         """
         if not self.is_ready:
             return False
--- a/skylarkfold/affinity/_destination.py
+++ b/skylarkfold/affinity/_destination.py
@@ -1,4 +1,4 @@
-"""Which service and upstream a new flow goes to, or that it is refused."""
+"""Choice of the service and upstream of a new flow."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class Destination:
-    """Where a new flow goes.
+    """Where a new flow is sent, or would be if it were not refused.
 
-    :param standing: the upstream; of the service that its hash falls to
-        where all are crowded.
-    :param expected: how soon that would answer.
-    :param is_crowded: whether it would be too late.
+    :param state: the upstream; the first choice if all services are
+        overloaded.
+    :param expected: the estimated time of its answer.
+    :param is_crowded: whether that would be too late.
     """
 
     __slots__ = ('expected', 'is_crowded', 'state')
@@ -38,19 +38,19 @@
     opener: _flow_opener.FlowOpener,
     admission: _admission.Admission,
 ) -> Destination | None:
-    """Find where a new flow goes.
+    """Choose the service and upstream of a new flow.
 
-    The service that its hash falls to by the route's weights has it while it
-    has room. Where it is crowded or has no upstream, the others of the route
-    are asked in turn, in an order by the same hash, so that all instances
-    ask alike.
+    The service that its hash selects by the route's weights gets it if it can
+    answer in time. If that one is overloaded or has no upstream, the other
+    services of the route are tried in an order given by the same hash, so that
+    all instances agree.
 
     :param now: the time.
     :param route: the flow's route.
-    :param hashed: the flow's hash.
+    :param flow_hash: its hash.
     :param opener: chooses an upstream of a service.
-    :param admission: tells whether that answers in time.
-    :returns: the destination, None where no service has an upstream.
+    :param admission: estimates whether it would answer in time.
+    :returns: the destination, None if no service has an upstream.
     """
     first: Destination | None = None
     for service in route.list_services(flow_hash):
--- a/skylarkfold/affinity/_directory.py
+++ b/skylarkfold/affinity/_directory.py
@@ -1,4 +1,4 @@
-"""All upstreams that may hold flows, those that are gone included."""
+"""All upstreams that may hold flows, including those without an entry."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from skylarkfold import revision as revisions
 
 
-# Before words have come: as often as they are told.
+# Assumed before any reports have arrived: the usual interval.
 _INITIAL_REPORT_INTERVAL_SECONDS = 0.2
 _MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
 _REPORT_INTERVAL_GAIN = 1 / 16
 
 
 class ChangeKind:
-    """What has become of an upstream's entry."""
+    """Kinds of changes of an upstream's entry."""
 
     ADDED = 'added'
     DRAINING = 'draining'
@@ -29,12 +29,12 @@
 
 
 class EntryChange:
-    """An upstream that is seen otherwise from now on.
+    """A change of an upstream's entry.
 
-    :param kind: one of :class:`Change`.
-    :param standing: the upstream.
-    :param former: what was known of its start before, None unless it has
-        started again.
+    :param kind: one of :class:`ChangeKind`.
+    :param state: the upstream's present state.
+    :param previous: the state of its earlier start; None unless it has
+        restarted.
     """
 
     __slots__ = ('kind', 'previous', 'state')
@@ -51,19 +51,19 @@
 
 
 class Directory:
-    """Finds upstreams by token and by service.
+    """Finds the states of upstreams by name, token, incarnation and service.
 
-    An entry that disappears is no proof that its upstream is dead: its
-    flows are still forwarded for as long as one may live, unless another
-    upstream was given the same address.
+    A missing entry does not prove that an upstream has failed: packets of its
+    flows are still forwarded for the longest lifetime of a flow, unless
+    another upstream has been given the same address.
 
-    An entry of the same name that another start wrote replaces all that was
-    known. Which start is the later one is not asked: clocks differ, and the
-    store's newest entry holds on every instance.
+    An entry of the same name written by another start of the process replaces
+    everything known. Start times are not compared, as clocks differ; the
+    store's newest entry is valid on every instance.
 
-    :param settings: how long upstreams are remembered.
-    :ivar gap_seconds: how long it takes a peer, on average, to say again what
-        it carries.
+    :param settings: how long upstreams without an entry are kept.
+    :ivar report_interval_seconds: the mean interval between load reports of a
+        peer.
     """
 
     __slots__ = (
@@ -92,45 +92,45 @@
         return iter(self._by_name.values())
 
     def get(self, name: str) -> _upstream_state.UpstreamState | None:
-        """Find an upstream by name.
+        """Return the state of an upstream by its name.
 
         :param name: its name.
-        :returns: its standing, None if it is not known.
+        :returns: its state, None if it is not known.
         """
         return self._by_name.get(name)
 
     def find_by_token(
         self, token: int
     ) -> _upstream_state.UpstreamState | None:
-        """Find the upstream of a packet.
+        """Find an upstream by the token of a packet.
 
-        :param token: the token that the packet carries.
-        :returns: its standing, None if no known upstream has it.
+        :param token: the token.
+        :returns: its state, None if no known upstream has the token.
         """
         return self._by_token.get(token)
 
     def find_by_incarnation(
         self, incarnation: int
     ) -> _upstream_state.UpstreamState | None:
-        """Find the upstream that a peer speaks of.
+        """Find an upstream by its incarnation.
 
-        :param incarnation: what names its start.
-        :returns: its standing, None if no known start has it.
+        :param incarnation: identifies one start of the process.
+        :returns: its state, None if the start is not known.
         """
         return self._by_incarnation.get(incarnation)
 
     def list_states(self, service: str) -> list[_upstream_state.UpstreamState]:
-        """List the upstreams of a service, gone ones included.
+        """List the upstreams of a service, including those without an entry.
 
         :param service: the service's name.
-        :returns: standings, by name of the upstream.
+        :returns: their states, in the order of creation.
         """
         return self._by_service.get(service, [])
 
     def record_report_interval(self, seconds: float) -> None:
-        """Take that a peer has said what it carries.
+        """Update the mean interval between load reports.
 
-        :param seconds: since its word before.
+        :param seconds: the time since the peer's previous report.
         """
         seconds = max(seconds, _MINIMUM_REPORT_INTERVAL_SECONDS)
         self.report_interval_seconds += _REPORT_INTERVAL_GAIN * (
@@ -138,7 +138,7 @@
         )
 
     def list_services(self) -> list[str]:
-        """List the services that have upstreams, gone ones included."""
+        """List the services of all known upstreams."""
         return list(self._by_service)
 
     def count_busy(self) -> int:
@@ -150,31 +150,32 @@
         return sum(state.flows for state in self)
 
     def count_evacuated(self) -> int:
-        """Count the upstreams of zones that are evacuated."""
+        """Count the upstreams in evacuated availability zones."""
         return sum(state.is_evacuated for state in self)
 
     def count_warming(self, now: float) -> int:
-        """Count the upstreams that warm up after a start.
+        """Count the upstreams that are warming up.
 
         :param now: the time.
-        :returns: how many there are.
+        :returns: the number of upstreams.
         """
         return sum(now < state.warming_until for state in self)
 
     def count_slow(self) -> int:
-        """Count the upstreams that are slower than others of a service."""
+        """Count the upstreams that are slower than others of their service."""
         return sum(state.speed < 1.0 for state in self)
 
     def find_slowest(self) -> float:
-        """Find the least speed; 1 where none is slow."""
+        """Return the lowest speed of an upstream; 1 if none is slow."""
         return min((state.speed for state in self), default=1.0)
 
     def compute_busiest(self, now: float) -> float:
-        """Compute how long the longest expected wait of a service is.
+        """Compute the imbalance of the most unbalanced service.
 
         :param now: the time.
-        :returns: that of the busiest upstream over the mean of its service,
-            of the service where that is largest; 1 where there are none.
+        :returns: the largest ratio, over all services, of the longest expected
+            wait of an upstream to the mean of its service; 1 without
+            upstreams.
         """
         largest = 1.0
         for states in self._by_service.values():
@@ -190,11 +191,11 @@
     def replace(
         self, now: float, present: Iterable[_upstream.Upstream]
     ) -> list[EntryChange]:
-        """Take the list of all upstreams that have an entry.
+        """Replace the list of all upstreams that have an entry.
 
         :param now: the time.
-        :param present: all of them.
-        :returns: those that are seen otherwise now.
+        :param present: all upstreams with an entry.
+        :returns: the changes.
         """
         names = set()
         changes = []
@@ -213,7 +214,7 @@
         return changes
 
     def remove_expired(self, now: float) -> None:
-        """Drop upstreams whose last flow must have ended.
+        """Remove upstreams whose last flow must have ended.
 
         :param now: the time.
         """
@@ -238,7 +239,7 @@
         if state is None:
             return self._add(now, upstream, ChangeKind.ADDED)
         if upstream is state.upstream and state.lapsed_at is None:
-            # As almost all are with each change of one.
+            # The common case: most entries are unchanged.
             return None
         if not upstream.is_same_start(state.upstream):
             state.is_superseded = True
@@ -273,8 +274,8 @@
         self._by_service = {}
         for state in sorted(self._by_name.values(), key=_get_creation_key):
             upstream = state.upstream
-            # The older upstream keeps a token that two share. The other
-            # gets no new flow, so that no packet carries a token in doubt.
+            # If two upstreams share a token, the older one keeps it. The other
+            # gets no new flows, so that no packet carries an ambiguous token.
             owner = self._by_token.setdefault(upstream.token, state)
             state.owns_token = owner is state and upstream.token != 0
             self._by_incarnation.setdefault(upstream.incarnation, state)
@@ -282,11 +283,11 @@
         self._mark_replaced()
 
     def _mark_replaced(self) -> None:
-        """Mark those whose address another process has.
+        """Mark the upstreams whose address has been given to another process.
 
-        Whose entry was written last has the address. Not when it was
-        created: an upstream that starts again at an address that it was
-        given keeps the entry of its name.
+        The entry written last owns the address. The creation revision does not
+        decide: an upstream that restarts at an address that it was given keeps
+        the entry of its name.
         """
         owners: dict[tuple[str, int], _upstream_state.UpstreamState] = {}
         for state in self._by_name.values():
@@ -311,6 +312,6 @@
 def _get_revision_key(
     state: _upstream_state.UpstreamState,
 ) -> tuple[revisions.Revision, revisions.Revision, str]:
-    # Entries whose revision is not known are told apart by their creation.
+    # Entries without a known revision are ordered by their creation.
     upstream = state.upstream
     return (upstream.revision, upstream.created, upstream.name)
--- a/skylarkfold/affinity/_effect.py
+++ b/skylarkfold/affinity/_effect.py
@@ -1,4 +1,4 @@
-"""What the decisions ask of their surroundings."""
+"""Effects that decisions ask the caller of the core to perform."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Reason:
-    """Why a decision fell as it did; the codes of the log lines."""
+    """Reasons of decisions, as written in log lines."""
 
     PLACED = 'placed'
     PLACED_AGAIN = 'placed-again'
@@ -33,7 +33,7 @@
 
 
 class ProbeOutcome:
-    """How a probe of an upstream ended."""
+    """Outcomes of probes."""
 
     ALIVE = 'alive'
     REFUSED = 'refused'
@@ -51,7 +51,7 @@
 
 
 class Reset:
-    """Tell a caller that its flow has ended.
+    """Reset a caller's flow.
 
     :param flow: the flow.
     :param acknowledged: the caller's last acknowledgement.
@@ -65,9 +65,9 @@
 
 
 class Drop:
-    """Give no answer.
+    """Drop a packet without an answer.
 
-    :param reason: counted.
+    :param reason: the reason that is counted.
     """
 
     __slots__ = ('reason',)
@@ -79,7 +79,7 @@
 class QueryPeers:
     """Ask the peers of this zone when they last heard an upstream.
 
-    What they say comes back through ``AffinityCore.handle_last_seen``.
+    Their answers are passed to ``AffinityCore.handle_last_seen``.
     """
 
     __slots__ = ('upstream',)
@@ -89,9 +89,9 @@
 
 
 class NotifyPeers:
-    """Tell the peers of this zone that an upstream was found lost.
+    """Notify the peers of this zone that an upstream is unreachable.
 
-    They look for themselves; see ``AffinityCore.handle_unreachable``.
+    They probe it themselves; see ``AffinityCore.handle_unreachable``.
     """
 
     __slots__ = ('upstream',)
@@ -101,13 +101,13 @@
 
 
 class Probe:
-    """Find out whether an upstream takes connections.
+    """Probe whether an upstream accepts connections.
 
-    The end comes back through ``AffinityCore.handle_probe_result``.
+    The result is passed to ``AffinityCore.handle_probe_result``.
 
-    :param upstream: which one.
-    :param timeout_seconds: when it has failed.
-    :param is_control: whether it is sent beside the probe of another one.
+    :param upstream: the upstream.
+    :param timeout_seconds: the timeout of the probe.
+    :param is_control: whether it is the control of another upstream's probe.
     """
 
     __slots__ = ('is_control', 'timeout_seconds', 'upstream')
@@ -124,13 +124,14 @@
 
 
 class RecordDecision:
-    """Write a log line for a decision.
+    """Write a log line about a decision.
 
-    :param kind: what was decided: ``open``, ``doubt``, ``reset`` ...
+    :param kind: the kind of decision, such as ``open``, ``doubt`` or
+        ``reset``.
     :param reason: one of :class:`Reason`, or a state.
-    :param flow: the flow, empty where there is none.
-    :param upstream: the upstream's name, empty where there is none.
-    :param details: what decided it, by name.
+    :param flow: the packed flow, empty if there is none.
+    :param upstream: the upstream's name, empty if there is none.
+    :param details: the values that led to the decision, by name.
     """
 
     __slots__ = ('details', 'flow', 'kind', 'reason', 'upstream')
--- a/skylarkfold/affinity/_evacuation.py
+++ b/skylarkfold/affinity/_evacuation.py
@@ -1,4 +1,4 @@
-"""Availability zones that operators have emptied."""
+"""Availability zones that operators have evacuated."""
 
 from __future__ import annotations
 
@@ -9,10 +9,9 @@
 
 
 class Evacuations:
-    """The availability zones whose upstreams get no new flow.
+    """The availability zones whose upstreams get no new flows.
 
-    :param written: where in the store's history each request was written,
-        by zone.
+    :param written: the store revision of each zone's request.
     """
 
     __slots__ = ('_written',)
@@ -32,9 +31,9 @@
         return len(self._written)
 
     def get_revision(self, zone: str) -> revisions.Revision:
-        """Tell where in the store's history a zone's request was written.
+        """Return the store revision of a zone's evacuation request.
 
-        :param zone: a zone that is evacuated.
+        :param zone: an evacuated zone.
         :returns: the revision.
         """
         return self._written[zone]
--- a/skylarkfold/affinity/_failure_detector.py
+++ b/skylarkfold/affinity/_failure_detector.py
@@ -1,10 +1,11 @@
-"""Upstreams in doubt: questions to peers, probes and verdicts.
-
-A silence is a doubt, no more: the peers of this zone are asked whether they
-have heard the upstream since. If none has, it is probed. Probes that fail
-are a verdict only if one of another upstream, sent at the same time, is
-answered, and if so many fail in a row as losses on this side seldom explain:
-an instance whose own link is full hears nobody, and ends nobody's flow.
+"""Failure detection: queries to peers, probes and verdicts.
+
+An upstream that is silent is only suspected: the peers of this zone are asked
+whether they have heard it since. If none has, it is probed. It is declared
+unreachable when more probes in a row have failed than packet loss on this side
+would explain. Its flows are reset only if a control probe of another upstream,
+sent at the same time, was answered: an instance whose own link is full gets no
+answers and must not reset any flow.
 """
 
 from __future__ import annotations
@@ -23,15 +24,15 @@
 
 
 class FailureDetector:
-    """Finds out whether upstreams in doubt are out of reach.
+    """Decides whether suspected upstreams are unreachable.
 
     :param zone: this instance's availability zone.
-    :param settings: the limits.
+    :param settings: limits and timeouts.
     :param directory: all upstreams.
-    :param ending: resets the flows of upstreams that are gone.
-    :param tally: where durations are counted.
-    :param room: this instance's own, which a silence may be due to.
-    :ivar evidence: what silences prove.
+    :param flow_resetter: resets the flows of unreachable upstreams.
+    :param tally: where durations are recorded.
+    :param room: the headroom of this instance's own link.
+    :ivar local_loss: estimates packet loss on this instance's side.
     """
 
     __slots__ = (
@@ -61,8 +62,8 @@
         self.local_loss = _local_loss.LocalLossMonitor(settings, room)
         self._histograms = tally.histograms
         self._suspects: dict[str, _upstream_state.UpstreamState] = {}
-        # Probes of upstreams that serve as a control, by name, with those
-        # that they were sent for.
+        # For each upstream that is probed as a control, by name, the suspected
+        # upstreams whose decision waits for it.
         self._controls: dict[str, list[_upstream_state.UpstreamState]] = {}
 
     def suspect(
@@ -71,12 +72,12 @@
         state: _upstream_state.UpstreamState,
         silent_since: float,
     ) -> list[object]:
-        """Doubt an upstream: ask the peers of this zone, then probe it.
+        """Suspect an upstream: ask the peers of this zone, then probe it.
 
         :param now: the time.
-        :param standing: the upstream.
+        :param state: the upstream.
         :param silent_since: since when it has not answered.
-        :returns: effects; none where it is in doubt already.
+        :returns: effects; none if it is suspected already.
         """
         is_due = now >= state.probe_due
         if state.is_replaced or state.health != Health.GOOD:
@@ -93,11 +94,11 @@
     def handle_last_seen(
         self, now: float, state: _upstream_state.UpstreamState, at: float
     ) -> None:
-        """Take when a peer last heard an upstream.
+        """Record when a peer last heard an upstream.
 
         :param now: the time.
-        :param standing: the upstream.
-        :param at: when.
+        :param state: the upstream.
+        :param at: when the peer heard it.
         """
         state.peer_heard_at = max(state.peer_heard_at, at)
         if state.health == Health.SUSPECTED and self._has_answered(state):
@@ -106,13 +107,13 @@
     def handle_unreachable(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> list[object]:
-        """Take that a peer of this zone found an upstream out of reach.
+        """Handle a peer's report that an upstream is unreachable.
 
-        It may be the peer's fault: this instance probes for itself, and so
-        passes the word on.
+        The fault may be the peer's: this instance probes for itself before it
+        resets flows or notifies others.
 
         :param now: the time.
-        :param standing: the upstream.
+        :param state: the upstream.
         :returns: effects.
         """
         recent = now - self._settings.answer_patience_seconds
@@ -137,15 +138,14 @@
         incarnation: int | None = None,
         is_control: bool | None = None,
     ) -> list[object]:
-        """Take the end of a probe.
+        """Handle the result of a probe.
 
         :param now: the time.
         :param name: the upstream's name.
-        :param outcome: how it ended.
-        :param incarnation: which start of it was probed; None for the one
-            that is known now.
-        :param is_control: whether it was sent beside the probe of another
-            one; None where it may have been either.
+        :param outcome: one of ``ProbeOutcome``.
+        :param incarnation: the start that was probed; None for the present
+            one.
+        :param is_control: whether it was sent as a control; None if unknown.
         :returns: effects.
         """
         state = self._directory.get(name)
@@ -158,7 +158,7 @@
         effects = []
         if is_control is not False:
             effects = self._handle_control_result(now, name)
-        # Two probes at once, one of them as a control, are one try.
+        # A control probe sent beside a regular one is not a separate failure.
         if is_control or not state.is_probing:
             return effects
         state.is_probing = False
@@ -174,26 +174,26 @@
             return effects + self._probe_with_control(now, state)
         state.probe_due = now + self._settings.probe_pause_seconds
         if state.control_name in self._controls:
-            # Refused at once, while the control is still under way.
+            # The refusal arrived before the result of the control.
             state.pending_outcome = outcome
             return effects
         return effects + self._declare_unreachable(now, state, outcome)
 
     def resume_probing(self, state: _upstream_state.UpstreamState) -> None:
-        """Probe an upstream again whose verdict is out of date.
+        """Probe an unreachable upstream again if its verdict may have expired.
 
-        :param standing: the upstream.
+        :param state: the upstream.
         """
         if state.health == Health.UNREACHABLE:
             self._suspects[state.upstream.name] = state
 
     @property
     def has_suspects(self) -> bool:
-        """Whether any upstream is in doubt."""
+        """Whether any upstream is suspected."""
         return bool(self._suspects)
 
     def tick(self, now: float) -> list[object]:
-        """Probe what is due.
+        """Send the probes that are due.
 
         :param now: the time.
         :returns: effects.
@@ -208,7 +208,7 @@
         return effects
 
     def _handle_control_result(self, now: float, name: str) -> list[object]:
-        """Decide on those that waited for a control."""
+        """Decide on the upstreams that waited for a control probe."""
         effects: list[object] = []
         for suspect in self._controls.pop(name, ()):
             outcome, suspect.pending_outcome = suspect.pending_outcome, ''
@@ -238,12 +238,12 @@
     def _suspect_zone(
         self, now: float, failed: _upstream_state.UpstreamState
     ) -> list[object]:
-        """Doubt the others of a zone that seems to be cut off.
+        """Suspect all upstreams of a zone that seems to be cut off.
 
-        Those with flows here are probed, one by one, before anything is
-        reset. Of the rest, of which there may be thousands, some are probed as
-        well; others only get no new flow until their entries have lapsed or
-        something is heard of them.
+        Those with flows here are probed one by one before anything is reset.
+        Of the rest, which may be thousands, only some are probed; the others
+        are deprioritized until their entries would have lapsed or they are
+        heard.
         """
         zone = failed.upstream.zone
         if zone == self._zone:
@@ -278,7 +278,7 @@
     def _deprioritize(
         self, state: _upstream_state.UpstreamState, since: float
     ) -> None:
-        """Have others go before an upstream until its entry would lapse."""
+        """Prefer others to an upstream until its entry would lapse."""
         until = since + self._settings.return_seconds
         state.deprioritized_until = max(state.deprioritized_until, until)
 
@@ -309,7 +309,7 @@
         is_unconfirmed = (
             state.health == Health.UNREACHABLE and not state.is_confirmed
         )
-        # While something gets lost here, controls show when it ends.
+        # While packets are lost on this side, controls show when that ends.
         if is_unconfirmed or self.local_loss.is_lossy(now):
             return self._probe_with_control(now, state)
         return self._probe(now, state)
@@ -317,7 +317,7 @@
     def _probe_with_control(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> list[object]:
-        """Probe an upstream, and one that was heard just now with it."""
+        """Probe an upstream and, as a control, the one heard last."""
         state.control_sent_at = now
         state.control_name = ''
         effects = self._probe(now, state)
@@ -345,8 +345,8 @@
         self._clear_suspicion(now, state)
         if state.last_heard > silent_since:
             return []
-        # It takes connections and answers no caller: full, slow, or, after
-        # a crash, another process that was given its address.
+        # It accepts connections but answers no caller: it is overloaded, slow,
+        # or another process has its address after a crash.
         settings = self._settings
         state.deprioritized_until = now + settings.full_seconds
         if not was_unreachable:
--- a/skylarkfold/affinity/_flow.py
+++ b/skylarkfold/affinity/_flow.py
@@ -1,4 +1,4 @@
-"""The flows that this instance has carried lately."""
+"""Flows that this instance has carried recently."""
 
 from __future__ import annotations
 
@@ -6,37 +6,39 @@
 
 from skylarkfold.affinity import _upstream_state
 
-# Sequence numbers wrap around at this.
+# Sequence numbers are modulo this.
 _MODULUS = 1 << 32
 _HALF = 1 << 31
 
 
 class Flow:
-    """One flow, from its first packet here.
+    """A flow, from its first packet at this instance.
 
-    Nothing depends on remembering it: it is what makes loads, waits and
-    failures visible, and is rebuilt from any later packet.
+    Forwarding does not depend on it: it tracks load, waits and failures, and
+    is rebuilt from any later packet.
 
-    :param key: the packed flow.
-    :param standing: its upstream.
+    :param key: the packed addresses of the flow.
+    :param state: its upstream.
     :param now: the time.
     :ivar is_open: whether the caller has answered its upstream.
-    :ivar begun_at: when its first packet came here.
+    :ivar started_at: when its first packet arrived here.
     :ivar placed_at: when its first packet was last sent to an upstream.
-    :ivar seen_at: when its last packet came.
-    :ivar waiting_since: when the caller sent a request that nothing has
-        answered yet, None where none waits.
-    :ivar doubted_wait: the ``waiting_since`` of the last wait that was
-        logged as a doubt.
-    :ivar sent: the number after the caller's last byte.
+    :ivar last_packet_at: when its last packet arrived.
+    :ivar waiting_since: when the caller sent a request that has not been
+        answered, None if there is none.
+    :ivar reported_wait: the ``waiting_since`` of the last wait that was
+        logged.
+    :ivar next_sequence: the sequence number after the caller's last byte.
     :ivar acknowledged: the caller's highest acknowledgement.
-    :ivar first: its first packet, kept until it is open.
-    :ivar tried: names of the upstreams that got its first packet.
+    :ivar first_packet: its first packet, kept until it is open.
+    :ivar tried: names of the upstreams that its first packet was sent to.
     :ivar is_idempotent: whether its requests may run more than once.
-    :ivar is_routed: whether its route was known while it was carried here.
+    :ivar is_routed: whether its route was ever known while it was carried
+        here.
     :ivar is_counted: whether it counts for its upstream's load.
-    :ivar is_busy: whether its upstream has a request of it.
-    :ivar ahead: requests that its upstream had when it got the last one.
+    :ivar is_busy: whether its upstream has a request of it in flight.
+    :ivar requests_ahead: requests in flight at its upstream when its last one
+        was sent.
     :ivar is_closed: whether its caller has ended it.
     """
 
@@ -85,36 +87,36 @@
 
 
 def is_after(number: int, other: int) -> bool:
-    """Compare two sequence numbers, which wrap around.
+    """Return whether a sequence number is later than another one.
 
-    :param number: a number modulo 2**32.
+    :param number: a sequence number modulo 2**32.
     :param other: another one.
-    :returns: whether the first one is later.
+    :returns: whether the first is later, with regard to wrap-around.
     """
     return 0 < (number - other) % _MODULUS < _HALF
 
 
 def add_length(number: int, length: int) -> int:
-    """Add to a sequence number, which wraps around.
+    """Add a length to a sequence number.
 
-    :param number: a number modulo 2**32.
-    :param length: bytes.
-    :returns: the number after them.
+    :param number: a sequence number modulo 2**32.
+    :param length: a number of bytes.
+    :returns: the sequence number after them.
     """
     return (number + length) % _MODULUS
 
 
 class FlowTable:
-    """Flows by key: the active ones, and those without a packet lately.
+    """Flows by key, both active and dormant ones.
 
-    Only active flows count for the load of their upstream: one that other
-    instances carry by now would count twice. Dormant ones are remembered
-    until they are idle for too long, to be reset with their upstream.
+    Only active flows count for the load of their upstream: those that other
+    instances carry by now would count twice. Dormant flows are kept until they
+    have been idle for too long, so that they can be reset with their upstream.
 
-    Generations in place of times: a flow that is used moves to the
-    youngest one, and a rotation moves a whole generation on.
+    Flows are aged by generations instead of timestamps: each use moves a flow
+    to the youngest generation, each rotation moves whole generations on.
 
-    :param limit: flows remembered at most.
+    :param limit: the most flows that are kept.
     """
 
     __slots__ = (
@@ -145,7 +147,7 @@
             yield from list(generation.values())
 
     def get(self, key: bytes) -> Flow | None:
-        """Find a flow, which is active from now on.
+        """Return a flow and mark it as active.
 
         :param key: the packed flow.
         :returns: the flow, None if it is not known.
@@ -163,10 +165,10 @@
         return None
 
     def add(self, flow: Flow) -> bool:
-        """Remember a flow.
+        """Add a flow.
 
         :param flow: the flow.
-        :returns: whether there was room.
+        :returns: whether there was room for it.
         """
         if len(self) >= self._limit:
             return False
@@ -174,7 +176,7 @@
         return True
 
     def remove(self, flow: Flow) -> None:
-        """Forget a flow.
+        """Remove a flow.
 
         :param flow: the flow.
         """
@@ -183,7 +185,7 @@
         unbind_flow(flow)
 
     def rotate_active(self) -> None:
-        """Count those no more that were not used for two rotations."""
+        """Make flows dormant that were not used for two rotations."""
         for key, flow in self._active_aging.items():
             unbind_flow(flow)
             if not flow.is_closed:
@@ -191,7 +193,7 @@
         self._active_aging, self._active = self._active, {}
 
     def rotate_dormant(self) -> None:
-        """Forget those that were not used for two rotations."""
+        """Remove dormant flows that were not used for two rotations."""
         self._dormant_aging, self._dormant = self._dormant, {}
 
     def _list_generations(self) -> tuple[dict[bytes, Flow], ...]:
@@ -207,7 +209,7 @@
     """Bind a flow to an upstream and count it there.
 
     :param flow: the flow.
-    :param standing: its upstream from now on.
+    :param state: its new upstream.
     """
     unbind_flow(flow)
     flow.state = state
@@ -216,20 +218,20 @@
 
 
 def start_request(flow: Flow, now: float) -> None:
-    """Count that a flow's upstream has a request of it.
+    """Count a request of a flow as in flight.
 
     :param flow: the flow.
     :param now: the time.
     """
     if not flow.is_busy:
         flow.is_busy = True
-        # A whole number: small ones take no memory of their own.
+        # Small integers are shared by the interpreter and take no memory.
         flow.requests_ahead = round(flow.state.in_flight)
         flow.state.change_busy(now, 1)
 
 
 def finish_request(flow: Flow, now: float) -> None:
-    """Count that its upstream has none of it any more.
+    """Count a flow's request as no longer in flight.
 
     :param flow: the flow.
     :param now: the time.
@@ -245,13 +247,13 @@
     acknowledged: int,
     now: float,
 ) -> None:
-    """Move a flow to the next start of its upstream.
+    """Rebind a flow to the next start of its upstream.
 
-    Which start answered it is not known, so that neither its answer nor its
-    wait says anything of this one.
+    It is not known which start answered it, so neither its answer nor its wait
+    says anything about the new one.
 
     :param flow: the flow.
-    :param standing: the upstream as it started again.
+    :param state: the upstream after its restart.
     :param acknowledged: the caller's acknowledgement.
     :param now: the time.
     """
@@ -265,7 +267,7 @@
 
 
 def unbind_flow(flow: Flow) -> None:
-    """Count a flow no more.
+    """Stop counting a flow for its upstream.
 
     :param flow: the flow.
     """
--- a/skylarkfold/affinity/_flow_opener.py
+++ b/skylarkfold/affinity/_flow_opener.py
@@ -1,4 +1,4 @@
-"""New flows, from their first packet until an upstream answers."""
+"""First packets of new flows, until an upstream answers."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     """Sends first packets to upstreams until one of them answers.
 
     :param zone: this instance's availability zone.
-    :param settings: the limits.
+    :param settings: limits and timeouts.
     :param directory: all upstreams.
-    :param health: told of first packets that are not answered.
-    :param limit: of first packets to upstreams that warm up.
-    :param refusals: refuses what no upstream may get.
-    :param tally: where flows are counted.
-    :param room: this instance's own.
-    :param unseen: how much is placed between words of peers.
+    :param health: notified of first packets that are not answered.
+    :param warm_up_limiter: limits first packets to upstreams that warm up.
+    :param refusals: refuses flows that no upstream may take.
+    :param tally: where opened flows are counted.
+    :param room: the headroom of this instance's own link.
+    :param load_trust: how far reported loads are trusted.
     """
 
     __slots__ = (
@@ -84,10 +84,10 @@
         """Choose an upstream for a new flow.
 
         :param now: the time.
-        :param service: its service; None where its route has none.
-        :param hashed: the flow's hash.
-        :param tried: names of upstreams that got the packet before.
-        :returns: the upstream, None where there is none to try.
+        :param service: its service; None if its route has none.
+        :param flow_hash: the flow's hash.
+        :param tried: names of the upstreams that have got the packet already.
+        :returns: the upstream, None if none may be tried.
         """
         if service is None:
             return None
@@ -114,9 +114,9 @@
 
         :param now: the time.
         :param flow: the flow.
-        :param standing: the upstream.
-        :param reason: why it was chosen.
-        :param version: of the routes that led to it.
+        :param state: the upstream.
+        :param reason: why the upstream was chosen.
+        :param version: the version of the routes that were used.
         :returns: effects.
         """
         _flow.bind_flow(flow, state)
@@ -148,12 +148,12 @@
         packet: _packet.Packet,
         routes: _route.RouteTable,
     ) -> list[object]:
-        """Take a caller's copy of a first packet that was not answered.
+        """Handle a caller's repetition of an unanswered first packet.
 
         :param now: the time.
-        :param flow: its flow.
-        :param packet: the copy.
-        :param routes: the routes in force.
+        :param flow: the packet's flow.
+        :param packet: the repeated packet.
+        :param routes: the active routes.
         :returns: effects.
         """
         effects = self._health.suspect_unopened(now, flow)
@@ -162,8 +162,8 @@
             return effects + self.send_first_packet(
                 now, flow, state, Reason.REPEATED, routes.version
             )
-        # Every upstream has had it: one that may still have it once more,
-        # which one that leaves or is evacuated by now may not.
+        # All upstreams have got it: send it once more to one that may still
+        # take new flows, so not to one that is draining or evacuated by now.
         again = self._choose_retry(now, flow, routes, ())
         if again is None:
             flow.is_closed = True
@@ -179,7 +179,7 @@
         return [*effects, _effect.Forward(again.upstream, packet.data)]
 
     def find_due(self) -> float | None:
-        """Find when the next first packet is to be sent once more."""
+        """Return when the next first packet times out; None without any."""
         while self._waiting:
             due, flow = self._waiting[0]
             if not flow.is_open and not flow.is_closed:
@@ -190,10 +190,10 @@
     def retry_unanswered(
         self, now: float, routes: _route.RouteTable
     ) -> list[object]:
-        """Send what was not answered in time to another upstream.
+        """Send first packets that timed out to another upstream.
 
         :param now: the time.
-        :param routes: the routes in force.
+        :param routes: the active routes.
         :returns: effects.
         """
         effects: list[object] = []
@@ -202,8 +202,8 @@
             if flow.is_open or flow.is_closed:
                 continue
             if self._room.is_short(now):
-                # A copy to another upstream would fill a full link still
-                # more; the caller's own one may go there.
+                # A copy would add to the load of a saturated link; the
+                # caller's own retransmission may go to another upstream.
                 continue
             effects += self._health.suspect_unopened(now, flow)
             if len(flow.tried) >= self._settings.open_tries:
--- a/skylarkfold/affinity/_flow_reset.py
+++ b/skylarkfold/affinity/_flow_reset.py
@@ -1,4 +1,4 @@
-"""Resets of flows whose upstream is gone."""
+"""Resets of flows whose upstream is unreachable or replaced."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class FlowResetter:
-    """Ends flows early, so that their callers open new ones at once.
+    """Resets flows, so that their callers open new ones at once.
 
-    :param settings: how long a verdict counts.
-    :param flows: the flows carried here.
+    :param settings: how long a failed probe counts.
+    :param flows: the flows that this instance carries.
     :param tally: where resets are counted.
     """
 
@@ -38,12 +38,12 @@
     def reset_flow(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
     ) -> list[object] | None:
-        """End the flow of a packet if its upstream is gone.
+        """Reset the flow of a packet if its upstream is unreachable.
 
         :param now: the time.
         :param flow: the flow.
         :param packet: the packet.
-        :returns: effects in place of forwarding it, None to forward it.
+        :returns: effects that replace forwarding, None to forward the packet.
         """
         if not flow.state.may_reset(now, self._settings):
             return None
@@ -55,12 +55,12 @@
     def reset_flows(
         self, now: float, states: Iterable[_upstream_state.UpstreamState]
     ) -> list[object]:
-        """End all flows of upstreams that are gone.
+        """Reset all flows of the upstreams that are unreachable.
 
-        Their callers need not find out with their next request.
+        Their callers then need not wait for the timeout of their next request.
 
         :param now: the time.
-        :param standings: upstreams that may be gone.
+        :param states: upstreams that may be unreachable.
         :returns: effects.
         """
         unreachable = {
@@ -80,15 +80,16 @@
         now: float,
         present_until: Mapping[_upstream_state.UpstreamState, float],
     ) -> list[object]:
-        """End flows of upstreams that have started again.
+        """Reset flows of earlier starts of upstreams that have restarted.
 
-        Their next packet would be answered with a reset, and a request in
-        it that must not run twice be lost. The process is gone, so that one
-        that waits has nothing to wait for.
+        The restarted upstream would reset them on their next packet, and a
+        request in that packet that must not run twice would be lost. As the
+        earlier process has ended, pending requests will not be answered
+        either.
 
         :param now: the time.
-        :param ended: for each start before the present one, until when it
-            was there for certain.
+        :param present_until: for each superseded state, until when its start
+            is known to have existed.
         :returns: effects.
         """
         if not present_until:
@@ -125,15 +126,15 @@
 
 
 def _may_reset(flow: _flow.Flow) -> bool:
-    # A request that must not run twice may have been passed on: its caller
-    # would not repeat it, and the answer may still come.
+    # A request that must not run twice may have been forwarded: its caller
+    # would not repeat it, and the answer may still arrive.
     return flow.is_idempotent or flow.waiting_since is None
 
 
 def to_ms(seconds: float) -> int:
-    """Write a duration for a log line.
+    """Convert a duration for a log line.
 
-    :param seconds: the duration; infinite for never.
-    :returns: milliseconds, -1 for never.
+    :param seconds: the duration; infinite if the event never happened.
+    :returns: milliseconds, -1 for an infinite duration.
     """
     return -1 if seconds > 1e6 else int(seconds * 1000)
--- a/skylarkfold/affinity/_health.py
+++ b/skylarkfold/affinity/_health.py
@@ -1,9 +1,9 @@
-"""Finds upstreams that are out of reach from the callers' packets.
+"""Detection of silent upstreams from callers' packets.
 
-Answers go straight to the callers, so nothing is heard of an upstream
-directly. A caller shows that it was answered by what it acknowledges, and
-that it was not by a first packet without a second, or a request without
-an acknowledgement. Such a silence is a doubt.
+Answers go directly to the callers, so this instance never sees them. A
+caller's acknowledgements show that it was answered; a first packet without a
+second one, or a request without an acknowledgement, shows that it was not.
+Such a silence makes the upstream suspect.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class HealthMonitor:
-    """Reads from callers' packets which upstreams answer, and how soon.
+    """Tracks from callers' packets which upstreams answer, and how fast.
 
-    :param settings: the limits.
-    :param suspects: told of upstreams that don't answer.
-    :param admission: told how long answers take.
-    :param tally: where durations are counted.
-    :ivar sharing: told of what callers ask for; None where they have no
-        shares.
+    :param settings: limits and timeouts.
+    :param failure_detector: notified of upstreams that do not answer.
+    :param admission: receives the answer times.
+    :param tally: where durations are recorded.
+    :ivar sharing: receives the callers' requests; None if shares are not
+        enforced.
     """
 
     __slots__ = (
@@ -69,10 +69,10 @@
     def record_heard(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> None:
-        """Note that a packet proved an upstream to answer.
+        """Record that a packet showed an upstream to answer.
 
         :param now: the time.
-        :param standing: the upstream.
+        :param state: the upstream.
         """
         state.heard_at = now
         state.deprioritized_until = _NEVER
@@ -80,7 +80,7 @@
     def record_open(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
     ) -> None:
-        """Note that a flow's caller has answered its upstream.
+        """Record that a flow's caller has answered its upstream.
 
         :param now: the time.
         :param flow: the flow.
@@ -90,10 +90,10 @@
         self._histograms[_tally.OPEN_SECONDS].observe(seconds)
         flow.is_open = True
         flow.first_packet = b''
-        # Its upstream's numbers begin anywhere.
+        # The upstream's initial sequence number is arbitrary.
         flow.acknowledged = packet.acknowledged
         self.record_heard(now, flow.state)
-        # Of several that had the first packet, either may have answered.
+        # If several upstreams got the first packet, any may have answered.
         if len(flow.tried) == 1:
             local_loss = self._failure_detector.local_loss
             local_loss.record_opened(now, flow.state, flow.placed_at)
@@ -104,10 +104,10 @@
     def handle_packet(
         self, now: float, flow: _flow.Flow, packet: _packet.Packet
     ) -> None:
-        """Learn from a packet that is forwarded.
+        """Update a flow from a packet that is forwarded.
 
         :param now: the time.
-        :param flow: its flow.
+        :param flow: the packet's flow.
         :param packet: the packet.
         """
         if _flow.is_after(packet.acknowledged, flow.acknowledged):
@@ -136,43 +136,43 @@
             )
 
     def suspect_unopened(self, now: float, flow: _flow.Flow) -> list[object]:
-        """Take a first packet that was not answered in time.
+        """Handle a first packet that was not answered in time.
 
         :param now: the time.
-        :param flow: its flow.
+        :param flow: the packet's flow.
         :returns: effects.
         """
         state = flow.state
         if state.is_superseded or state.last_heard >= flow.placed_at:
             return []
         reason = _effect.Reason.NOT_OPENED
-        doubt = _build_doubt_record(now, flow, flow.placed_at, reason)
+        record = _build_suspicion_record(now, flow, flow.placed_at, reason)
         self._failure_detector.local_loss.record_unopened(
             state, flow.placed_at
         )
         return [
-            doubt,
+            record,
             *self._failure_detector.suspect(now, state, flow.placed_at),
         ]
 
     def handle_lapse(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> list[object]:
-        """Take that an upstream's entry has disappeared.
+        """Handle the disappearance of an upstream's entry.
 
         :param now: the time.
-        :param standing: the upstream.
+        :param state: the upstream.
         :returns: effects.
         """
-        # One that left as planned ends its flows itself; one without flows
-        # here may be looked at when there are some.
+        # A draining upstream ends its flows itself; one without flows here is
+        # checked when there are some.
         is_planned = state.upstream.is_draining
         if state.is_replaced or is_planned or not state.flows:
             return []
         return self._failure_detector.suspect(now, state, now)
 
     def find_due(self) -> float | None:
-        """Find when the next request has waited for too long."""
+        """Return when the next request times out; None if none is pending."""
         while self._waits:
             due, flow = self._waits[0]
             if flow.waiting_since is not None and not flow.is_closed:
@@ -181,7 +181,7 @@
         return None
 
     def tick(self, now: float) -> list[object]:
-        """Look at requests that wait and probe what is due.
+        """Handle request timeouts and send the probes that are due.
 
         :param now: the time.
         :returns: effects.
@@ -225,26 +225,28 @@
             flow.reported_wait = flow.waiting_since
             reason = _effect.Reason.NOT_ANSWERED
             since = flow.waiting_since
-            effects.insert(0, _build_doubt_record(now, flow, since, reason))
+            effects.insert(
+                0, _build_suspicion_record(now, flow, since, reason)
+            )
         return effects
 
     def _has_moved(self, now: float, flow: _flow.Flow) -> bool:
-        """Tell whether its caller goes through another instance now.
+        """Return whether the flow's caller goes through another instance now.
 
-        One that is not answered repeats its packet; one that gave up, or
-        whose answer was acknowledged elsewhere, does not.
+        A caller without an answer repeats its packet. If it does not, it gave
+        up or acknowledged the answer through another instance.
         """
         waited = now - flow.waiting_since
         settings = self._settings
         if waited > settings.longest_wait_seconds:
             return True
-        # A request of several packets takes some milliseconds to come.
+        # The packets of one request arrive within some milliseconds.
         repeated_after = flow.last_packet_at - flow.waiting_since
         is_repeated = repeated_after > settings.repeat_seconds / 2
         return waited > settings.repeat_seconds and not is_repeated
 
 
-def _build_doubt_record(
+def _build_suspicion_record(
     now: float, flow: _flow.Flow, since: float, reason: str
 ) -> _effect.RecordDecision:
     state = flow.state
--- a/skylarkfold/affinity/_held_packets.py
+++ b/skylarkfold/affinity/_held_packets.py
@@ -1,4 +1,4 @@
-"""Packets that wait for news of their upstream or route."""
+"""Packets held until their upstream or route is known."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from skylarkfold.affinity import _packet
 
-# Callers repeat a packet after 0.2 s; twice that is no loss.
+# Twice the time after which callers repeat a packet.
 _HELD_SECONDS = 0.4
-# At 2 KB a packet, 1 MB.
+# 1 MB at 2 KB a packet.
 _HELD_PACKETS = 512
 
 
 class HeldPackets:
-    """Keeps some packets for a moment."""
+    """A bounded queue of packets with a deadline."""
 
     __slots__ = ('_waiting',)
 
@@ -23,11 +23,11 @@
         )
 
     def add(self, now: float, packet: _packet.Packet) -> bool:
-        """Keep a packet.
+        """Hold a packet.
 
         :param now: the time.
         :param packet: the packet.
-        :returns: whether there was room.
+        :returns: whether there was room for it.
         """
         if len(self._waiting) >= _HELD_PACKETS:
             return False
@@ -35,23 +35,23 @@
         return True
 
     def find_due(self) -> float | None:
-        """Find when the first of them has waited for too long."""
+        """Return when the oldest packet expires; None if none is held."""
         return self._waiting[0][0] if self._waiting else None
 
     def release(self, now: float) -> list[_packet.Packet]:
-        """Give all back, to be decided on again.
+        """Remove all packets and return them for another decision.
 
         :param now: the time.
-        :returns: those that have not waited for too long, in order.
+        :returns: the packets that have not expired, in order.
         """
         waiting, self._waiting = self._waiting, collections.deque()
         return [packet for until, packet in waiting if now <= until]
 
     def expire(self, now: float) -> int:
-        """Drop those that have waited for too long.
+        """Drop the packets that have expired.
 
         :param now: the time.
-        :returns: how many.
+        :returns: how many were dropped.
         """
         count = 0
         while self._waiting and self._waiting[0][0] < now:
--- a/skylarkfold/affinity/_link_admission.py
+++ b/skylarkfold/affinity/_link_admission.py
@@ -1,4 +1,4 @@
-"""First packets that wait or are refused for the instance's own link."""
+"""Admission of first packets by the room on this instance's own link."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class LinkAdmission:
-    """Asks the instance's room about bulk and says what came of it.
+    """Applies decisions on bulk transfers to first packets.
 
-    :param gate: decides on what is bulk.
-    :param refusals: refuses what is not let in.
+    :param bulk_admission: decides on bulk transfers.
+    :param refusals: refuses flows that are not admitted.
     :param tally: where first packets are counted.
     """
 
@@ -39,14 +39,14 @@
         tally.add_histogram(_tally.LINK_WAIT_SECONDS)
 
     def set_routes(self, addresses: Container[bytes]) -> None:
-        """Forget what is known of routes that are gone.
+        """Remove what was learnt of routes that no longer exist.
 
-        :param addresses: those that there are.
+        :param addresses: the addresses of the existing routes.
         """
         self._bulk_admission.keep_routes(addresses)
 
     def is_waiting(self, flow: bytes) -> bool:
-        """Tell whether a flow's first packet waits.
+        """Return whether a flow's first packet is held.
 
         :param flow: the packed flow.
         :returns: whether it does.
@@ -64,28 +64,28 @@
 
         :param now: the time.
         :param packet: the packet.
-        :param route: its route, which has no preference.
-        :param version: of the routes.
+        :param route: its route, which is not preferred.
+        :param version: the version of the routes.
         :returns: effects; None to send it to an upstream.
         """
-        verdict = self._bulk_admission.decide(now, packet, route.aim_seconds)
-        if verdict is None:
+        decision = self._bulk_admission.decide(now, packet, route.aim_seconds)
+        if decision is None:
             return None
-        if verdict.outcome == verdict.WAITS:
+        if decision.outcome == decision.WAITS:
             self._tally.count(_tally.HELD, Reason.LINK_FULL)
-            details = _list_details(verdict)
+            details = _list_details(decision)
             reason = Reason.LINK_FULL
             return [
                 _effect.RecordDecision(
                     'hold', reason, packet.flow, details=details
                 )
             ]
-        if verdict.outcome == verdict.REPEATED:
+        if decision.outcome == decision.REPEATED:
             return self._drop(Reason.REPEATED)
-        return self._refuse(packet, verdict, version)
+        return self._refuse(packet, decision, version)
 
     def begin(self, now: float, packet: _packet.Packet) -> None:
-        """Count a first packet that is sent to an upstream.
+        """Record that a first packet is sent to an upstream.
 
         :param now: the time.
         :param packet: the packet.
@@ -99,15 +99,14 @@
         packet: _packet.Packet,
         route: _route.Route,
     ) -> None:
-        """Take a packet of an open flow before anything else reads it.
+        """Record a packet of an open flow, before the flow is updated.
 
         :param now: the time.
         :param flow: its flow.
         :param packet: the packet.
-        :param route: its route, which has no preference.
+        :param route: its route, which is not preferred.
         """
-        # Of a flow that another instance opened, a request may have begun
-        # there.
+        # If another instance opened the flow, a request may have begun there.
         is_start = bool(flow.tried)
         if flow.next_sequence is not None:
             is_start = flow.waiting_since is None
@@ -116,40 +115,40 @@
         )
 
     def release(self, now: float) -> Iterator[_packet.Packet]:
-        """Give back first packets as there is room for them.
+        """Yield held first packets as the link has room for them.
 
         :param now: the time.
-        :returns: each, to be sent to an upstream before the next is asked
-            for.
+        :returns: packets, each to be sent to an upstream before the next one
+            is requested.
         """
         while (waiter := self._bulk_admission.pop_ready(now)) is not None:
             self._observe(now - waiter.since)
             yield waiter.packet
 
     def expire(self, now: float, version: int) -> list[object]:
-        """Refuse those that have waited for too long.
+        """Refuse first packets that have been held for too long.
 
         :param now: the time.
-        :param version: of the routes.
+        :param version: the version of the routes.
         :returns: effects.
         """
         effects: list[object] = []
         while (waiter := self._bulk_admission.pop_late(now)) is not None:
             self._observe(now - waiter.since)
-            verdict = self._bulk_admission.describe(now, waiter)
-            effects += self._refuse(waiter.packet, verdict, version)
+            decision = self._bulk_admission.describe(now, waiter)
+            effects += self._refuse(waiter.packet, decision, version)
         return effects
 
     def find_due(self, now: float) -> float | None:
-        """Find when one may be let in or has waited for too long.
+        """Return when a held packet may be released or expires.
 
         :param now: the time.
-        :returns: the time, None where none waits.
+        :returns: the time, None if none is held.
         """
         return self._bulk_admission.find_due(now)
 
     def list_gauges(self) -> dict[str, float]:
-        """List what is on its way and what waits.
+        """List gauges of transfers in progress and held ones.
 
         :returns: values by name.
         """
@@ -165,13 +164,16 @@
         waits.observe(seconds)
 
     def _refuse(
-        self, packet: _packet.Packet, verdict: rooms.BulkDecision, version: int
+        self,
+        packet: _packet.Packet,
+        decision: rooms.BulkDecision,
+        version: int,
     ) -> list[object]:
         if packet.acknowledged:
-            # Of a copy, another instance may have placed the first one.
+            # Another instance may have placed the first transmission.
             return self._drop(Reason.LINK_FULL)
         return self._refusals.refuse(
-            packet, Reason.LINK_FULL, version, _list_details(verdict)
+            packet, Reason.LINK_FULL, version, _list_details(decision)
         )
 
     def _drop(self, reason: str) -> list[object]:
@@ -179,13 +181,13 @@
         return [_effect.Drop(reason)]
 
 
-def _list_details(verdict: rooms.BulkDecision) -> dict[str, object]:
+def _list_details(decision: rooms.BulkDecision) -> dict[str, object]:
     return {
-        'bytes': verdict.on_way,
-        'waiting': verdict.waiting,
-        'link_share': round(verdict.link_share, 2),
-        'wait_ms': _flow_reset.to_ms(verdict.wait_seconds),
-        'limit_ms': _flow_reset.to_ms(verdict.limit_seconds),
+        'bytes': decision.on_way,
+        'waiting': decision.waiting,
+        'link_share': round(decision.link_share, 2),
+        'wait_ms': _flow_reset.to_ms(decision.wait_seconds),
+        'limit_ms': _flow_reset.to_ms(decision.limit_seconds),
     }
 
 
@@ -194,13 +196,13 @@
     refusals: _refusal.Refusals,
     tally: _tally.Tally,
 ) -> LinkAdmission | None:
-    """Build a gate where there is something to be decided.
+    """Build link admission if it is configured.
 
-    :param room: the instance's own.
-    :param refusals: refuses what is not let in.
+    :param room: the headroom of this instance's own link.
+    :param refusals: refuses flows that are not admitted.
     :param tally: where first packets are counted.
-    :returns: the gate; None where the link's rate is not known or bulk is
-        not limited.
+    :returns: link admission; None if the link's rate is not known or bulk
+        transfers are not limited.
     """
     if room is None or not room.bytes_per_second:
         return None
--- a/skylarkfold/affinity/_load_trust.py
+++ b/skylarkfold/affinity/_load_trust.py
@@ -1,8 +1,8 @@
-"""How much is placed that an instance has not heard of yet.
+"""How far reported loads are trusted, given their age.
 
-What peers carry is known as of their last words. In between each of them
-places flows by the same words: where they place many, all that choose the
-least loaded upstream choose the same one.
+The loads of peers are known as of their last reports. Between reports, each
+instance places flows by the same values: if they place many, all of them
+choose the same least loaded upstream.
 """
 
 from __future__ import annotations
@@ -13,22 +13,23 @@
 from skylarkfold.affinity import _directory
 from skylarkfold.affinity import _upstream_state
 
-# Of how many flows there are here and at peers, the last 32 values count.
+# Gain of the moving averages of flows here and at peers, which cover about 32
+# values.
 _COMPARISON_GAIN = 1 / 32
 _MINIMUM_FLOWS = 0.05
-# How long what was computed holds.
+# Time between computations.
 _TRUST_SECONDS = 0.1
 _HALF_LIFE_SECONDS = 1.0
 _RATE = math.log(2) / _HALF_LIFE_SECONDS
-# Beyond this the least loaded one is best.
+# Trust at or above which the least loaded upstream is chosen.
 FULL_TRUST = 2.0
 
 
 class _PlacementMeter:
-    """Counts of late of one service, halved with their age.
+    """Rate of placements of one service, decaying with age.
 
-    :ivar trust: what was computed last.
-    :ivar trust_due: when it is due again.
+    :ivar trust: the last computed trust.
+    :ivar trust_due: when it is computed again.
     """
 
     __slots__ = (
@@ -56,10 +57,10 @@
         self._at = now
 
     def compute_peer_ratio(self, own: int, remote: int) -> float:
-        """Compute how many times as many flows peers have, on average.
+        """Compute the mean ratio of flows at peers to flows here.
 
-        They place flows as they hold them; one that has none now is an
-        instance like others.
+        Peers place flows in proportion to those they hold; an instance without
+        flows at the moment is assumed to be like the others.
         """
         self._comparisons += 1
         gain = max(1 / self._comparisons, _COMPARISON_GAIN)
@@ -73,11 +74,11 @@
 
 
 class LoadTrust:
-    """Tells how far the loads of upstreams may be trusted.
+    """Computes how far reported loads are trusted.
 
-    :param factor: how strongly they decide when as many flows are placed
-        unseen as an upstream has requests at a time.
-    :param directory: knows how often words come.
+    :param factor: the trust when as many flows are placed between reports as
+        an upstream has requests in flight.
+    :param directory: provides the mean interval between reports.
     """
 
     __slots__ = ('_directory', '_factor', '_meters')
@@ -90,12 +91,12 @@
     def record_placement(
         self, now: float, states: Sequence[_upstream_state.UpstreamState]
     ) -> float:
-        """Take that a flow is placed.
+        """Record the placement of a flow and return the trust.
 
         :param now: the time.
-        :param standings: upstreams of its service, as they may be chosen.
-        :returns: how strongly their loads may decide, 0 for not at all;
-            from :data:`FULL_TRUST` on the least loaded one may be chosen.
+        :param states: the upstreams that it may be placed on.
+        :returns: how strongly their loads may decide, 0 for not at all; at
+            :data:`FULL_TRUST` or above, the least loaded one may be chosen.
         """
         service = states[0].upstream.service
         meter = self._meters.get(service)
@@ -117,8 +118,8 @@
         for each in states:
             flows += each.flows
             remote += each.remote_flows
-            # Not more than half of its slots: what is beyond may be of flows
-            # that were placed unseen.
+            # At most half of its slots: the rest may be due to flows that were
+            # placed between reports.
             busy = each.busy + each.remote_busy
             work += min(busy, max(1, each.upstream.slots) / 2) + 1
         unreported = meter.per_second * meter.compute_peer_ratio(flows, remote)
--- a/skylarkfold/affinity/_local_loss.py
+++ b/skylarkfold/affinity/_local_loss.py
@@ -1,4 +1,4 @@
-"""What the silence of an upstream proves, where packets get lost here."""
+"""Packet loss on this instance's side, and what silence then proves."""
 
 from __future__ import annotations
 
@@ -9,10 +9,9 @@
 from skylarkfold.affinity import _upstream_state
 from skylarkfold import room as rooms
 
-# Doubts that are remembered, and exchanges without an answer that may still
-# turn out to have got lost here.
+# Recent suspicions and unanswered exchanges that are kept.
 _HISTORY_SIZE = 64
-# Upstreams in doubt at once while much gets lost on this side.
+# The most suspected upstreams while loss on this side is high.
 _LOSSY_SUSPECTS = 4
 
 Outcome = _effect.ProbeOutcome
@@ -20,13 +19,14 @@
 
 
 class LocalLossMonitor:
-    """Learns how much gets lost on this side, and what follows from it.
+    """Estimates packet loss on this side and adapts failure detection to it.
 
-    An instance whose own link is full hears nobody: were silence a verdict
-    then, it would reset flows of upstreams that live.
+    An instance whose own link is full gets no answers: if silence were proof
+    then, it would reset flows of upstreams that are alive.
 
-    :param settings: the limits.
-    :param room: the instance's own, told of what is lost.
+    :param settings: limits and timeouts.
+    :param room: the headroom of this instance's own link, which records the
+        losses.
     """
 
     __slots__ = ('_room', '_settings', '_suspicions', '_unanswered')
@@ -48,10 +48,10 @@
     def record_suspicion(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> None:
-        """Note that an upstream is doubted.
+        """Record that an upstream is suspected.
 
         :param now: the time.
-        :param standing: the upstream.
+        :param state: the upstream.
         """
         self._suspicions.append((now, state))
 
@@ -61,13 +61,13 @@
         state: _upstream_state.UpstreamState,
         placed_at: float,
     ) -> None:
-        """Learn from a first packet that was answered.
+        """Record a first packet that was answered.
 
-        An upstream answers one at once, whatever it has to do.
+        An upstream answers a first packet at once, whatever its load.
 
         :param now: the time.
-        :param standing: the upstream.
-        :param placed_at: when it was sent the packet.
+        :param state: the upstream.
+        :param placed_at: when the packet was sent to it.
         """
         if now - placed_at <= self._settings.open_patience_seconds:
             self._room.record_probe(now, True)
@@ -75,21 +75,21 @@
     def record_unopened(
         self, state: _upstream_state.UpstreamState, placed_at: float
     ) -> None:
-        """Note a first packet that was not answered in time.
+        """Record a first packet that was not answered in time.
 
-        :param standing: the upstream.
-        :param placed_at: when it was sent the packet.
+        :param state: the upstream.
+        :param placed_at: when the packet was sent to it.
         """
         self._unanswered.append((placed_at, state))
 
     def record_probe(
         self, now: float, state: _upstream_state.UpstreamState, outcome: str
     ) -> None:
-        """Learn from the end of a probe.
+        """Record the result of a probe.
 
         :param now: the time.
-        :param standing: the upstream.
-        :param outcome: how it ended.
+        :param state: the upstream.
+        :param outcome: one of ``ProbeOutcome``.
         """
         if outcome == Outcome.ALIVE:
             state.probe_answered_at = now
@@ -99,7 +99,7 @@
             self._unanswered.append((sent_at, state))
 
     def attribute_losses(self, now: float) -> None:
-        """Count as lost here what upstreams heard since did not answer.
+        """Count unanswered exchanges as lost here if the upstream answers.
 
         :param now: the time.
         """
@@ -112,23 +112,23 @@
                 self._unanswered.append((sent_at, state))
 
     def is_lossy(self, now: float) -> bool:
-        """Tell whether more gets lost here than on a link in order.
+        """Return whether more is lost on this side than on a healthy link.
 
         :param now: the time.
-        :returns: whether a verdict needs more probes for it, or none would do.
+        :returns: whether a verdict needs more probes, or no number suffices.
         """
         least = self._settings.probe_tries
         return self._room.count_tries(now, least) != least
 
     def may_suspect(self, now: float, suspect_count: int) -> bool:
-        """Tell whether the link has room for questions and probes.
+        """Return whether the link has room for queries and probes.
 
-        They would fill one that is full still more. Where what is asked gets
-        lost for another reason, a few go on, to see when that ends.
+        They would add to the load of a saturated link. If loss has another
+        cause, a few continue, to see when it ends.
 
         :param now: the time.
-        :param suspects: upstreams in doubt.
-        :returns: whether one more may be doubted.
+        :param suspect_count: upstreams that are suspected already.
+        :returns: whether another upstream may be suspected.
         """
         if self._room.is_full(now):
             return False
@@ -137,14 +137,15 @@
     def count_required_failures(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> int:
-        """Count the failed probes in a row that a verdict needs.
+        """Return how many consecutive probe failures a verdict needs.
 
-        More where others are in doubt elsewhere: one that fails alone has
-        ended as a rule, several zones at once seldom have.
+        More are needed while upstreams of other zones are suspected: a single
+        upstream that is silent has usually failed, but several zones seldom
+        fail at once.
 
         :param now: the time.
-        :param standing: the upstream that they are of.
-        :returns: how many; 0 where no number would do.
+        :param state: the probed upstream.
+        :returns: the number; 0 if no number suffices.
         """
         if self._may_be_busy(now, state):
             return 0
@@ -162,10 +163,10 @@
     def _may_be_busy(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> bool:
-        """Tell whether an upstream may be silent for its load alone.
+        """Return whether an upstream may be silent because of its load.
 
-        One with more requests than slots, whose queue of new connections may
-        be full as well, takes no probe either.
+        An upstream with more requests than slots may also have a full accept
+        queue, and then answers no probe either.
         """
         if state.in_flight <= state.compute_capacity(now):
             return False
--- a/skylarkfold/affinity/_packet.py
+++ b/skylarkfold/affinity/_packet.py
@@ -1,28 +1,28 @@
-"""What the decisions need to know of a caller's packet."""
+"""The fields of a caller's packet that decisions use."""
 
 from __future__ import annotations
 
 from skylarkfold import light_imports
 
-# Positions in a packed flow: the caller's address and port, then the
-# service's, as they stand in an IP header.
+# Offsets in a packed flow: the caller's address and port, then the service's,
+# as in an IP header.
 _CALLER_BYTES = 6
 _HOST_BYTES = 4
 
 
 class Packet:
-    """One packet of a caller.
-
-    :param flow: the flow: the caller's address and port, then those it
-        sent to, packed in 12 bytes.
-    :param token: the token that it carries; 0 for none.
-    :param sequence: the number of its first byte, modulo 2**32.
-    :param acknowledged: the number of the next byte that the caller
-        expects; for a first packet, how often it was repeated.
-    :param length: bytes of data in it.
-    :param is_first: whether it begins a flow.
-    :param is_last: whether the caller ends the flow.
-    :param data: the whole packet as it came.
+    """A packet from a caller.
+
+    :param flow: the packed flow in 12 bytes: the caller's address and port,
+        then the ones it is sent to.
+    :param token: the token; 0 for none.
+    :param sequence: the sequence number of its first byte, modulo 2**32.
+    :param acknowledged: the acknowledgement number; for a first packet, how
+        often it has been repeated.
+    :param length: the number of bytes of data.
+    :param is_first: whether it opens a flow.
+    :param is_last: whether the caller ends the flow with it.
+    :param data: the whole packet as received.
     """
 
     __slots__ = (
@@ -58,42 +58,42 @@
 
     @property
     def address(self) -> bytes:
-        """The address and port that it was sent to, packed."""
+        """The packed address and port that it was sent to."""
         return self.flow[_CALLER_BYTES:]
 
 
 def get_caller(flow: bytes) -> bytes:
-    """Get the caller's address of a packed flow.
+    """Return the caller's host of a packed flow.
 
     :param flow: as in :attr:`Packet.flow`.
-    :returns: its host, packed.
+    :returns: the packed host.
     """
     return flow[:_HOST_BYTES]
 
 
 def get_address(flow: bytes) -> bytes:
-    """Get the service's address of a packed flow.
+    """Return the service's address of a packed flow.
 
     :param flow: as in :attr:`Packet.flow`.
-    :returns: the address and port that its caller sends to, packed.
+    :returns: the packed address and port that the caller sends to.
     """
     return flow[_CALLER_BYTES:]
 
 
 def pack_address(host: str, port: int) -> bytes:
-    """Pack an address and port as they stand in :attr:`Packet.address`.
+    """Pack an address and port as in :attr:`Packet.address`.
 
     :param host: an IPv4 address.
     :param port: the port.
     :returns: 6 bytes.
-    :raises OSError: if the host is no IPv4 address.
-    :raises OverflowError: if the port is none.
+    :raises OSError: if the host is not an IPv4 address.
+    :raises OverflowError: if the port is out of range.
     """
     return light_imports.inet_aton(host) + port.to_bytes(2, 'big')
 
 
 def format_host(packed: bytes) -> str:
-    """Write a packed host for a person.
+    """Format a packed host.
 
     :param packed: 4 bytes.
     :returns: for example ``192.0.2.7``.
@@ -102,7 +102,7 @@
 
 
 def format_address(packed: bytes) -> str:
-    """Write a packed address for a person.
+    """Format a packed address and port.
 
     :param packed: 6 bytes.
     :returns: for example ``192.0.2.7:443``.
@@ -113,7 +113,7 @@
 
 
 def format_flow(flow: bytes) -> str:
-    """Write a flow for a person.
+    """Format a packed flow.
 
     :param flow: 12 bytes.
     :returns: for example ``192.0.2.7:40001>198.51.100.1:443``.
--- a/skylarkfold/affinity/_peer_loads.py
+++ b/skylarkfold/affinity/_peer_loads.py
@@ -1,4 +1,4 @@
-"""What others carry of each upstream's flows and requests."""
+"""Flows and requests of each upstream that peers report."""
 
 from __future__ import annotations
 
@@ -13,13 +13,11 @@
 
 
 class PeerLoads:
-    """The newest word of each instance and zone, summed up by upstream.
+    """The latest report of each instance and zone, summed by upstream.
 
-    :param settings: how long a word counts.
-    :param directory: all upstreams; their ``remote_flows`` and
-        ``remote_busy`` are kept here.
-    :ivar unseen: how much is placed between words; None where that does not
-        matter.
+    :param settings: how long a report is valid.
+    :param directory: all upstreams, whose ``remote_*`` sums are updated.
+    :ivar load_trust: how far reported loads are trusted; None for fully.
     """
 
     __slots__ = ('_directory', '_reports', '_settings', 'load_trust')
@@ -41,11 +39,11 @@
     def update_report(
         self, now: float, source: str, loads: dict[int, _Load]
     ) -> None:
-        """Take what an instance or zone says.
+        """Replace the report of an instance or zone.
 
         :param now: the time.
-        :param source: who says so.
-        :param loads: by incarnation of their upstream.
+        :param source: the name of the instance or zone.
+        :param loads: loads by incarnation of the upstream.
         """
         at, before = self._reports.get(source, (now, {}))
         if before:
@@ -58,7 +56,7 @@
             )
 
     def expire(self, now: float) -> None:
-        """Forget what those said that are silent now.
+        """Remove the reports of instances and zones that have fallen silent.
 
         :param now: the time.
         """
@@ -70,7 +68,7 @@
                     self._add_difference(incarnation, _NO_LOAD, load)
 
     def recompute(self) -> None:
-        """Sum up again after the upstreams have changed."""
+        """Recompute the sums after the upstreams have changed."""
         for state in self._directory:
             state.remote_flows = 0
             state.remote_answers = state.remote_slowness = 0.0
@@ -86,7 +84,7 @@
         if state is not None:
             state.remote_flows += load.flows - before.flows
             busy = state.remote_busy + load.busy - before.busy
-            # What is added and taken away again leaves a rounding error.
+            # Additions and subtractions leave rounding errors.
             state.remote_busy = max(0.0, busy)
             if load.answers or before.answers:
                 _add_answers(state, load, before)
--- a/skylarkfold/affinity/_peer_reports.py
+++ b/skylarkfold/affinity/_peer_reports.py
@@ -1,4 +1,4 @@
-"""What instances tell one another of upstreams."""
+"""Reports about upstreams that instances exchange."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class PeerReports:
-    """Takes the words of peers, and says what is known here.
+    """Handles reports of peers and answers their queries.
 
-    Upstreams are named by incarnation: a word of an earlier start that is
-    still under way is none of the present one.
+    Upstreams are identified by incarnation, so that a delayed report about an
+    earlier start does not count for the present one.
 
-    :param settings: how long what was heard is worth telling.
+    :param settings: how old a reported observation may be.
     :param directory: all upstreams.
-    :param suspects: told of what peers heard, or found out of reach.
-    :param peer_loads: keeps what they carry.
+    :param failure_detector: receives peers' observations and verdicts.
+    :param peer_loads: sums the reported loads.
     """
 
     __slots__ = ('_directory', '_failure_detector', '_peer_loads', '_settings')
@@ -43,11 +43,11 @@
         source: str,
         loads: dict[int, upstream_load.UpstreamLoad],
     ) -> None:
-        """Take what others carry.
+        """Handle the load report of an instance or zone.
 
         :param now: the time.
-        :param source: who they are; a later word replaces an earlier one.
-        :param loads: by incarnation of their upstream.
+        :param source: its name; a report replaces its previous one.
+        :param loads: loads by incarnation of the upstream.
         """
         self._peer_loads.update_report(now, source, loads)
 
@@ -55,8 +55,8 @@
         """List what this instance carries, for its peers.
 
         :param now: the time.
-        :returns: by incarnation of their upstream; requests on average
-            since this was last asked.
+        :returns: loads by incarnation of the upstream; requests in flight are
+            means since the last call.
         """
         loads = {}
         for state in self._directory:
@@ -75,12 +75,11 @@
     def list_last_seen(
         self, now: float, incarnations: Iterable[int]
     ) -> dict[int, float]:
-        """Answer a peer that doubts some upstreams.
+        """Answer a peer's query about suspected upstreams.
 
         :param now: the time.
-        :param incarnations: of the upstreams.
-        :returns: for those heard here, how many seconds ago, by
-            incarnation.
+        :param incarnations: the incarnations of the upstreams.
+        :returns: for those heard here, the seconds since then by incarnation.
         """
         heard = {}
         for incarnation in incarnations:
@@ -93,10 +92,10 @@
         return heard
 
     def handle_last_seen(self, now: float, heard: dict[int, float]) -> None:
-        """Take what a peer has heard of upstreams in doubt.
+        """Handle a peer's answer about suspected upstreams.
 
         :param now: the time.
-        :param heard: how many seconds ago, by incarnation.
+        :param heard: the seconds since the peer heard them, by incarnation.
         """
         for incarnation, age in heard.items():
             state = self._directory.find_by_incarnation(incarnation)
@@ -106,10 +105,10 @@
     def handle_unreachable(
         self, now: float, incarnations: Iterable[int]
     ) -> list[object]:
-        """Take that a peer of this zone found upstreams out of reach.
+        """Handle a report that upstreams are unreachable from a peer.
 
         :param now: the time.
-        :param incarnations: of the upstreams.
+        :param incarnations: the incarnations of the upstreams.
         :returns: effects.
         """
         effects: list[object] = []
--- a/skylarkfold/affinity/_placement.py
+++ b/skylarkfold/affinity/_placement.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream for a new flow."""
+"""Choice of an upstream for a new flow."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 from skylarkfold.affinity import _upstream_state
 from skylarkfold.affinity import _warm_up
 
-# Requests at a time that a flow is taken to bring at least, so that flows
-# count where few requests come.
+# Lower bound of the requests in flight per flow, so that the number of flows
+# counts when there are few requests.
 _MINIMUM_REQUESTS_PER_FLOW = 0.05
-# The bits of a flow's hash that draw a sample; the lower ones choose where it
-# begins.
+# The bits of a flow's hash from here on determine the step of the sample; the
+# lower ones determine where it begins.
 _STEP_SHIFT = 20
-# What an upstream gets at least of its share, however much it carries.
+# Lower bound of an upstream's weight, as a part of its fair share, whatever
+# its load.
 _MINIMUM_SHARE = 0.02
-# Spreads a flow's hash over this many points of a line.
+# Resolution of the point that a flow's hash is mapped to.
 _POINTS = 1 << 32
 _POINT_FACTOR = 0x9E3779B97F4A7C15
 
 
 def hash_flow(key: bytes) -> int:
-    """Hash a flow alike on every instance.
+    """Hash a flow, with the same result on every instance.
 
     :param key: the packed flow.
-    :returns: 64 bits.
+    :returns: a 64-bit hash.
     """
     return xxhash.xxh3_64_intdigest(key)
 
@@ -46,22 +47,21 @@
 ) -> _upstream_state.UpstreamState | None:
     """Choose an upstream for a flow's first packet.
 
-    Good ones first, then ones in doubt or avoided, then ones whose entry has
-    lapsed just now, then ones that were out of reach a while ago. Within
-    these, the least loaded of this zone unless its load is well above the
-    mean, then the least loaded of all. Of very many, only a sample is read,
-    unless none of it is good.
+    Good upstreams are preferred, then suspected or deprioritized ones, then
+    ones whose entry lapsed recently, then ones that were unreachable a while
+    ago. Within a rank, the least loaded one of this zone is chosen, unless its
+    load is well above the mean: then the least loaded of all. Of a large
+    service only a sample is considered, unless none of it is good.
 
     :param now: the time.
-    :param standings: the service's upstreams.
+    :param states: the service's upstreams.
     :param zone: this instance's availability zone.
-    :param hashed: the flow's hash, which decides between equals.
-    :param tried: names of upstreams that got the packet before.
-    :param settings: the limits.
-    :param limit: of those that warm up.
-    :param unseen: how much is placed between words of peers; None where
-        there are none.
-    :returns: the upstream, None where there is none to try.
+    :param flow_hash: the flow's hash, which breaks ties.
+    :param tried: names of the upstreams that have got the packet already.
+    :param settings: limits and weights.
+    :param warm_up_limiter: limits first packets to upstreams that warm up.
+    :param load_trust: how far reported loads are trusted; None for fully.
+    :returns: the upstream, None if none may be tried.
     """
     best: list[_upstream_state.UpstreamState] = []
     if len(states) > settings.choice_sample:
@@ -93,7 +93,7 @@
     settings: _settings.AffinitySettings,
     trust: float,
 ) -> _upstream_state.UpstreamState:
-    """Draw one by the flow's hash, the less loaded the more often."""
+    """Draw an upstream by the flow's hash, less often the more loaded."""
     requests_per_flow, mean = _compute_mean(now, states)
     loads = [
         (each, _compute_load(now, each, requests_per_flow, settings))
@@ -119,11 +119,11 @@
 def _draw_sample(
     states: Sequence[_upstream_state.UpstreamState], flow_hash: int, count: int
 ) -> list[_upstream_state.UpstreamState]:
-    """Draw some upstreams, for each flow others."""
+    """Draw a sample of the upstreams, a different one for each flow."""
     total = len(states)
     step = 1 + (flow_hash >> _STEP_SHIFT) % (total - 1)
-    # So that none is drawn twice, nor all from one zone where zones take
-    # turns in the list.
+    # A step coprime to the number draws none twice, and not all from one zone
+    # when zones alternate in the list.
     while math.gcd(step, total) > 1:
         step += 1
     return [states[(flow_hash + n * step) % total] for n in range(count)]
@@ -136,7 +136,7 @@
     settings: _settings.AffinitySettings,
     warm_up_limiter: _warm_up.WarmUpLimiter,
 ) -> tuple[int, list[_upstream_state.UpstreamState]]:
-    """Find the upstreams of the best rank, which is 0 for good ones."""
+    """Return the best rank, 0 for good upstreams, and its upstreams."""
     ranked: dict[int, list[_upstream_state.UpstreamState]] = {}
     for each in states:
         if each.upstream.name in tried:
@@ -192,7 +192,7 @@
     flow_hash: int,
     settings: _settings.AffinitySettings,
 ) -> _upstream_state.UpstreamState:
-    # Every new flow passes here: two plain loops over the upstreams.
+    # Runs for every new flow: plain loops over the upstreams.
     requests_per_flow, mean = _compute_mean(now, states)
     maximum_load = (1 + settings.near_tolerance) * mean
     least = nearest = None
@@ -215,7 +215,7 @@
 def _compute_mean(
     now: float, states: list[_upstream_state.UpstreamState]
 ) -> tuple[float, float]:
-    """Compute what a flow brings on average, and the mean load."""
+    """Compute the mean requests in flight per flow, and the mean load."""
     flows = 0
     in_flight = capacity = 0.0
     for each in states:
@@ -239,7 +239,8 @@
     flows = state.flows + state.remote_flows
     work = state.busy + state.remote_busy + requests_per_flow * flows + 1
     load = work / state.compute_capacity(now)
-    # One that fails at once has little to do and would draw all flows.
+    # An upstream that fails at once has a low load and would attract all
+    # flows.
     return load * (1 + settings.haste_weight * state.early_answer_share)
 
 
@@ -248,7 +249,7 @@
     other: _upstream_state.UpstreamState,
     flow_hash: int,
 ) -> bool:
-    """Decide between equals, for each flow in another way."""
+    """Break a tie between equal loads, differently for each flow."""
     return _compute_tie_breaker(one, flow_hash) < _compute_tie_breaker(
         other, flow_hash
     )
@@ -257,5 +258,5 @@
 def _compute_tie_breaker(
     state: _upstream_state.UpstreamState, flow_hash: int
 ) -> int:
-    # Any mixture that differs by flow and upstream will do.
+    # Any function that differs by flow and upstream will do.
     return (flow_hash ^ state.upstream.number * 0x9E3779B1) & 0xFFFFFFFF
--- a/skylarkfold/affinity/_refusal.py
+++ b/skylarkfold/affinity/_refusal.py
@@ -1,4 +1,4 @@
-"""Resets of packets that no upstream gets."""
+"""Resets of packets that are not sent to any upstream."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Refusals:
-    """Refuses packets, with a line and a count for each.
+    """Refuses packets, and logs and counts each refusal.
 
-    :param tally: where they are counted.
+    :param tally: where refusals are counted.
     """
 
     __slots__ = ('_tally',)
@@ -36,9 +36,9 @@
         """Refuse a packet.
 
         :param packet: the packet.
-        :param reason: why.
-        :param version: of the routes that led to it.
-        :param details: what else decided it, by name.
+        :param reason: one of ``Reason``.
+        :param version: the version of the routes that were used.
+        :param details: further values that led to the decision, by name.
         :returns: effects.
         """
         self._tally.count(_tally.RESET, reason)
@@ -61,10 +61,10 @@
         """Refuse a new flow whose request would be answered too late.
 
         :param packet: its first packet.
-        :param version: of the routes.
+        :param version: the version of the routes.
         :param route: its route.
-        :param standing: the least loaded upstream.
-        :param expected: how soon that would answer.
+        :param state: the least loaded upstream.
+        :param expected: the estimated time of its answer.
         :returns: effects.
         """
         details = {
@@ -87,13 +87,13 @@
         service: str,
         over_share: shares.OverShare,
     ) -> list[object]:
-        """Refuse a new flow that is beyond its caller's share.
+        """Refuse a new flow that exceeds its caller's share.
 
         :param packet: its first packet.
-        :param version: of the routes.
+        :param version: the version of the routes.
         :param route: its route.
         :param service: its service.
-        :param over: the caller's demand and share.
+        :param over_share: the caller's demand and share.
         :returns: effects.
         """
         caller = _packet.get_caller(packet.flow)
--- a/skylarkfold/affinity/_request_time.py
+++ b/skylarkfold/affinity/_request_time.py
@@ -1,18 +1,18 @@
-"""How long requests take a slot of their upstream."""
+"""Learnt time that requests occupy a slot of their upstream."""
 
 from __future__ import annotations
 
-# A step of the estimate towards each new value, as a part of itself: the
-# first ones are larger, so that a wrong first value is left within them.
+# Relative step of the estimate towards each new value. The first steps are
+# larger, to leave a wrong initial value quickly.
 _STEP = 0.02
 _INITIAL_STEP = 0.2
 
 
 class RequestTime:
-    """The median of how long requests take, without those that waited.
+    """A running median of how long requests take, without waiting.
 
-    A median, since answers that are much too fast (an upstream that is full
-    or fails) or late (one that is slow) say nothing of the others.
+    A median, because answers that are much too early (from an overloaded or
+    failing upstream) or late (from a slow one) say nothing about the others.
 
     :ivar seconds: the median; 0 before the first value.
     """
@@ -24,7 +24,7 @@
         self._count = 0
 
     def record(self, seconds: float) -> None:
-        """Take a value.
+        """Update the median with a value.
 
         :param seconds: how long a request took.
         """
@@ -39,11 +39,11 @@
 
 
 class AnswerEstimate:
-    """How soon a request would be answered.
+    """The estimated time until a request is answered.
 
-    :param own_seconds: how long it takes a slot.
-    :param wait_seconds: until it has one.
-    :param usual_seconds: how long requests of its service take a slot.
+    :param run_seconds: how long it occupies a slot.
+    :param wait_seconds: how long it waits for a slot.
+    :param typical_seconds: how long requests of its service occupy a slot.
     """
 
     __slots__ = ('run_seconds', 'typical_seconds', 'wait_seconds')
@@ -57,16 +57,16 @@
 
     @property
     def seconds(self) -> float:
-        """Until its answer."""
+        """The time until the answer."""
         return self.run_seconds + self.wait_seconds
 
     def compute_weighted_seconds(self, maximum_weight: float) -> float:
-        """Compute the same with the wait weighed by the request's length.
+        """Compute the time with the wait weighted by the request's length.
 
-        Where not all can be served, a slot's time answers several short
-        requests or one long one: the long ones make room first.
+        Under overload, a slot can answer several short requests in the time of
+        one long request: long ones are refused first.
 
-        :param most: the largest weight.
+        :param maximum_weight: the largest weight.
         :returns: seconds.
         """
         weight = 1.0
--- a/skylarkfold/affinity/_route.py
+++ b/skylarkfold/affinity/_route.py
@@ -1,4 +1,4 @@
-"""Which services the callers' addresses lead to."""
+"""Routes from the addresses that callers use to services."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     """An address that callers use and the services behind it.
 
     :param address: the packed address and port.
-    :param shares: the services that new flows go to, each with its weight.
+    :param shares: the services that new flows go to, with their weights.
     :param is_idempotent: whether its requests may run more than once.
-    :param priority: its requests go before those with a larger number.
-    :param aim_seconds: how soon its requests want to be answered; 0 where
-        that is not said.
-    :ivar is_preferred: whether others of its table have a larger number.
+    :param priority: routes with smaller numbers are served first.
+    :param aim_seconds: the target time until its requests are answered; 0 for
+        none.
+    :ivar is_preferred: whether other routes of its table have a larger number.
     """
 
     __slots__ = (
@@ -48,19 +48,19 @@
         self._total = sum(weight for _, weight in self.shares)
 
     def has_service(self, service: str) -> bool:
-        """Tell whether new flows may go to a service.
+        """Return whether new flows may go to a service.
 
-        :param service: its name.
-        :returns: whether it has a weight.
+        :param service: the service's name.
+        :returns: whether it has a weight above 0.
         """
         return any(service == name for name, _ in self.shares)
 
     def list_services(self, flow_hash: int) -> list[str]:
-        """List the services that a new flow may go to, in its order.
+        """List the services that a new flow may go to, in order of choice.
 
-        :param hashed: the flow's hash.
+        :param flow_hash: the flow's hash.
         :returns: first the one that :meth:`choose_service` chooses, then the
-            others in turn; none has a weight of 0.
+            others in turn; services with a weight of 0 are left out.
         """
         first = self.choose_service(flow_hash)
         names = [service for service, _ in self.shares]
@@ -72,9 +72,9 @@
     def choose_service(self, flow_hash: int) -> str | None:
         """Choose the service of a new flow.
 
-        :param hashed: the flow's hash, so that every instance chooses
-            the same for all copies of its first packet.
-        :returns: the service's name, None where none has a weight.
+        :param flow_hash: the flow's hash, so that every instance chooses the
+            same service for all copies of its first packet.
+        :returns: the service's name, None if none has a weight above 0.
         """
         if not self._total:
             return None
@@ -87,16 +87,14 @@
 
 
 class RouteTable:
-    """All routes of one version of the configuration.
+    """All routes of a version of the configuration.
 
-    :param version: the operators' version of it.
+    :param version: the operators' version number.
     :param routes: the routes.
-    :param idle_seconds: a flow without a packet for so long may be
-        forgotten.
-    :param services: the services that there are; empty where that is not
-        said.
-    :param warm_ups: how the upstreams of services start, by service.
-    :param revision: where in the store's history it was written.
+    :param idle_seconds: flows without a packet for so long may be forgotten.
+    :param services: the names of all services; empty if not known.
+    :param warm_ups: the warm-up behaviour of upstreams, by service.
+    :param revision: the store revision at which it was written.
     """
 
     __slots__ = (
@@ -136,7 +134,7 @@
         return address in self._routes
 
     def get(self, address: bytes) -> Route | None:
-        """Find the route of an address.
+        """Return the route of an address.
 
         :param address: the packed address and port.
         :returns: the route, None if there is none.
--- a/skylarkfold/affinity/_route_freshness.py
+++ b/skylarkfold/affinity/_route_freshness.py
@@ -1,4 +1,4 @@
-"""Whether the routes that are known here are all that there are."""
+"""Whether the known routes are known to be up to date."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RouteFreshness:
-    """Remembers when the routes were last known to be the newest.
+    """Tracks when the routes were last known to be up to date.
 
-    One that is not known here may be too new for this instance: only fresh
-    knowledge may say that there is none.
+    A route that is not known here may be too new for this instance: only fresh
+    knowledge can tell that it does not exist.
 
-    :param settings: how long that counts.
+    :param settings: how long a confirmation counts.
     """
 
     __slots__ = ('_confirmed_at', '_settings')
@@ -21,14 +21,14 @@
         self._confirmed_at = float('-inf')
 
     def record(self, now: float) -> None:
-        """Note that the routes were the newest a moment ago.
+        """Record that the routes were up to date at some time.
 
-        :param now: when they were.
+        :param now: the time.
         """
         self._confirmed_at = max(self._confirmed_at, now)
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether all routes that there are were known just now.
+        """Return whether the routes were confirmed recently.
 
         :param now: the time.
         :returns: whether they were.
--- a/skylarkfold/affinity/_settings.py
+++ b/skylarkfold/affinity/_settings.py
@@ -4,110 +4,106 @@
 
 
 class AffinitySettings:
-    """How flows are placed and when an upstream is taken for gone.
+    """Limits and timeouts of placement and failure detection.
 
-    :param open_patience_seconds: a first packet that its upstream has not
-        answered for so long goes to another one as well. An answer takes
-        5 to 11 ms within a region; a caller repeats after 200 ms.
-    :param open_tries: upstreams that one first packet is sent to at most.
-    :param answer_patience_seconds: the least time that a request waits,
-        with nothing heard from its upstream since, before the upstream
-        is doubted. The patience is learnt for each service: the mean and
-        four deviations of its answers.
-    :param longest_patience_seconds: the most that it is. Callers repeat a
-        packet after 0.2 and 0.6 s and give up within a second or two.
-    :param longest_wait_seconds: a request that waits for longer tells
-        nothing any more.
-    :param repeat_seconds: a caller that is not answered has repeated its
-        packet by then; it does so after 0.2 s.
-    :param ask_seconds: how long peers have to say that they heard an
-        upstream in doubt, before it is probed; they answer within 5 ms.
-    :param probe_timeout_seconds: how long a probe waits for the
-        connection. It takes 3 ms; a lost packet of it costs a second.
-    :param probe_tries: probes in a row that must fail before an upstream
-        is taken for out of reach: two, so that one lost packet is no
-        verdict (0.06% of pairs at 2.5% loss).
-    :param wide_suspects: with so many upstreams of other zones in doubt of
-        late, the fault may be on this side.
-    :param wide_tries: probes in a row that must fail then. Of a link that
-        loses three in ten, four and their controls tell wrong twice in a
-        thousand, two and one control six times in a hundred.
+    :param open_patience_seconds: timeout of a first packet; when its upstream
+        has not answered by then, it is sent to another one as well. An answer
+        takes 5 to 11 ms within a region; a caller repeats after 200 ms.
+    :param open_tries: the most upstreams that one first packet is sent to.
+    :param answer_patience_seconds: the minimum timeout of a request; when
+        nothing has been heard from its upstream since, the upstream is
+        suspected. The timeout adapts to each service: mean plus four
+        deviations of its answer times.
+    :param longest_patience_seconds: the maximum of that timeout. Callers
+        repeat a packet after 0.2 and 0.6 s and give up within a second or two.
+    :param longest_wait_seconds: a request that has waited for longer says
+        nothing about its upstream.
+    :param repeat_seconds: a caller without an answer has repeated its packet
+        by then; it does so after 0.2 s.
+    :param ask_seconds: how long peers have to report that they heard a
+        suspected upstream before it is probed; they answer within 5 ms.
+    :param probe_timeout_seconds: how long a probe waits for the connection. It
+        takes 3 ms; a lost packet of it costs a second.
+    :param probe_tries: consecutive probes that must fail before an upstream is
+        declared unreachable: two, so that one lost packet is not enough (0.06%
+        of pairs at 2.5% loss).
+    :param wide_suspects: when at least this many upstreams of other zones were
+        suspected recently, the fault may be on this instance's side.
+    :param wide_tries: consecutive probes that must fail in that case. On a
+        link that loses three packets in ten, four probes with controls are
+        wrong twice in a thousand, two with one control six times in a hundred.
     :param busy_silence_seconds: an upstream with more requests than slots is
-        not taken for out of reach before it was silent for so long: its
-        queue of new connections may be full, and what does not fit is sent
-        again after a second.
-    :param probe_pause_seconds: the pause between two probes of one
-        upstream that answered or is out of reach.
-    :param zone_failures: upstreams of another zone that must be out of
-        reach, while none of it is heard, before all of them are doubted.
-        One is a crash as a rule, and its mates would be probed in vain.
-    :param suspect_limit: upstreams in doubt at once beyond which those without
-        a flow here are not probed: more than a zone of the users' sites has.
-        Without a bound an instance has 1,990 probes under way at once when a
-        zone of 1,000 is lost.
-    :param verdict_seconds: how long a failed probe allows resets. Longer
-        than the pause, the probe and its time-out together.
-    :param full_seconds: an upstream that takes connections but does not
-        answer its callers is avoided for so long.
-    :param return_seconds: one that was out of reach is avoided until so
-        long after it fell silent: its entry lapses after 3.6 s if its
+        not declared unreachable before it was silent for so long: its accept
+        queue may be full, and connection attempts that are dropped are
+        repeated after a second.
+    :param probe_pause_seconds: the pause between two probes of an upstream
+        that answered or is unreachable.
+    :param zone_failures: upstreams of another zone that must be unreachable,
+        while none of the zone is heard, before all of the zone are suspected.
+        A single one is usually a crash; probing the rest of its zone would be
+        wasted.
+    :param suspect_limit: suspected upstreams beyond which those without a flow
+        here are not probed. Without a limit, an instance has 1,990 probes in
+        flight when a zone of 1,000 upstreams is lost.
+    :param verdict_seconds: how long a failed probe allows resets. Longer than
+        the pause, the probe and its timeout together.
+    :param full_seconds: an upstream that accepts connections but does not
+        answer its callers gets no new flows for so long while others can take
+        them.
+    :param return_seconds: an upstream that was unreachable is deprioritized
+        until so long after it fell silent: its entry lapses after 3.6 s if its
         process has ended and another one has its address.
-    :param entry_seconds: how long an entry may outlive the last word of its
-        process, and a first packet of a flow its placement: three
-        heartbeats of 1.2 s, a second for the store to remove it, and the
-        1.4 s that a caller waits for an answer to a first packet. Of an
-        upstream that has started again, flows opened longer ago than its
-        earlier entry was known to stand are those of the earlier start.
-    :param lapsed_seconds: how long an upstream whose entry is gone may
-        still get new flows where its service has no other: entries that
-        lapsed in an outage are back within 2 s.
-    :param flow_seconds: the longest life of a flow; an upstream that is
-        gone is remembered for so long.
-    :param active_seconds: a flow without a packet for so long does not
-        count for its upstream's load; callers pause for 1.6 s on average.
-    :param flow_limit: flows remembered at most; beyond it a new one is
-        forwarded but not watched. 600 instances before 4.9 million flows
-        hold 8,167 each.
-    :param load_seconds: how long what a peer said of its flows counts; it
-        says so several times a second.
-    :param crowd_share: from this share of its route's aim on, taken by the
-        estimated answer, some new flows are refused. Half: the estimate is
-        a median, and half of all answers take longer. 0.3 to 0.6 earn the
-        same within 0.01 in the model of heavy load.
-    :param crowd_limit: all are refused from this share on.
-    :param preferred_share: the same as ``crowd_share`` for routes that go
-        before others: almost the whole aim. 0.6 to 2 earn the same within
-        0.01.
-    :param preferred_limit: all of these are refused from this share on.
-    :param length_weight: where not all can be served, a wait counts up to
-        so much more for requests that are longer than others of their
-        service, so that a slot's time answers several short ones; bounded,
-        so that none of its kinds is shut out.
-    :param haste_weight: how much more an upstream seems to carry, as a
-        share, whose answers all come too soon, as failures do. 2 to 20 earn
-        the same within 0.002.
+    :param entry_seconds: how long an entry may outlive the last heartbeat of
+        its process, plus how long a first packet may wait for its answer:
+        three heartbeats of 1.2 s, a second for the store to remove the entry,
+        and 1.4 s until the caller gives up. When an upstream has restarted,
+        flows opened longer ago than its earlier entry was last known to exist
+        belong to the earlier start.
+    :param lapsed_seconds: how long an upstream whose entry has disappeared may
+        still get new flows if its service has no other: entries that lapse in
+        an outage are back within 2 s.
+    :param flow_seconds: the longest lifetime of a flow; an upstream whose
+        entry has disappeared is remembered for so long.
+    :param active_seconds: a flow without a packet for so long does not count
+        for the load of its upstream; callers pause for 1.6 s on average.
+    :param flow_limit: the most flows that are tracked; beyond it, a new one is
+        forwarded but not tracked. With 600 instances and 4.9 million flows,
+        each has 8,167.
+    :param load_seconds: how long a peer's load report counts; peers report
+        several times a second.
+    :param crowd_share: some new flows are refused when the estimated answer
+        time exceeds this share of their route's aim. Half of it, since the
+        estimate is a median and half of all answers take longer.
+    :param crowd_limit: all new flows are refused from this share on.
+    :param preferred_share: ``crowd_share`` of the routes that go before
+        others.
+    :param preferred_limit: ``crowd_limit`` of the routes that go before
+        others.
+    :param length_weight: the largest factor by which the wait of a request
+        counts more when it is longer than others of its service, so that short
+        requests are preferred under overload; bounded, so that no kind of
+        request is starved.
+    :param haste_weight: how much an upstream's load is raised, as a share,
+        when all of its answers come too early, as those of failures do.
     :param follows_evacuations: whether availability zones may be evacuated
         here; an instance is then not ready before it knows which are.
-    :param limits_warm_up: whether first packets to an upstream that warms up
-        are bounded.
-    :param warm_up_factor: by how much they may exceed, in any second, what
-        its service is said to bear then.
-    :param warm_up_slack: and how many more they may be.
+    :param limits_warm_up: whether the rate of first packets to an upstream
+        that warms up is limited.
+    :param warm_up_factor: the limit per second as a multiple of what the
+        service is configured to handle during its warm-up.
+    :param warm_up_slack: added to that limit.
     :param speed_tolerance: an upstream counts as slower or faster than others
         of its service when its answers take longer or less by this share; 0
-        where speeds are not learnt. Those of one machine differ by a tenth.
-    :param unseen_trust: how strongly the loads of upstreams decide between
-        them when as many flows are placed between two words of peers as an
-        upstream has requests at a time, where the least loaded one would be
-        chosen by all; 0 where it always is.
+        disables learning. Upstreams on one machine differ by a tenth.
+    :param unseen_trust: how strongly reported loads decide the choice of an
+        upstream when as many flows are placed between two reports as an
+        upstream has requests in flight; with stale reports, all instances
+        would choose the same one. 0 always chooses the least loaded.
     :param choice_sample: of a service with more upstreams than this, a new
-        flow is placed among so many of them. Reading all takes 3.7 ms before
-        2,400 upstreams, a sample 0.2 ms; the busiest stays within 1.25
-        of the mean of four flows each.
-    :param near_tolerance: an upstream in this zone is preferred until its
-        load is above the mean by this share. In the model, with one of
-        three zones calling six times as often, 0.05 to 0.2 earn the same
-        within 0.015, 0.5 loses a tenth.
+        flow is placed among a sample of this size. With 2,400 upstreams,
+        reading all takes 3.7 ms, a sample 0.2 ms.
+    :param near_tolerance: an upstream in this zone is preferred until its load
+        exceeds the mean by this share.
     """
 
     __slots__ = (
--- a/skylarkfold/affinity/_share_enforcer.py
+++ b/skylarkfold/affinity/_share_enforcer.py
@@ -1,4 +1,4 @@
-"""Callers' shares of the services of this instance's routes."""
+"""Enforcement of callers' shares of services."""
 
 from __future__ import annotations
 
@@ -14,24 +14,23 @@
 from skylarkfold.affinity import _upstream_state
 from skylarkfold import shares
 
-# How often the upstreams are looked through: thousands of them take a
-# millisecond.
+# Reading thousands of upstreams takes a millisecond.
 _CAPACITY_REFRESH_SECONDS = 0.4
-# Of the time until an answer is seen, what is work at least.
+# Lower bound of the part of a request's time that is spent in a slot.
 _MINIMUM_WORK_SHARE = 0.1
 
 
 class ShareEnforcer:
-    """Keeps callers to their shares where a service has too little room.
+    """Limits callers to their shares when a service lacks capacity.
 
-    :param settings: how.
+    :param settings: limits and weights of shares.
     :param directory: all upstreams.
-    :param admission: knows how long requests take a slot.
-    :param refusals: refuses what is beyond a share.
-    :param find_route: finds the route of an address.
-    :param former: what did so by other settings; what it counted and learnt
-        goes on.
-    :ivar callers: the shares.
+    :param admission: provides how long requests occupy a slot.
+    :param refusals: refuses flows that exceed a share.
+    :param find_route: returns the route of an address.
+    :param previous: the enforcer with the previous settings, whose counts are
+        kept.
+    :ivar callers: the callers' demands and shares.
     """
 
     __slots__ = (
@@ -57,7 +56,7 @@
     ) -> None:
         if previous is None:
             self.callers = shares.CallerShares(settings)
-            # How long a first packet and its answer are under way.
+            # Round-trip times of first packets, by service.
             self._round_trip_times: dict[str, _request_time.RequestTime] = {}
         else:
             self.callers = previous.callers
@@ -80,15 +79,15 @@
         flow_hash: int,
         version: int,
     ) -> list[object]:
-        """Count a new flow, and refuse it if it is beyond its caller's share.
+        """Count a new flow, and refuse it if it exceeds its caller's share.
 
         :param now: the time.
-        :param packet: its first packet, no copy.
+        :param packet: its first packet, not a repeated one.
         :param route: its route.
-        :param service: its service; None where the route has none.
-        :param hashed: its hash.
-        :param version: of the routes.
-        :returns: effects of the refusal; none where it is not refused.
+        :param service: its service; None if the route has none.
+        :param flow_hash: its hash.
+        :param version: the version of the routes.
+        :returns: effects of the refusal; none if it is not refused.
         """
         if service is None:
             return []
@@ -107,7 +106,7 @@
         )
 
     def record_request(self, now: float, flow: _flow.Flow) -> None:
-        """Count a further request on a flow that is open.
+        """Count a further request of an open flow.
 
         :param now: the time.
         :param flow: the flow.
@@ -124,10 +123,10 @@
             )
 
     def record_open(self, service: str, seconds: float) -> None:
-        """Take how long a flow took to open, which is no work.
+        """Record how long a flow took to open, which is not spent in a slot.
 
         :param service: its service.
-        :param seconds: from its first packet to its second.
+        :param seconds: the time from its first packet to its second.
         """
         known = self._round_trip_times.get(service)
         if known is None:
@@ -137,10 +136,10 @@
         known.record(seconds)
 
     def refresh(self, now: float, fleet: shares.FleetSize) -> None:
-        """Work out the shares and what peers are told.
+        """Recompute the shares and the report for peers.
 
-        :param now: the time; several times a second.
-        :param fleet: how many instances there are.
+        :param now: the time; called several times a second.
+        :param fleet: the number of instances.
         """
         digests = self.callers.list_services()
         if (
@@ -154,7 +153,7 @@
     def _measure_capacities(
         self, now: float, digests: set[int]
     ) -> dict[int, shares.Capacity]:
-        # A service without an upstream has no room to share.
+        # A service without upstreams has no capacity.
         capacities = {digest: shares.Capacity(0.0) for digest in digests}
         if not digests:
             return capacities
@@ -166,7 +165,7 @@
         return capacities
 
     def _estimate_work(self, address: bytes, service: str) -> float:
-        """Estimate how long a request takes a slot; 0 where nothing says."""
+        """Estimate how long a request occupies a slot; 0 if unknown."""
         seconds = self._admission.get_request_seconds(address, service)
         round_trip = self._round_trip_times.get(service)
         if round_trip is None:
--- a/skylarkfold/affinity/_share_switch.py
+++ b/skylarkfold/affinity/_share_switch.py
@@ -1,4 +1,4 @@
-"""Whether callers are kept to shares here."""
+"""Optional enforcement of callers' shares."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class ShareSwitch:
-    """Loads what keeps callers to their shares where settings ask for it.
+    """Enforces callers' shares if the settings ask for it.
 
     :param directory: all upstreams.
-    :param admission: knows how long requests take a slot.
-    :param refusals: refuses what is beyond a share.
-    :param health: told of what sees the requests of open flows.
-    :param find_route: finds the route of an address.
-    :ivar sharing: what keeps the shares; None where nothing does.
+    :param admission: provides how long requests occupy a slot.
+    :param refusals: refuses flows that exceed a share.
+    :param health: receives the enforcer, which counts requests of open flows.
+    :param find_route: returns the route of an address.
+    :ivar sharing: the enforcer; None if shares are not enforced.
     """
 
     __slots__ = (
@@ -52,9 +52,10 @@
         self.sharing: _share_enforcer.ShareEnforcer | None = None
 
     def put(self, settings: shares.SharesSettings | None) -> None:
-        """Keep callers to their shares from now on, or no more.
+        """Apply new settings of shares.
 
-        :param settings: how; None, or ones that don't ask for it, for not.
+        :param settings: the settings; None, or not enforced, to stop
+            enforcement.
         """
         previous, self.sharing = self.sharing, None
         if settings is not None and settings.is_enforced:
--- a/skylarkfold/affinity/_speed.py
+++ b/skylarkfold/affinity/_speed.py
@@ -1,9 +1,10 @@
-"""How fast upstreams of a service are beside one another.
+"""Relative speeds of the upstreams of a service.
 
-Learnt from answers that pass, here and at the peers: the logarithm of how
-long each took as a multiple of the usual time, bounded, summed up with a
-weight that halves with its age. One upstream's mean beside the median of its
-service's is its speed, once it differs by more than chance explains.
+They are learnt from answers seen here and at peers. For each upstream, the
+logarithms of the answer times as multiples of the usual time are bounded and
+averaged, with a weight that halves with their age. The difference between this
+mean and the median of the service gives its speed, if it is larger than chance
+explains.
 """
 
 from __future__ import annotations
@@ -17,36 +18,36 @@
 from skylarkfold.affinity import _upstream_state
 from skylarkfold import upstream_load
 
-# What one that fails often seems to be, at most, is a fast one.
+# Upper bound, as an upstream that fails often seems to be fast.
 _MAXIMUM_SPEED = 2.0
-# Answers that say nothing, which each upstream is taken to have given.
+# Weight of the prior assumption that an upstream has the usual speed.
 _PRIOR_ANSWERS = 4.0
 _MINIMUM_ANSWERS = 4.0
-# Requests by slots beyond which answers say little: what waited is of a
-# swing, or more than counts of them.
+# Requests in flight per slot beyond which answer times say little: they are
+# dominated by the wait.
 _QUEUED_REQUESTS_PER_SLOT = 1.5
 _SATURATED_REQUESTS_PER_SLOT = 2.3
-# After a start, words of peers are yet to come and callers in a rush.
+# After a start, peers have not reported yet and callers arrive in a burst.
 _MINIMUM_OBSERVED_SECONDS = 4.0
-# Deviations of a mean beyond which it is no chance: weights that halve with
-# age make the true ones larger by a half.
+# Standard deviations beyond which a difference is significant; as weights
+# decay with age, the true deviations are larger by a half.
 _DEVIATIONS = 3.5
-# Words that come so seldom make that twice as much.
+# Reports at this interval double that limit.
 _REPORT_INTERVAL_SCALE_SECONDS = 0.7
-# Half as much suffices to stay apart, so that none comes and goes.
+# Share of the limit at which a speed is kept, to avoid flapping.
 _HYSTERESIS = 0.5
 _INITIAL_VARIANCE = 0.25
 _MINIMUM_VARIANCE = 0.09
 _VARIANCE_GAIN = 1 / 128
-# As often as loads are told, less often before many upstreams, so that it
-# takes less than a hundredth of a core.
+# As often as loads are reported, less often for many upstreams, to take less
+# than a hundredth of a core.
 _REFRESH_SECONDS = 0.2
 _REFRESH_SECONDS_EACH = 0.001
 _RECORD_SECONDS = 1.0
 
 
 class _AnswerVariance:
-    """How much the answers of a service differ by chance."""
+    """Variance of the answer times of a service."""
 
     __slots__ = ('variance',)
 
@@ -60,9 +61,10 @@
     def compute_limit(
         self, answers: float, report_interval_seconds: float
     ) -> float:
-        """Compute how far a mean of so many may be off by chance.
+        """Compute the error of a mean that chance explains.
 
-        The older words are, the less is known of what waited meanwhile.
+        The longer the interval between reports, the less is known about the
+        queues in the meantime.
         """
         variance = max(self.variance, _MINIMUM_VARIANCE)
         chance = _DEVIATIONS * math.sqrt(variance / answers)
@@ -72,14 +74,15 @@
 
 
 class _SpeedSample:
-    """What is known of one upstream.
+    """The recent answer times of one upstream.
 
-    :ivar slowness: the mean of its answers' logarithms, without their wait.
-    :ivar doubt: how much further it must be off to count: the longer a queue,
-        the less is known of what waited.
-    :ivar is_new: whether it was not seen for long enough.
+    :ivar slowness: the mean logarithm of its relative answer times, without
+        the expected wait.
+    :ivar uncertainty: factor of the significance limit: the longer the queue,
+        the less is known about the waits.
+    :ivar is_new: whether it has not been observed for long enough.
     :ivar is_queued: whether its queue hides how fast it is.
-    :ivar is_hidden: whether it hides how slow it is, too.
+    :ivar is_saturated: whether its queue also hides how slow it is.
     """
 
     __slots__ = (
@@ -127,9 +130,9 @@
 
 
 class SpeedEstimator:
-    """Learns the speeds of all upstreams and keeps them in their standings.
+    """Learns the speeds of all upstreams and sets them in their states.
 
-    :param settings: from which difference on one counts.
+    :param settings: the smallest difference that counts.
     :param directory: all upstreams.
     """
 
@@ -148,20 +151,20 @@
     def record(
         self, now: float, state: _upstream_state.UpstreamState, ratio: float
     ) -> None:
-        """Take an answer.
+        """Record the time of an answer.
 
         :param now: the time.
-        :param standing: the upstream that gave it.
-        :param times: how long it took, with its wait for a slot, as a
-            multiple of what such requests take.
+        :param state: the upstream that answered.
+        :param ratio: the time with its wait for a slot, as a multiple of the
+            usual time of such requests.
         """
         if ratio <= 0.0:
             return
-        least, most = (
+        lower, upper = (
             -upstream_load.MAXIMUM_FASTNESS,
             upstream_load.MAXIMUM_SLOWNESS,
         )
-        logarithm = min(max(math.log(ratio), least), most)
+        logarithm = min(max(math.log(ratio), lower), upper)
         if state.answer_statistics is None:
             state.answer_statistics = _answer_statistics.AnswerStatistics(now)
         state.answer_statistics.add(now, logarithm)
@@ -172,10 +175,10 @@
         answer_variance.add(logarithm + math.log(state.speed))
 
     def refresh(self, now: float) -> list[object]:
-        """Compute all speeds anew.
+        """Recompute all speeds.
 
         :param now: the time.
-        :returns: records of upstreams that became faster or slower.
+        :returns: records of upstreams whose speed changed.
         """
         if now < self._refresh_due:
             return []
@@ -202,22 +205,22 @@
         service: str,
         states: list[_upstream_state.UpstreamState],
     ) -> list[object]:
-        sample: list[_SpeedSample] = []
+        samples: list[_SpeedSample] = []
         effects: list[object] = []
         for each in states:
             answers, slowness = _combine_answers(now, each)
             if answers >= _MINIMUM_ANSWERS:
-                sample.append(
+                samples.append(
                     _SpeedSample(now, each, answers, slowness / answers)
                 )
             elif each.speed != 1.0:
                 effects += _set_speed(now, each, 1.0)
-        means = [each.slowness for each in sample if not each.is_saturated]
+        means = [each.slowness for each in samples if not each.is_saturated]
         if not means:
             return effects
         median = _find_median(means)
         answer_variance = self._variances.get(service) or _AnswerVariance()
-        for each in sample:
+        for each in samples:
             speed = self._compute_speed(each, median, answer_variance)
             effects += _set_speed(now, each.state, speed)
         return effects
@@ -242,14 +245,14 @@
         if abs(slowness) > limit and not sample.is_new:
             confidence = sample.answers / (sample.answers + _PRIOR_ANSWERS)
             speed = min(math.exp(-slowness * confidence), _MAXIMUM_SPEED)
-        # A queue hides how fast it is, not how slow.
+        # A queue hides how fast an upstream is, but not how slow.
         return min(speed, before) if sample.is_queued else speed
 
 
 def _combine_answers(
     now: float, state: _upstream_state.UpstreamState
 ) -> tuple[float, float]:
-    """Sum up what is known here and at the peers."""
+    """Add the answers seen here to those reported by peers."""
     own = state.answer_statistics
     if own is None:
         own = state.answer_statistics = _answer_statistics.AnswerStatistics(
@@ -264,7 +267,7 @@
 
 
 def _find_median(values: list[float]) -> float:
-    # The standard library's costs more memory than all of this module.
+    # The statistics module uses more memory than this whole module.
     ordered = sorted(values)
     middle = len(ordered) // 2
     if len(ordered) % 2:
@@ -273,14 +276,15 @@
 
 
 def _compute_queueing(filled: float) -> float:
-    """Compute how many times longer answers take by waiting for a slot.
+    """Compute the factor by which waiting for a slot lengthens answers.
 
-    From the requests that an upstream has on average while answers come:
-    who sends them can't know how many there are at each. Exact for two slots
-    and work of any length, close for others.
+    It depends on the mean requests in flight at the upstream during the
+    answers, since senders do not know the number at each moment. The formula
+    is exact for two slots and any distribution of request lengths, and close
+    for others.
 
-    :param filled: the requests by slots.
-    :returns: the times.
+    :param filled: the requests in flight per slot.
+    :returns: the factor.
     """
     return (1 + math.sqrt(1 + 4 * filled * filled)) / 2
 
@@ -288,7 +292,7 @@
 def _set_speed(
     now: float, state: _upstream_state.UpstreamState, speed: float
 ) -> list[object]:
-    """Set a speed, and say so where the upstream changes sides."""
+    """Set a speed, and record a change between usual, slow and fast."""
     before, state.speed = state.speed, speed
     if (before > 1.0) == (speed > 1.0) and (before < 1.0) == (speed < 1.0):
         return []
--- a/skylarkfold/affinity/_tally.py
+++ b/skylarkfold/affinity/_tally.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the decisions; all names are here."""
+"""Names of counters and histograms, and their values."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 from skylarkfold import histogram
 
-# Counters, each followed by a dot and a reason of ``Reason``.
+# Counters; each name is followed by a dot and one of ``Reason``.
 OPENED = 'open'
 RESET = 'reset'
 DROPPED = 'drop'
 HELD = 'hold'
-# The reason of a drop that no decision has.
+# A reason of drops that is not one of ``Reason``.
 HELD_TOO_LONG = 'held-too-long'
 
 # Histograms of seconds.
 OPEN_SECONDS = 'open_seconds'
 ANSWER_SECONDS = 'answer_seconds'
 DOUBT_SECONDS = 'doubt_seconds'
-# How long the request of a new flow is expected to wait for a slot.
+# The expected wait of a new flow's request for a slot.
 WAIT_SECONDS = 'wait_seconds'
-# How long first packets waited for room on the instance's own link.
+# How long first packets were held for room on this instance's own link.
 LINK_WAIT_SECONDS = 'link_wait_seconds'
 
 
 class Tally:
-    """What is counted on an instance.
+    """Counters and histograms of an instance.
 
     :ivar counters: by name.
     :ivar histograms: by name.
@@ -46,22 +46,22 @@
         }
 
     def add_histogram(self, name: str) -> None:
-        """Count durations that few instances have.
+        """Add a histogram that only some instances have.
 
         :param name: one of this module's histograms.
         """
         self.histograms[name] = histogram.Histogram()
 
     def count(self, name: str, reason: str) -> None:
-        """Count an event.
+        """Increment a counter.
 
         :param name: one of this module's counters.
-        :param reason: why.
+        :param reason: the reason, part of the counter's name.
         """
         self.counters[f'{name}.{reason}'] += 1
 
     def observe(self, name: str, seconds: float) -> None:
-        """Count a duration.
+        """Record a duration in a histogram.
 
         :param name: one of this module's histograms.
         :param seconds: the duration.
--- a/skylarkfold/affinity/_upstream.py
+++ b/skylarkfold/affinity/_upstream.py
@@ -13,23 +13,23 @@
 class Upstream:
     """One process that serves a service, from its start to its end.
 
-    :param name: names this process, and a later start of it maybe.
-    :param number: the same as a number of up to 64 bits; its lowest 32
-        are the token.
+    :param name: names the process; a later start may have the same name.
+    :param number: the name as a number of up to 64 bits; its lowest 32 are the
+        token.
     :param service: the service's name.
-    :param address: host and port where it takes packets and probes.
+    :param address: the host and port for packets and probes.
     :param zone: its availability zone.
-    :param slots: requests that it runs at the same time.
-    :param is_draining: whether it takes no new flow.
-    :param warm_up_seconds: how much longer it was slow from its start when
-        that was said.
-    :param created: where in the store's history its entry was created.
-    :param revision: where its entry was written in this form.
-    :param born: the Unix millisecond of its start by its own clock; None
-        where that is not said. Only whether it is the same matters: clocks
-        differ and are set back.
+    :param slots: the number of requests that it runs at the same time.
+    :param is_draining: whether it takes no new flows.
+    :param warm_up_seconds: the remaining warm-up when the entry was written.
+    :param created: the store revision at which its entry was created.
+    :param revision: the store revision at which its entry was last written.
+    :param born: the Unix time of its start in milliseconds by its own clock;
+        None if not known. It is only compared for equality, as clocks differ
+        and may be set back.
     :param sequence: how often its process had written its entry by then.
-    :ivar incarnation: 32 bits that name this start among instances.
+    :ivar incarnation: a 32-bit identifier of this start, the same on all
+        instances.
     """
 
     __slots__ = (
@@ -79,16 +79,16 @@
 
     @property
     def token(self) -> int:
-        """What the packets of its flows carry."""
+        """The token that the packets of its flows carry."""
         return self.number & TOKEN_MASK
 
     def is_same_start(self, other: Upstream) -> bool:
-        """Tell whether this and another entry are of the same process.
+        """Return whether two entries are of the same start of the process.
 
         A process changes neither its address nor its service.
 
-        :param other: the entry of the same name.
-        :returns: whether none of what marks a start differs.
+        :param other: another entry of the same name.
+        :returns: whether start time, service and address are equal.
         """
         return (self.born, self.service, self.address) == (
             other.born,
--- a/skylarkfold/affinity/_upstream_state.py
+++ b/skylarkfold/affinity/_upstream_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows of one upstream besides its entry."""
+"""Load, health and history of an upstream as seen by this instance."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from skylarkfold.affinity import _warm_up_slowness
 
 _NEVER = float('-inf')
-# What one answer more counts in the share of those that came too soon: the
-# last sixteen are most of it.
+# Weight of a new sample in the moving average of early answers, which covers
+# about the last sixteen.
 _EARLY_ANSWER_GAIN = 1 / 16
 
 
 class Health:
-    """How an upstream is seen from this instance."""
+    """Health of an upstream as seen by this instance."""
 
     GOOD = 'good'
     SUSPECTED = 'doubted'
@@ -24,51 +24,55 @@
 
 
 class UpstreamState:
-    """One upstream with its load and health, as seen from here.
+    """Load, health and history of an upstream as seen by this instance.
 
-    :param upstream: its entry, replaced as it changes.
+    :param upstream: its entry, replaced when it changes.
     :param now: the time.
-    :param slowness: of its service's upstreams while they warm up.
-    :ivar flows: flows of it that this instance carries.
-    :ivar remote_flows: flows of it that peers carry.
-    :ivar busy: requests that it has from flows of this instance.
-    :ivar remote_busy: the same at peers, on average of late.
-    :ivar hasty_share: share of its answers of late that came much sooner
-        than work takes, as failures do.
-    :ivar speed: how fast it works beside others of its service; 1 unless it
-        differs by more than chance.
-    :ivar speed_since: since when it is slower, faster or as usual.
-    :ivar evidence: what its answers here said of that of late, None where
-        there were none.
-    :ivar remote_answers: the weight of its answers at peers of late.
-    :ivar remote_slowness: what they said, added up.
-    :ivar heard_at: when a packet last proved that it answers.
-    :ivar heard_elsewhere_at: the same at a peer.
-    :ivar silent_since: since when it did not answer, while in doubt.
-    :ivar lapsed_at: when its entry disappeared, None while it is there.
-    :ivar present_at: when it was last known to be there before that.
+    :param slowness: how slow upstreams of its service are during warm-up.
+    :ivar flows: its flows that this instance carries.
+    :ivar remote_flows: its flows that peers carry.
+    :ivar busy: requests in flight from flows of this instance.
+    :ivar remote_busy: requests in flight from flows of peers, on average
+        between their last reports.
+    :ivar early_answer_share: share of its recent answers that came much sooner
+        than a request takes, as those of failures do.
+    :ivar speed: its speed relative to others of its service; 1 unless the
+        difference is significant.
+    :ivar speed_since: when the speed last changed between usual, slow and
+        fast.
+    :ivar answer_statistics: recent answer times seen here, None without any.
+    :ivar remote_answers: the weight of its recent answers seen by peers.
+    :ivar remote_slowness: the sum of their logarithms of relative answer
+        times.
+    :ivar heard_at: when a packet last showed that it answers.
+    :ivar peer_heard_at: when a peer last saw one that did.
+    :ivar silent_since: since when it has not answered, while suspected.
+    :ivar lapsed_at: when its entry disappeared, None while it exists.
+    :ivar last_listed_at: when its entry was last known to exist before that.
     :ivar is_replaced: whether another process has its address.
-    :ivar is_former: whether its process has started again: what is known
-        here is of the start before, and another standing has its place.
-    :ivar is_evacuated: whether its availability zone takes no new flow.
-    :ivar has_token: whether no older upstream has the same token.
+    :ivar is_superseded: whether its process has restarted: this state is of
+        the earlier start, and another state has taken its place.
+    :ivar is_evacuated: whether its availability zone gets no new flows.
+    :ivar owns_token: whether no older upstream has the same token.
     :ivar health: one of :class:`Health`.
-    :ivar failures: probes in a row that failed.
-    :ivar probed_at: when the first of them began.
-    :ivar compared_at: when another upstream was probed beside it.
-    :ivar control: that upstream's name.
-    :ivar outcome: how its own last probe ended, while that of the other
-        one goes on.
-    :ivar alive_at: when a probe was last answered.
-    :ivar is_proven: whether that other one answered while it did not.
-    :ivar failed_at: when the last probe failed.
+    :ivar probe_failures: consecutive failed probes.
+    :ivar probing_since: when the first of them was sent.
+    :ivar control_sent_at: when another upstream was last probed as a control.
+    :ivar control_name: that upstream's name.
+    :ivar pending_outcome: the outcome of its own last probe while the
+        control's is not known yet.
+    :ivar probe_answered_at: when a probe was last answered.
+    :ivar is_confirmed: whether the control answered while it did not.
+    :ivar probe_failed_at: when the last probe failed.
     :ivar probe_due: when it may be probed again.
-    :ivar is_probing: whether a probe is under way.
-    :ivar avoided_until: until when others go before it.
-    :ivar warming_until: until when it is slow from its start.
-    :ivar settled_at: until when it is taken to be so in any case.
-    :ivar openings: when it was sent first packets meanwhile, of late; None
-        before the first, as almost all of thousands never warm up here.
+    :ivar is_probing: whether a probe is in flight.
+    :ivar deprioritized_until: until when other upstreams are chosen before it.
+    :ivar warming_until: until when it is slow after its start.
+    :ivar warm_up_expected_until: a lower bound of ``warming_until`` that its
+        entry does not shorten.
+    :ivar warm_up_openings: when this instance sent it first packets recently
+        during its warm-up; None before the first, which saves memory for the
+        many that never warm up here.
     """
 
     __slots__ = (
@@ -162,21 +166,20 @@
         self.warm_up_openings: collections.deque[float] | None = None
 
     def update_entry(self, now: float, upstream: _upstream.Upstream) -> None:
-        """Take a later form of its entry.
+        """Replace the entry by a later version.
 
         :param now: the time.
-        :param upstream: what it says; with it how much longer it warms up,
-            which may begin anew.
+        :param upstream: the new entry; its remaining warm-up counts from now.
         """
         self.upstream = upstream
         until = now + upstream.warm_up_seconds
         self.warming_until = max(until, self.warm_up_expected_until)
 
     def expect_warm_up(self, now: float, seconds: float) -> None:
-        """Take that it is idle and may be slow, before its entry says so.
+        """Treat the upstream as warming up before its entry says so.
 
         :param now: the time.
-        :param seconds: for how long.
+        :param seconds: the length of the warm-up.
         """
         self.warm_up_expected_until = now + seconds
         self.warming_until = max(
@@ -184,11 +187,10 @@
         )
 
     def compute_capacity(self, now: float) -> float:
-        """Compute how much work it takes relative to others.
+        """Compute how many requests it can run at once, relative to others.
 
         :param now: the time.
-        :returns: its slots by its speed, fewer while it is slow from its
-            start.
+        :returns: its slots times its speed, fewer during its warm-up.
         """
         slots = max(1, self.upstream.slots) * self.speed
         if now < self.warming_until:
@@ -196,26 +198,26 @@
         return slots
 
     def record_early_answer(self, is_early: bool) -> None:
-        """Take whether an answer came much too soon.
+        """Record whether an answer came much too early.
 
-        :param is_hasty: whether it did.
+        :param is_early: whether it did.
         """
         self.early_answer_share += _EARLY_ANSWER_GAIN * (
             is_early - self.early_answer_share
         )
 
     def change_busy(self, now: float, change: int) -> None:
-        """Count requests that come or go.
+        """Change the number of requests in flight.
 
         :param now: the time.
-        :param change: how many more there are.
+        :param change: the difference.
         """
         self._busy_seconds += self.busy * (now - self._busy_at)
         self._busy_at = now
         self.busy += change
 
     def pop_mean_busy(self, now: float) -> float:
-        """Compute how many requests it had since this was last asked.
+        """Return the mean requests in flight since the last call.
 
         :param now: the time.
         :returns: the mean over that time.
@@ -228,7 +230,7 @@
 
     @property
     def in_flight(self) -> float:
-        """Requests that it has, as far as is known here."""
+        """Requests in flight, here and at peers."""
         return self.busy + self.remote_busy
 
     @property
@@ -238,7 +240,7 @@
 
     @property
     def load(self) -> int:
-        """Flows that it holds, as far as is known here."""
+        """Number of its flows, here and at peers."""
         return self.flows + self.remote_flows
 
     @property
@@ -253,13 +255,13 @@
     def may_reset(
         self, now: float, settings: _settings.AffinitySettings
     ) -> bool:
-        """Tell whether its flows have ended for all that can be known.
+        """Return whether its flows may be reset.
 
         :param now: the time.
         :param settings: how long a failed probe counts.
-        :returns: whether another process has its address, or it is out
-            of reach and was found so just now. One that leaves as planned
-            closes its listener first and ends its flows itself.
+        :returns: whether another process has its address, or it was found
+            unreachable recently. A draining upstream closes its listener first
+            and ends its flows itself.
         """
         if self.is_replaced:
             return True
--- a/skylarkfold/affinity/_upstream_sync.py
+++ b/skylarkfold/affinity/_upstream_sync.py
@@ -1,4 +1,4 @@
-"""Which upstreams there are, and what becomes of their flows."""
+"""Synchronization of the directory with entries and evacuations."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from skylarkfold import revision as revisions
 
 _NEVER = float('-inf')
-# More upstreams than these are said in one line when a start first hears of
-# them: lines are held then, 4,096 at most, and callers wait.
+# More upstreams than this are logged in one line at a start: up to 4,096 lines
+# are buffered then, while callers wait.
 _MAXIMUM_RECORDS = 256
 
 
 class UpstreamSync:
-    """Keeps the directory at the entries of the services that there are.
+    """Updates the directory from entries, services and evacuations.
 
     :param settings: how long an entry may outlive its process.
     :param directory: all upstreams.
-    :param health: told of entries that disappear.
-    :param ending: ends flows of upstreams that are gone.
-    :param peer_loads: summed up again after a change.
-    :param limit: knows how upstreams start.
+    :param health: notified of entries that disappear.
+    :param flow_resetter: resets flows of replaced or restarted upstreams.
+    :param peer_loads: recomputed after a change.
+    :param warm_up_limiter: provides how long upstreams warm up.
     """
 
     __slots__ = (
@@ -72,19 +72,19 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether entries and evacuations were ever listed."""
+        """Whether entries and evacuations have been received."""
         return self._is_listed and self._evacuations is not None
 
     def set_services(
         self, now: float, services: frozenset[str]
     ) -> list[object]:
-        """Take which services there are.
+        """Replace the set of services.
 
-        An entry of another one names no upstream, and so takes neither
-        token nor address from those that do.
+        Entries of unknown services are ignored, so that they claim neither a
+        token nor an address.
 
         :param now: the time.
-        :param services: their names; empty where that is not said.
+        :param services: their names; empty if not known.
         :returns: effects.
         """
         before, self._services = self._services, services
@@ -95,7 +95,7 @@
     def set_upstreams(
         self, now: float, present: Iterable[_upstream.Upstream]
     ) -> list[object]:
-        """Take the list of all upstreams.
+        """Replace the list of all upstreams.
 
         :param now: the time.
         :param present: every upstream that has an entry.
@@ -108,12 +108,12 @@
     def set_evacuations(
         self, now: float, evacuations: _evacuation.Evacuations
     ) -> list[object]:
-        """Take which availability zones are evacuated.
+        """Replace the set of evacuated availability zones.
 
-        Open flows stay where they are until they end.
+        Open flows stay on their upstreams until they end.
 
         :param now: the time.
-        :param evacuations: all of them.
+        :param evacuations: all evacuated zones.
         :returns: effects.
         """
         before = self._evacuations or _evacuation.NO_EVACUATIONS
@@ -134,9 +134,9 @@
         return effects
 
     def note_present(self, at: float) -> None:
-        """Note when the list was the newest.
+        """Record when the list of upstreams was known to be up to date.
 
-        :param at: when it was.
+        :param at: the time.
         """
         self._listed_at = max(self._listed_at, at)
 
@@ -176,9 +176,9 @@
             state.is_evacuated = state.upstream.zone in evacuations
 
     def _expect_warm_up(self, now: float, zone: str) -> None:
-        """Take that a zone's upstreams are idle, and slow for all we know.
+        """Treat a zone's upstreams as warming up, since they were idle.
 
-        Whether they are is in their entries within a heartbeat.
+        Their entries say within a heartbeat whether they are.
         """
         for state in self._directory:
             if state.upstream.zone == zone:
@@ -201,10 +201,10 @@
     def _compute_last_present(
         self, previous: _upstream_state.UpstreamState
     ) -> float:
-        """Tell when a start that has ended was there for certain.
+        """Return until when an ended start is known to have existed.
 
-        A flow that is open since before then is of that start; a later one
-        may be of the next, which serves before its entry is known here.
+        A flow that was open before then belongs to that start; a later one may
+        belong to the next start, which serves before its entry is known here.
         """
         listed_at = self._listed_at
         if previous.lapsed_at is not None:
--- a/skylarkfold/affinity/_warm_up.py
+++ b/skylarkfold/affinity/_warm_up.py
@@ -1,4 +1,4 @@
-"""What upstreams are sent while they warm up after a start."""
+"""Limits of first packets to upstreams that warm up after a start."""
 
 from __future__ import annotations
 
@@ -12,32 +12,33 @@
 from skylarkfold.affinity import _settings
 from skylarkfold.affinity import _upstream_state
 
-# The limit holds for any second. Packets that are sent within more than one
-# may arrive within one, where the first ones wait on a link.
+# The limit applies to any second on arrival. Packets sent over more than a
+# second may arrive within one if the first were delayed on a link.
 _WINDOW_SECONDS = 1.2
-# A quarter of the limit is used: where views of a zone differ, as while it
-# is cut and instances are replaced, an upstream may have several owners.
+# Part of the limit that is used: if views of a zone differ, as during a
+# network partition with instances replaced, an upstream may have several
+# owners.
 _USED_SHARE = 0.25
-# An owner's share at least, where the limit allows it: with one, a second
-# first packet of the same caller has to wait.
+# Minimum share of an owner: with one, a second first packet of the same caller
+# would have to wait.
 _MINIMUM_SHARE = 2
-# Before its own zone's instances are known for certain, an instance owns
-# nothing: names of all travel once a second, and views meet within 5 s.
+# An instance owns nothing before it knows the instances of its zone: names are
+# exchanged every second, and views converge within 5 s.
 _SETTLE_SECONDS = 5.0
-# An instance that is not heard any more counts for so long, so that one that
-# is cut off from its zone owns no more than before.
+# How long a silent instance still counts, so that an instance that is cut off
+# from its zone does not own more than before.
 _PEER_EXPIRY_SECONDS = 600.0
-# Mixes a name's digest with an upstream's.
+# Factors that mix the hash of a name with an upstream's incarnation.
 _FIRST_FACTOR = 0x9E3779B1
 _SECOND_FACTOR = 0x85EBCA6B
 _MASK = 0xFFFFFFFF
 
 
 class WarmUp:
-    """What is known of how a service's upstreams start.
+    """How the upstreams of a service warm up.
 
-    :param seconds: how long one is slow.
-    :param per_second: requests a second that it bears meanwhile.
+    :param seconds: how long an upstream is slow after its start.
+    :param per_second: requests a second that it can handle in that time.
     """
 
     __slots__ = ('per_second', 'seconds')
@@ -51,15 +52,16 @@
 
 
 class WarmUpLimiter:
-    """Bounds the first packets that one gets in a second, from all instances.
+    """Limits the first packets a second to an upstream from all instances.
 
-    Each upstream that warms up has few owners, drawn by rendezvous hashing
-    among the instances of its own availability zone; all others pass it by.
-    So no word is needed at a flow, the bound holds in a cut between zones,
-    and it does not shrink with the fleet as equal shares would.
+    Each upstream that warms up has a few owners, chosen by rendezvous hashing
+    among the instances of its availability zone; only these send it first
+    packets. This needs no messages between instances, the limit holds in a
+    partition between zones, and unlike equal shares it does not shrink as the
+    fleet grows.
 
     :param zone: this instance's availability zone.
-    :param settings: whether there is a bound, and its figures.
+    :param settings: whether the rate is limited, and the limits.
     """
 
     __slots__ = (
@@ -80,30 +82,30 @@
         self._warm_ups: Mapping[str, WarmUp] = {}
         self._started_at: float | None = None
         self._own_digest = 0
-        # When each instance of the zone was last known to be there.
+        # When each other instance of the zone was last listed.
         self._zone_peers: dict[str, float] = {}
         self._digests: tuple[int, ...] = ()
 
     def set_warm_ups(self, warm_ups: Mapping[str, WarmUp]) -> None:
-        """Take how the upstreams of services start.
+        """Set how the upstreams of services warm up.
 
-        :param warm_ups: by service.
+        :param warm_ups: warm-ups by service.
         """
         self._warm_ups = warm_ups
 
     def set_mates(
         self, now: float, own: str, zone_peers: Iterable[str]
     ) -> None:
-        """Take which instances there are in this zone.
+        """Set the instances of this zone.
 
         :param now: the time.
         :param own: this instance's name.
-        :param mates: the names of the others, silent ones included.
+        :param zone_peers: the names of all others, including silent ones.
         """
         if self._started_at is None:
             self._started_at = now
             self._own_digest = _hash_name(own)
-        preceding = len(self._zone_peers)
+        previous_count = len(self._zone_peers)
         for name in zone_peers:
             self._zone_peers[name] = now
         oldest = now - _PEER_EXPIRY_SECONDS
@@ -112,14 +114,14 @@
         ]
         for name in expired:
             del self._zone_peers[name]
-        if expired or len(self._zone_peers) != preceding:
+        if expired or len(self._zone_peers) != previous_count:
             self._digests = tuple(map(_hash_name, self._zone_peers))
 
     def get_warm_up_seconds(self, service: str) -> float:
-        """Tell how long an upstream is slow after a start.
+        """Return how long an upstream is slow after a start.
 
         :param service: its service.
-        :returns: seconds; 0 where there is no bound.
+        :returns: seconds; 0 if the rate is not limited.
         """
         if not self._settings.limits_warm_up:
             return 0.0
@@ -128,11 +130,11 @@
     def allows_first_packet(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> bool:
-        """Tell whether an upstream that warms up may get a first packet.
+        """Return whether this instance may send an upstream a first packet.
 
         :param now: the time.
-        :param standing: the upstream.
-        :returns: whether it may, from this instance.
+        :param state: the upstream, which is warming up.
+        :returns: whether it may.
         """
         if not self._settings.limits_warm_up:
             return True
@@ -145,10 +147,10 @@
     def record_first_packet(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> None:
-        """Note that an upstream is sent a first packet.
+        """Record that an upstream is sent a first packet.
 
         :param now: the time.
-        :param standing: the upstream.
+        :param state: the upstream.
         """
         if not self._settings.limits_warm_up or now >= state.warming_until:
             return
@@ -159,7 +161,7 @@
     def _compute_share(
         self, now: float, state: _upstream_state.UpstreamState
     ) -> int:
-        """Compute what this instance may send an upstream in a second."""
+        """Compute the first packets a second that this instance may send."""
         upstream = state.upstream
         is_settled = (
             self._started_at is not None
@@ -177,7 +179,7 @@
         return used // owners
 
     def _count_preceding(self, incarnation: int, limit: int) -> int:
-        """Count the instances that own an upstream before this one."""
+        """Count the instances that rank before this one as an owner."""
         own = _mix(self._own_digest, incarnation)
         preceding = 0
         for digest in self._digests:
--- a/skylarkfold/affinity/_warm_up_slowness.py
+++ b/skylarkfold/affinity/_warm_up_slowness.py
@@ -1,23 +1,22 @@
-"""How slow upstreams are while they warm up."""
+"""Learnt slowness of upstreams during their warm-up."""
 
 from __future__ import annotations
 
-# Taken before any answer is known: half of the slots, so that one that is
-# sent too much at first is not late for all of its start.
+# Assumed before any answer is known, so that an upstream is not overloaded at
+# the beginning of its warm-up.
 _INITIAL_SLOWNESS = 2.0
-# Eight answers in a row move it by half: one start of one upstream is enough.
+# Eight consecutive answers in the same direction change the estimate by half.
 _SLOWNESS_STEP = 1.05
-# Beyond this an upstream is taken for out of order, not slow.
+# Beyond this, an upstream is assumed to be failing rather than slow.
 _MAXIMUM_SLOWNESS = 10.0
 
 
 class WarmUpSlowness:
-    """How much longer requests take while upstreams of a service warm up.
+    """How much longer requests take during the warm-up of a service.
 
-    Learnt from answers: how long one takes beside what others of its route
-    take.
+    It is learnt from answers, compared with the usual time of their route.
 
-    :ivar share: of its slots that one counts for meanwhile.
+    :ivar share: the part of an upstream's slots that counts as capacity.
     """
 
     __slots__ = ('_ratio', 'share')
@@ -27,11 +26,11 @@
         self.share = 1 / self._ratio
 
     def record(self, ratio: float) -> None:
-        """Take an answer of one that warms up.
+        """Record an answer of an upstream that is warming up.
 
-        :param times: how long it took, as a multiple of the usual time.
+        :param ratio: its time as a multiple of the usual time.
         """
-        # Towards the median, as single requests differ by their work.
+        # Tracks the median, as single requests differ in length.
         if ratio > self._ratio:
             self._ratio *= _SLOWNESS_STEP
         elif ratio < self._ratio:
--- a/skylarkfold/tests/affinity/samples.py
+++ b/skylarkfold/tests/affinity/samples.py
@@ -76,8 +76,8 @@
     return [each.flow for each in effects if isinstance(each, affinity.Reset)]
 
 
-def list_asked(effects):
-    """List the upstreams that peers are asked of."""
+def list_queried(effects):
+    """List the upstreams that peers are queried about."""
     return [
         each.upstream.name
         for each in effects
--- a/skylarkfold/tests/affinity/simulation.py
+++ b/skylarkfold/tests/affinity/simulation.py
@@ -1,7 +1,8 @@
-"""Instances that place short flows before upstreams of unequal speed.
+"""Simulation of instances that place short flows on unequal upstreams.
 
-Each decides with the product's own placement and learning; what they tell
-one another is added up and arrives late. No network: one virtual clock.
+Each instance uses the production code for placement and learning; reports
+between instances are summed and arrive late. There is no network, only a
+virtual clock.
 """
 
 import heapq
@@ -20,13 +21,13 @@
 SIGMA = 0.5
 # One request in thirty takes seven times as long.
 LONG_SHARE = 1 / 30
-LONG_TIMES = 7.0
+LONG_FACTOR = 7.0
 SLOTS = 2
-MEAN_SECONDS = WORK_SECONDS * (1 + LONG_SHARE * (LONG_TIMES - 1))
+MEAN_SECONDS = WORK_SECONDS * (1 + LONG_SHARE * (LONG_FACTOR - 1))
 
 
 class SimulatedInstance:
-    """What one instance knows of the upstreams."""
+    """The state of one instance."""
 
     def __init__(self, entries, settings):
         self.directory = _directory.Directory(settings)
@@ -57,15 +58,15 @@
         return chosen, requests_ahead
 
     def handle_answer(self, now, chosen, requests_ahead, seconds):
-        """Take the answer of a flow's request, which ends it."""
+        """Handle the answer of a flow's request, which ends the flow."""
         chosen.flows -= 1
         chosen.change_busy(now, -1)
         self.admission.record(
             now, chosen, samples.ADDRESS, requests_ahead, seconds
         )
 
-    def tell(self, now):
-        """List what peers are told, by place of the upstream."""
+    def report(self, now):
+        """List the report for peers, in the order of the upstreams."""
         return [
             (
                 each.flows,
@@ -79,12 +80,12 @@
             for each in self.states
         ]
 
-    def hear(self, report_interval_seconds, total, own):
-        """Take what all told, this one's own word included."""
+    def handle_reports(self, report_interval_seconds, total, own):
+        """Apply the sum of all reports without this instance's own."""
         self.directory.record_report_interval(report_interval_seconds)
-        for each, sums, mine in zip(self.states, total, own):
+        for each, sums, own_value in zip(self.states, total, own):
             flows, busy, answers, slowness = (
-                one - other for one, other in zip(sums, mine)
+                one - other for one, other in zip(sums, own_value)
             )
             each.remote_flows = flows
             each.remote_busy = max(0.0, busy)
@@ -93,19 +94,26 @@
 
 
 class SimulatedFleet:
-    """Instances and upstreams in play.
-
-    :param count: instances.
-    :param speeds: of each upstream.
-    :param age_seconds: how old words are at most when the next ones come:
-        half of it they are under way, as between zones.
-    :param share: of all work that upstreams can do, how much is asked.
-    :param told: words of upstreams in place of the first instance's true
-        ones, as that of a liar.
+    """The simulated instances and upstreams.
+
+    :param count: the number of instances.
+    :param speeds: the speed of each upstream.
+    :param report_age_seconds: the age of a report when the next one arrives;
+        half of it is its delay, as between zones.
+    :param share: the load as a share of the capacity of all upstreams.
+    :param reports: false reports on the upstreams that replace those of the
+        first instance.
     """
 
     def __init__(
-        self, count, speeds, age_seconds, share, seed=1, told=None, **settings
+        self,
+        count,
+        speeds,
+        report_age_seconds,
+        share,
+        seed=1,
+        reports=None,
+        **settings,
     ):
         self.now = 0.0
         self.speeds = list(speeds)
@@ -115,33 +123,33 @@
             samples.build_upstream(number + 1, slots=SLOTS)
             for number in range(len(self.speeds))
         ]
-        self.deciders = [
+        self.instances = [
             SimulatedInstance(entries, limits) for _ in range(count)
         ]
-        self._age_seconds = age_seconds
-        self._told = told
+        self._report_age_seconds = report_age_seconds
+        self._false_report = reports
         self._pause = MEAN_SECONDS / (share * SLOTS * sum(self.speeds))
         self._free_at = [[0.0] * SLOTS for _ in self.speeds]
         self._order = itertools.count()
         self._due = []
         self._call(0.0, self._arrive)
-        self._call(0.0, self._tell)
+        self._call(0.0, self._report)
         self.waits = [[] for _ in self.speeds]
 
     def run(self, until):
-        """Play, with the waits of each upstream counted anew."""
+        """Run until a time, recording the waits of each upstream anew."""
         self.waits = [[] for _ in self.speeds]
         while self._due and self._due[0][0] <= until:
             self.now, _, act, args = heapq.heappop(self._due)
             act(*args)
         self.now = until
 
-    def list_known(self):
-        """List the speeds that the last instance knows."""
-        return [each.speed for each in self.deciders[-1].states]
+    def list_speeds(self):
+        """List the speeds as estimated by the last instance."""
+        return [each.speed for each in self.instances[-1].states]
 
     def compute_wait(self):
-        """Compute how soon a request would be done, on average."""
+        """Compute the mean time until a new request would be done."""
         return sum(map(sum, self.waits)) / sum(map(len, self.waits))
 
     def _call(self, at, act, *args):
@@ -150,40 +158,49 @@
     def _arrive(self):
         now = self.now
         self._call(now + self._draw.expovariate(1 / self._pause), self._arrive)
-        decider = self._draw.choice(self.deciders)
-        chosen, requests_ahead = decider.place(now, self._draw.getrandbits(64))
+        instance = self._draw.choice(self.instances)
+        chosen, requests_ahead = instance.place(
+            now, self._draw.getrandbits(64)
+        )
         place = chosen.upstream.number - 1
         work = WORK_SECONDS * self._draw.lognormvariate(-(SIGMA**2) / 2, SIGMA)
         if self._draw.random() < LONG_SHARE:
-            work *= LONG_TIMES
+            work *= LONG_FACTOR
         free_at = self._free_at[place]
         slot = free_at.index(min(free_at))
         begun = max(now, free_at[slot])
         free_at[slot] = begun + work / self.speeds[place]
         seconds = free_at[slot] - now
-        answer = decider.handle_answer
+        answer = instance.handle_answer
         at = free_at[slot]
         self._call(at, self._answer, answer, chosen, requests_ahead, seconds)
 
     def _answer(self, answer, chosen, requests_ahead, seconds):
         answer(self.now, chosen, requests_ahead, seconds)
 
-    def _tell(self):
+    def _report(self):
         now = self.now
-        self._call(now + self._age_seconds / 2, self._tell)
-        told = [each.tell(now) for each in self.deciders]
-        if self._told is not None:
-            told[0] = self._told
+        self._call(now + self._report_age_seconds / 2, self._report)
+        reports = [each.report(now) for each in self.instances]
+        if self._false_report is not None:
+            reports[0] = self._false_report
         total = [
-            [sum(values) for values in zip(*words)] for words in zip(*told)
+            [sum(values) for values in zip(*columns)]
+            for columns in zip(*reports)
         ]
-        for each, own in zip(self.deciders, told):
-            late = now + self._age_seconds / 2
-            self._call(late, each.hear, self._age_seconds / 2, total, own)
+        for each, own in zip(self.instances, reports):
+            late = now + self._report_age_seconds / 2
+            self._call(
+                late,
+                each.handle_reports,
+                self._report_age_seconds / 2,
+                total,
+                own,
+            )
             each.admission.refresh(now)
         for waits, free_at, speed in zip(
             self.waits, self._free_at, self.speeds
         ):
-            # Until the next request would be done, in usual work.
+            # The time until another request would be done, at the usual speed.
             queued = max(0.0, min(free_at) - now)
             waits.append(queued + MEAN_SECONDS / speed)
--- a/skylarkfold/tests/affinity/test_admission.py
+++ b/skylarkfold/tests/affinity/test_admission.py
@@ -17,7 +17,7 @@
 
 
 def build_routes(**fields):
-    """Build an ordinary route and one that goes before it."""
+    """Build an ordinary route and a preferred one."""
     fields.setdefault('aim_seconds', AIM_SECONDS)
     routes = [
         affinity.Route(address, ((samples.SERVICE, 1),), priority=priority)
@@ -32,7 +32,7 @@
 
 
 def build_state(waiting, slots=2):
-    """Build an upstream that has some requests."""
+    """Build an upstream with some requests in flight."""
     upstream = samples.build_upstream(1, slots=slots)
     state = _upstream_state.UpstreamState(upstream, 0.0)
     state.change_busy(0.0, waiting)
@@ -40,7 +40,7 @@
 
 
 def build_admission(answers=32, seconds=WORK_SECONDS):
-    """Build what has seen requests that did not wait."""
+    """Build an admission that has seen requests that did not wait."""
     admission = _admission.Admission(affinity.AffinitySettings())
     idle = build_state(0)
     for _ in range(answers):
@@ -49,13 +49,13 @@
 
 
 def estimate_work(admission):
-    """Estimate how long a request takes that does not wait."""
+    """Estimate the time of a request that does not wait."""
     route = build_routes().get(samples.ADDRESS)
     return admission.estimate(0.0, route, build_state(0)).seconds
 
 
 def count_refused(admission, state, address=samples.ADDRESS, **fields):
-    """Count how many of new flows would be refused."""
+    """Count how many of the new flows would be refused."""
     route = build_routes(**fields).get(address)
     expected = admission.estimate(0.0, route, state)
     return sum(
@@ -74,7 +74,7 @@
         self.assertEqual(0, refused)
 
     def test_a_queue_that_passes_in_time_refuses_nothing(self):
-        # Four before it: answered after 55 of 120 ms.
+        # Four requests ahead: answered after 55 of 120 ms.
         refused = count_refused(build_admission(), build_state(4))
         self.assertEqual(0, refused)
 
@@ -82,7 +82,7 @@
         refused = count_refused(build_admission(), build_state(8))
         self.assertEqual(FLOWS, refused)
 
-    def test_in_between_it_refuses_a_part(self):
+    def test_a_queue_in_between_refuses_a_part(self):
         refused = count_refused(build_admission(), build_state(5.5))
         self.assertTrue(FLOWS * 0.3 < refused < FLOWS * 0.7, refused)
 
@@ -90,7 +90,7 @@
         refused = count_refused(build_admission(), build_state(8, slots=4))
         self.assertEqual(0, refused)
 
-    def test_one_that_is_slow_from_its_start_takes_less(self):
+    def test_an_upstream_that_warms_up_takes_less(self):
         state = build_state(4)
         state.warming_until = 1.0
         refused = count_refused(build_admission(), state)
@@ -114,7 +114,7 @@
         refused = count_refused(build_admission(0), build_state(50))
         self.assertEqual(0, refused)
 
-    def test_answers_that_waited_do_not_make_work_longer(self):
+    def test_answers_that_waited_do_not_lengthen_the_estimate(self):
         admission = build_admission()
         crowded = build_state(9)
         for _ in range(100):
@@ -127,8 +127,8 @@
             delta=WORK_SECONDS / 10,
         )
 
-    def test_requests_that_were_turned_away_do_not_make_work_shorter(self):
-        # Else a full upstream would seem to be a fast one.
+    def test_rejected_requests_do_not_shorten_the_estimate(self):
+        # Otherwise an overloaded upstream would seem to be fast.
         admission = build_admission()
         full = build_state(10)
         for _ in range(100):
@@ -136,7 +136,7 @@
         estimate = estimate_work(admission)
         self.assertAlmostEqual(WORK_SECONDS, estimate, delta=WORK_SECONDS / 10)
 
-    def test_long_requests_make_room_for_short_ones(self):
+    def test_long_requests_are_refused_before_short_ones(self):
         admission = build_admission()
         idle = build_state(0)
         for number in range(200):
@@ -167,12 +167,12 @@
                 for port in range(FLOWS)
             )
 
-        # Where a slot is free the long one is not refused either.
+        # If a slot is free, the long request is not refused either.
         self.assertEqual(0, count(samples.OTHER_ADDRESS, 1))
         self.assertEqual(0, count(samples.ADDRESS, 11))
         self.assertGreater(count(samples.OTHER_ADDRESS, 11), FLOWS / 4)
 
-    def test_a_refusal_says_on_which_figures(self):
+    def test_a_refusal_records_its_figures(self):
         core = samples.build_core(
             samples.build_upstream(1), routes=build_routes()
         )
@@ -265,13 +265,13 @@
         self.assertLessEqual(less, more)
 
 
-class WorkTimeTest(testtools.TestCase):
-    def test_the_first_value_is_taken_as_it_is(self):
+class RequestTimeTest(testtools.TestCase):
+    def test_the_first_value_is_the_estimate(self):
         time = _request_time.RequestTime()
         time.record(0.02)
         self.assertEqual(0.02, time.seconds)
 
-    def test_a_wrong_first_value_is_left(self):
+    def test_a_wrong_first_value_is_corrected(self):
         time = _request_time.RequestTime()
         for seconds in [0.5] + [0.02] * 200:
             time.record(seconds)
@@ -280,7 +280,7 @@
     @hypothesis.given(
         strays=strategies.lists(strategies.floats(0, 10), max_size=30)
     )
-    def test_a_few_strays_move_it_little(self, strays):
+    def test_a_few_outliers_change_it_little(self, strays):
         time = _request_time.RequestTime()
         for index in range(200):
             time.record(0.02)
