--- a/skylarkfold/tests/affinity/test_destination.py
+++ b/skylarkfold/tests/affinity/test_destination.py
@@ -1,8 +1,7 @@
-"""Tests of the service that a new flow goes to where its route has several.
+"""Tests of the choice of a service for routes with several.
 
-They answer a service that is crowded or has no upstream while another of the
-same route has room: callers are served there instead of refused, and the
-operator's weights hold as long as each has room.
+They guard against refusing callers while another service of the route has
+capacity, and against ignoring the weights while all have.
 """
 
 import collections
@@ -38,7 +37,7 @@
                 )
         return core
 
-    def crowd(self, core, service):
+    def overload(self, core, service):
         for state in core.directory.list_states(service):
             state.remote_busy = 40.0
 
@@ -52,7 +51,7 @@
     def place_one(self, core, port, copy=0):
         effects = core.handle_packet(0.0, samples.build_first(port, copy))
         for state in core.directory:
-            # Nothing of it counts for the next one.
+            # Requests in flight do not count for the next flow.
             state.change_busy(0.0, -state.busy)
         names = samples.list_forwards(effects)
         if not names:
@@ -66,7 +65,7 @@
 
     def test_what_would_be_refused_goes_to_the_next(self):
         core = self.build(((FIRST, 3), (SECOND, 1)))
-        self.crowd(core, FIRST)
+        self.overload(core, FIRST)
         self.assertEqual({SECOND: FLOWS}, self.place(core))
 
     def test_where_one_has_no_upstream_the_next_has_it(self):
@@ -75,34 +74,34 @@
 
     def test_where_all_are_crowded_all_are_refused(self):
         core = self.build(((FIRST, 1), (SECOND, 1)))
-        self.crowd(core, FIRST)
-        self.crowd(core, SECOND)
+        self.overload(core, FIRST)
+        self.overload(core, SECOND)
         self.assertEqual({None: FLOWS}, self.place(core))
 
     def test_one_without_a_weight_gets_nothing(self):
         core = self.build(((FIRST, 1), (SECOND, 0)))
-        self.crowd(core, FIRST)
+        self.overload(core, FIRST)
         self.assertEqual({None: FLOWS}, self.place(core))
 
     def test_a_copy_goes_where_another_instance_sent_the_first(self):
         one, other = (self.build(((FIRST, 1), (SECOND, 1))) for _ in range(2))
-        self.crowd(one, FIRST)
-        self.crowd(other, FIRST)
+        self.overload(one, FIRST)
+        self.overload(other, FIRST)
         for port in range(FLOWS):
             first = self.place_one(one, port)
             self.assertEqual(first, self.place_one(other, port, copy=1))
 
     def test_a_copy_is_not_refused(self):
         core = self.build(((FIRST, 1), (SECOND, 1)))
-        self.crowd(core, FIRST)
-        self.crowd(core, SECOND)
+        self.overload(core, FIRST)
+        self.overload(core, SECOND)
         self.assertNotIn(None, self.place(core, copy=1))
 
-    def test_a_further_try_stays_with_the_service(self):
+    def test_a_retry_stays_with_the_service(self):
         core = self.build(
             ((FIRST, 1), (SECOND, 1)), (FIRST, FIRST, SECOND, SECOND)
         )
-        self.crowd(core, FIRST)
+        self.overload(core, FIRST)
         first = core.handle_packet(0.0, samples.build_first(1))
         again = core.tick(0.05)
         names = samples.list_forwards([*first, *again])
--- a/skylarkfold/tests/affinity/test_evacuation.py
+++ b/skylarkfold/tests/affinity/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Tests of availability zones that operators empty."""
+"""Tests of evacuated availability zones."""
 
 import collections
 
@@ -25,7 +25,7 @@
 
 
 def evacuate(*zones):
-    """Build the request to empty zones."""
+    """Build evacuations of some zones."""
     return affinity.Evacuations(dict.fromkeys(zones, 7))
 
 
@@ -48,7 +48,7 @@
         ]
 
     def open_flows(self, now, ports):
-        """Send first packets; tell which zones they went to."""
+        """Send first packets and list the zones that they were sent to."""
         zones = []
         for port in ports:
             effects = self.core.handle_packet(now, samples.build_first(port))
@@ -72,7 +72,7 @@
         self.assertEqual(ZONES[2], self.by_name[name].zone)
         self.assertTrue(core.is_ready)
 
-    def test_where_zones_are_not_evacuated_none_is_waited_for(self):
+    def test_without_evacuations_in_the_settings_none_are_awaited(self):
         self.assertTrue(samples.build_core(*self.upstreams).is_ready)
 
     def test_no_new_flow_goes_to_a_zone_that_is_evacuated(self):
@@ -81,7 +81,7 @@
         self.assertEqual(FLOWS, len(zones))
         self.assertNotIn(samples.ZONE, zones)
 
-    def test_its_callers_are_spread_over_all_others(self):
+    def test_its_callers_are_spread_over_the_other_zones(self):
         self.core.set_evacuations(1.0, evacuate(samples.ZONE))
         counted = collections.Counter(self.open_flows(1.0, range(FLOWS)))
         self.assertEqual(set(ZONES[1:]), set(counted))
@@ -103,15 +103,15 @@
         flow = self.core._flows.get(samples.build_flow(port))
         return flow.state.upstream.name
 
-    def test_a_second_try_does_not_go_to_one(self):
+    def test_a_retry_does_not_go_to_an_evacuated_zone(self):
         self.open_flows(0.0, range(20))
         self.core.set_evacuations(0.001, evacuate(samples.ZONE))
         effects = self.run_until(0.001, 0.15)
         self.assertEqual(40, len(self.list_zones(effects)))
         self.assertNotIn(samples.ZONE, self.list_zones(effects))
 
-    def test_a_copy_that_all_have_had_does_not_go_to_one(self):
-        # One upstream a zone, so that each has had the first packet.
+    def test_a_copy_that_all_have_got_does_not_go_to_an_evacuated_zone(self):
+        # One upstream in each zone, so that each has got the first packet.
         few = self.upstreams[::EACH]
         core = build_core(*few)
         core.set_evacuations(0.0, evacuate())
@@ -127,7 +127,7 @@
         (name,) = samples.list_forwards(effects)
         self.assertNotEqual(last, self.by_name[name].zone)
 
-    def test_a_copy_goes_to_none_that_leaves(self):
+    def test_a_copy_does_not_go_to_a_draining_upstream(self):
         upstream = samples.build_upstream(1)
         core = build_core(upstream)
         core.set_evacuations(0.0, evacuate())
@@ -137,17 +137,17 @@
         effects = core.handle_packet(COPY_SECONDS, copy)
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual(1, len(samples.list_resets(effects)))
-        # It weighs on nobody's load any more.
+        # It no longer counts for any upstream.
         self.assertEqual(0, core.directory.count_flows())
         self.assertEqual(0, core.directory.count_busy())
 
-    def test_where_nobody_is_left_the_caller_is_told_at_once(self):
+    def test_without_any_upstream_left_the_flow_is_reset_at_once(self):
         self.core.set_evacuations(1.0, evacuate(*ZONES))
         effects = self.core.handle_packet(1.0, samples.build_first(1))
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual(1, len(samples.list_resets(effects)))
 
-    def test_a_copy_is_told_too_when_nobody_is_left(self):
+    def test_a_copy_is_reset_too_without_any_upstream_left(self):
         self.open_flows(0.0, [1])
         self.core.set_evacuations(0.1, evacuate(*ZONES))
         copy = samples.build_first(1, copy=1)
@@ -155,21 +155,21 @@
         self.assertEqual([], samples.list_forwards(effects))
         self.assertEqual(1, len(samples.list_resets(effects)))
 
-    def test_one_whose_entry_has_lapsed_gets_none(self):
+    def test_a_lapsed_upstream_in_an_evacuated_zone_gets_no_flow(self):
         self.core.set_evacuations(0.0, evacuate(samples.ZONE))
         self.core.set_upstreams(0.0, [])
         zones = self.open_flows(0.1, range(20))
         self.assertEqual(20, len(zones))
         self.assertNotIn(samples.ZONE, zones)
 
-    def test_one_that_starts_there_gets_none(self):
+    def test_an_upstream_that_starts_in_an_evacuated_zone_gets_no_flow(self):
         self.core.set_evacuations(0.0, evacuate(samples.ZONE))
         idle = samples.build_upstream(99, created=99)
         self.by_name[idle.name] = idle
         self.core.set_upstreams(0.1, [*self.upstreams, idle])
         self.assertNotIn(samples.ZONE, self.open_flows(0.1, range(20)))
 
-    def test_a_zone_that_is_taken_back_gets_flows_again(self):
+    def test_a_zone_gets_flows_again_after_its_evacuation(self):
         self.core.set_evacuations(0.0, evacuate(samples.ZONE))
         self.open_flows(0.0, range(20))
         self.core.set_evacuations(9.0, evacuate())
@@ -181,7 +181,7 @@
         self.core.set_evacuations(2.0, evacuate(ZONES[0]))
         self.assertEqual(EACH, self.core.directory.count_evacuated())
 
-    def test_begin_and_end_are_said(self):
+    def test_begin_and_end_are_recorded(self):
         begun = self.core.set_evacuations(1.0, evacuate(samples.ZONE))
         ended = self.core.set_evacuations(2.0, evacuate())
         self.assertEqual([], self.core.set_evacuations(3.0, evacuate()))
--- a/skylarkfold/tests/affinity/test_heavy_load.py
+++ b/skylarkfold/tests/affinity/test_heavy_load.py
@@ -1,10 +1,10 @@
-"""Tests of who waits, who is refused and where work goes, by pattern of load.
+"""Tests of refusals and placement under patterns of heavy load.
 
-Each pattern of ``measure/_overload_pattern`` says what load it is and the
-grounds for its figures; no network is needed. What is asserted is the credit
-of what was asked while the trouble lasted, over that of an oracle that knows
-every queue and all work. The draw is fixed, so the figures repeat: each floor
-is 0.02 below what this version reaches.
+Each pattern of ``measure/_overload_pattern`` describes its load; no network is
+needed. The tests assert the credit of the requests made during the
+disturbance, relative to an oracle that knows every queue and all work. Random
+draws are fixed, so the figures repeat; each floor is 0.02 below the value of
+this version.
 """
 
 import testtools
@@ -45,13 +45,13 @@
     'speeds-slow': 0.945,
     'unequal-work': 0.832,
 }
-# How far below no policy at all a pattern may fall: refusing what would be
-# late costs a little where no one had to be refused.
+# How far a pattern may fall below no policy at all: refusing what would be
+# late costs a little when no refusals were needed.
 TOLERANCE = 0.01
 
 
 class HeavyLoadTest(testtools.TestCase):
-    """One test a pattern; they are made below."""
+    """One test for each pattern, added below."""
 
     def check(self, name):
         product, none = overload.measure(SEED, (name,), against='')
@@ -73,14 +73,14 @@
     setattr(HeavyLoadTest, f'test_{_name}', _build_test(_pattern.name))
 
 
-class CrowdTest(testtools.TestCase):
-    """What callers of a crowded service see."""
+class OverloadTest(testtools.TestCase):
+    """Behaviour towards callers of an overloaded service."""
 
     def test_reports_that_go_first_are_served_before_live_requests(self):
         (result,) = overload.measure(SEED, ('burst-4',), ('product',), '')
         self.assertGreater(result.report, result.live)
 
-    def test_neither_kind_is_shut_out(self):
+    def test_neither_kind_of_request_is_starved(self):
         (result,) = overload.measure(SEED, ('burst-5',), ('product',), '')
         self.assertGreater(min(result.report, result.live), 0.4)
 
--- a/skylarkfold/tests/affinity/test_link.py
+++ b/skylarkfold/tests/affinity/test_link.py
@@ -1,10 +1,9 @@
-"""Tests of first packets that wait for room on the instance's own link.
+"""Tests of first packets that are held for room on the instance's own link.
 
-Uploads press one small link beside others. What callers need: one that is
-let in is opened once, however often it asked; one that is refused has run
-nowhere and is told so with the reason; one whose route is preferred, or that
-is open, notices nothing; and who has a wide link or none that is known is
-served as without any of this.
+Uploads saturate one small link. The tests guard against opening an admitted
+flow twice, refusing without a reason or after a request may have run, delaying
+preferred or open flows, and any effect on links that are wide or of unknown
+rate.
 """
 
 import testtools
@@ -20,7 +19,7 @@
 
 
 def build_routes(*addresses, version=2, priority=2):
-    """Build routes for live requests and uploads."""
+    """Build routes of live requests and uploads."""
     shares = ((samples.SERVICE, 1),)
     return affinity.RouteTable(
         version,
@@ -34,7 +33,7 @@
 
 
 def build_core(bytes_per_second=SMALL, routes=None, **fields):
-    """Build a core with a link of its own."""
+    """Build a core with its own link."""
     room = rooms.InstanceHeadroom(
         rooms.RoomSettings(**fields), bytes_per_second
     )
@@ -48,7 +47,7 @@
 
 
 def upload(core, now, port, size=UPLOAD_BYTES):
-    """Bring an upload on an open flow, to its answer."""
+    """Send an upload on an open flow, until its answer."""
     for sent in range(0, size, 1200):
         length = min(1200, size - sent)
         packet = samples.build_packet(port, 1, 101 + sent, 501, length)
@@ -57,8 +56,8 @@
     core.handle_packet(now, answered)
 
 
-def teach(core, count=3):
-    """Let uploads be seen."""
+def run_uploads(core, count=3):
+    """Run some uploads, from which their size is learnt."""
     for port in range(1, 1 + count):
         core.handle_packet(port * 1.0, samples.build_first(port))
         upload(core, port * 1.0, port)
@@ -66,10 +65,10 @@
     core.note_confirmed(5.0)
 
 
-def press(core, now, count, first=1000):
-    """Bring first packets at once.
+def send_burst(core, now, count, first=1000):
+    """Send first packets at once.
 
-    :returns: how many were sent on, wait, and were refused.
+    :returns: the ports that were forwarded, held and refused.
     """
     sent, held, refused = [], [], []
     for port in range(first, first + count):
@@ -84,10 +83,10 @@
 
 
 class LinkTest(testtools.TestCase):
-    def test_a_press_is_let_in_held_and_refused_in_turn(self):
+    def test_a_burst_is_admitted_held_and_refused_in_turn(self):
         core = build_core()
-        teach(core)
-        sent, held, refused = press(core, 5.0, 40)
+        run_uploads(core)
+        sent, held, refused = send_burst(core, 5.0, 40)
         self.assertEqual(
             list(range(1000, 1040)), sorted(sent + held + refused)
         )
@@ -98,10 +97,10 @@
         self.assertEqual(len(held), counters['hold.link-full'])
         self.assertEqual(len(refused), counters['reset.link-full'])
 
-    def test_the_line_of_a_refusal_says_what_decided_it(self):
+    def test_a_refusal_records_its_figures(self):
         core = build_core()
-        teach(core)
-        press(core, 5.0, 39)
+        run_uploads(core)
+        send_burst(core, 5.0, 39)
         effects = core.handle_packet(5.0, samples.build_first(2000))
         (record,) = (
             each
@@ -116,20 +115,20 @@
         self.assertGreater(details['waiting'], 0)
         self.assertIn('link_share', details)
 
-    def test_the_line_of_one_that_waits_says_for_how_long(self):
+    def test_a_held_packet_records_its_expected_wait(self):
         core = build_core()
-        teach(core)
-        _, held, _ = press(core, 5.0, 2)
+        run_uploads(core)
+        _, held, _ = send_burst(core, 5.0, 2)
         effects = core.handle_packet(5.0, samples.build_first(2000))
         (record,) = effects
         self.assertEqual(('hold', 'link-full'), (record.kind, record.reason))
         self.assertEqual(len(held), record.details['waiting'])
         self.assertGreater(record.details['wait_ms'], 0)
 
-    def test_those_that_wait_are_let_in_as_transfers_end(self):
+    def test_held_packets_are_released_as_transfers_end(self):
         core = build_core()
-        teach(core)
-        sent, held, _ = press(core, 5.0, 40)
+        run_uploads(core)
+        sent, held, _ = send_burst(core, 5.0, 40)
         for port in sent:
             upload(core, 5.0, port)
         effects, now = [], 5.0
@@ -146,25 +145,25 @@
         opened = samples.list_forwards(effects)
         resets = samples.list_resets(effects)
         self.assertEqual(len(held), len(opened) + len(resets))
-        # The estimate was right for nearly all.
+        # The estimate was right for almost all.
         self.assertLessEqual(len(resets), 1)
         waits = core.tally.histograms['link_wait_seconds']
         self.assertEqual(len(held), waits.count)
 
-    def test_one_that_waited_in_vain_is_refused_with_the_reason(self):
+    def test_a_held_packet_that_expires_is_refused(self):
         core = build_core()
-        teach(core)
-        _, held, _ = press(core, 5.0, 40)
-        # Those that were let in never end, and keep the link.
+        run_uploads(core)
+        _, held, _ = send_burst(core, 5.0, 40)
+        # Admitted transfers never end and keep the link busy.
         core.link._bulk_admission.transfers.debt.change(1e9)
         effects = core.tick(5.0 + WAIT_SECONDS + 0.001)
         flows = [samples.build_flow(port) for port in held]
         self.assertEqual(flows, samples.list_resets(effects))
 
-    def test_copies_of_one_that_waits_change_nothing(self):
+    def test_copies_of_a_held_packet_change_nothing(self):
         core = build_core()
-        teach(core)
-        _, held, _ = press(core, 5.0, 40)
+        run_uploads(core)
+        _, held, _ = send_burst(core, 5.0, 40)
         before = core.link.list_gauges()
         copy = samples.build_first(held[0], copy=1)
         effects = core.handle_packet(5.001, copy)
@@ -175,8 +174,8 @@
     def test_a_copy_that_is_new_here_is_never_refused(self):
         # Another instance may have placed it, and it may be open.
         core = build_core()
-        teach(core)
-        press(core, 5.0, 40)
+        run_uploads(core)
+        send_burst(core, 5.0, 40)
         effects = []
         for port in range(2000, 2020):
             copy = samples.build_first(port, copy=1)
@@ -189,8 +188,8 @@
 
     def test_open_flows_are_carried_on(self):
         core = build_core()
-        teach(core)
-        press(core, 5.0, 40)
+        run_uploads(core)
+        send_burst(core, 5.0, 40)
         for sent in range(0, 100 * 1200, 1200):
             packet = samples.build_packet(1, 1, 101 + sent, 901, 1200)
             effects = core.handle_packet(5.0, packet)
@@ -204,8 +203,8 @@
             samples.ADDRESS, ((samples.SERVICE, 1),), True, 1
         )
         core = build_core(routes=affinity.RouteTable(1, [first, last]))
-        teach(core)
-        sent, held, refused = press(core, 5.0, 40)
+        run_uploads(core)
+        sent, held, refused = send_burst(core, 5.0, 40)
         self.assertEqual(40, len(sent))
 
     def test_small_requests_are_never_held(self):
@@ -213,21 +212,21 @@
         for port in range(1, 20):
             core.handle_packet(0.0, samples.build_first(port))
             upload(core, 0.0, port, 900)
-        sent, held, refused = press(core, 1.0, 200)
+        sent, held, refused = send_burst(core, 1.0, 200)
         self.assertEqual(200, len(sent))
 
-    def test_where_the_rate_is_not_known_nothing_is_done(self):
+    def test_without_a_known_rate_nothing_is_held(self):
         for fields in ({'bytes_per_second': 0.0}, {'bulk_share': 0.0}):
             core = build_core(**fields)
             self.assertIsNone(core.link)
             self.assertNotIn('link_wait_seconds', core.tally.histograms)
-            teach(core)
-            self.assertEqual(40, len(press(core, 5.0, 40)[0]))
+            run_uploads(core)
+            self.assertEqual(40, len(send_burst(core, 5.0, 40)[0]))
 
-    def test_a_route_that_goes_takes_those_that_wait_with_it(self):
+    def test_removing_a_route_refuses_its_held_packets(self):
         core = build_core()
-        teach(core)
-        _, held, _ = press(core, 5.0, 40)
+        run_uploads(core)
+        _, held, _ = send_burst(core, 5.0, 40)
         other = build_routes(samples.OTHER_ADDRESS, version=3)
         core.set_routes(5.1, other)
         core.note_confirmed(5.1)
@@ -238,7 +237,7 @@
         flows = [samples.build_flow(port) for port in held]
         self.assertEqual(flows, samples.list_resets(effects))
 
-    def test_what_opens_says_how_much_gets_lost_here(self):
+    def test_opened_flows_reduce_the_estimated_loss(self):
         core = build_core()
         for _ in range(5):
             core.room.record_probe(0.0, False)
@@ -247,9 +246,9 @@
         core.handle_packet(0.0, samples.build_packet(1, 1))
         self.assertLess(core.room.compute_loss_share(0.0), before)
 
-    def test_it_wakes_up_for_those_that_wait(self):
+    def test_held_packets_have_a_deadline(self):
         core = build_core()
-        teach(core)
-        _, held, _ = press(core, 5.0, 40)
+        run_uploads(core)
+        _, held, _ = send_burst(core, 5.0, 40)
         self.assertIsNotNone(core.link.find_due(5.0))
         self.assertLessEqual(core.find_due(5.0), 5.0 + WAIT_SECONDS)
--- a/skylarkfold/tests/affinity/test_load_trust.py
+++ b/skylarkfold/tests/affinity/test_load_trust.py
@@ -1,8 +1,7 @@
-"""Tests of how far the loads that peers told may be trusted.
+"""Tests of the trust in reported loads.
 
-They answer many instances that place many short flows between two words of
-one another: all that choose the least loaded upstream choose the same one,
-whose callers then wait.
+They guard against many instances with many short flows all choosing the same
+upstream, the least loaded one by stale reports.
 """
 
 import collections
@@ -21,9 +20,9 @@
 ZONE = samples.ZONE
 
 
-class UnseenTest(testtools.TestCase):
+class LoadTrustTest(testtools.TestCase):
     def place(self, per_second, remote, trust=4.0):
-        """Place flows that nobody hears of; the first one seems idle."""
+        """Place flows that are never reported; the first upstream is idle."""
         settings = affinity.AffinitySettings(unseen_trust=trust)
         directory = _directory.Directory(settings)
         directory.replace(
@@ -54,24 +53,24 @@
             chosen[found.upstream.name] += 1
         return chosen
 
-    def test_one_alone_chooses_the_least_loaded(self):
+    def test_a_single_instance_chooses_the_least_loaded(self):
         chosen = self.place(per_second=500, remote=0)
         self.assertEqual({'i-0000000001': FLOWS}, chosen)
 
-    def test_so_do_some_that_place_few(self):
+    def test_instances_with_few_flows_choose_the_least_loaded(self):
         chosen = self.place(per_second=5, remote=6)
         self.assertEqual({'i-0000000001': FLOWS}, chosen)
 
-    def test_many_that_place_many_use_all_by_their_share(self):
+    def test_many_instances_with_many_flows_spread_them(self):
         chosen = self.place(per_second=50, remote=63)
         self.assertEqual(UPSTREAMS, len(chosen))
         self.assertLess(max(chosen.values()), 2 * FLOWS / UPSTREAMS)
 
-    def test_switched_off_the_least_loaded_is_chosen(self):
+    def test_when_disabled_the_least_loaded_is_chosen(self):
         chosen = self.place(per_second=50, remote=63, trust=0.0)
         self.assertEqual({'i-0000000001': FLOWS}, chosen)
 
-    def test_words_that_come_seldom_are_trusted_less(self):
+    def test_the_report_interval_is_measured(self):
         directory = _directory.Directory(affinity.AffinitySettings())
         for _ in range(100):
             directory.record_report_interval(1.0)
--- a/skylarkfold/tests/affinity/test_local_loss.py
+++ b/skylarkfold/tests/affinity/test_local_loss.py
@@ -1,21 +1,11 @@
-"""Tests of an instance whose own link is full, beside upstreams that live.
-
-Seen: with bulk traffic pressed far beyond the links of small instances, an
-instance found living upstreams of several availability zones out of reach and
-reset the open flows of their callers. Its link was full: first packets,
-requests, probes and the controls beside them were lost or late at random. The
-same happened where the link was not full by itself but by questions and copies
-that the first losses had caused.
-
-Cause: silence was a verdict as soon as two probes failed while one control
-was answered, however many others were lost on the same link; and a probe that
-was sent as the control of another upstream counted as a second failure of its
-own. What proved it: the lines of the instance show upstreams of all zones in
-doubt within a tenth of a second, most verdicts without an answered control,
-and two failures within less than two time-outs.
-
-What is lost here is drawn for each exchange alone, which is how a full queue
-loses packets.
+"""Tests of an instance whose own link is full while the upstreams live.
+
+They guard against resetting open flows of living upstreams when first packets,
+requests, probes and controls are lost at random on the instance's own link,
+and against queries and copies that saturate the link further.
+
+Losses are drawn for each exchange independently, as a full queue loses
+packets.
 """
 
 import random
@@ -31,28 +21,27 @@
 FLOWS = 36
 STEP_SECONDS = 0.01
 ANSWER_SECONDS = 0.03
-# How often the caller of a flow asks, and how long after a request it repeats
-# one that it has no answer to.
+# The interval between requests on a flow, and the time after which a caller
+# repeats an unanswered request.
 ASK_SECONDS = 0.4
 REPEAT_SECONDS = 0.2
-PRESSED = (2.0, 6.0)
+LOSS_PERIOD = (2.0, 6.0)
 END = 9.0
 SEEDS = range(6)
 
 
-class Press:
-    """An instance, its callers and a link that loses exchanges.
+class LossyLink:
+    """Simulation of an instance, its callers and a lossy link.
 
-    :param seed: of what is lost.
-    :param loss: share of the exchanges that get lost while it is pressed.
-    :param gone: names of upstreams that have ended, from the start of the
-        press on.
+    :param seed: the seed of the losses.
+    :param loss: the share of exchanges that are lost during the loss period.
+    :param failed: names of upstreams that fail when the loss period begins.
     """
 
-    def __init__(self, seed, loss, gone=(), link=None):
+    def __init__(self, seed, loss, failed=(), link=None):
         self.draw = random.Random(f'own link {seed}')
         self.loss = loss
-        self.gone = set(gone)
+        self.failed = set(failed)
         self.now = 0.0
         self.room = room.InstanceHeadroom(room.RoomSettings(), link or 0.0)
         self.upstreams = [
@@ -74,16 +63,16 @@
         self.waits = {}
         self.opened = {}
         self.resets = []
-        self.asked = 0
+        self.queries = 0
         self.copies = 0
 
     def is_lost(self, upstream):
-        is_pressed = PRESSED[0] <= self.now < PRESSED[1]
-        if upstream.name in self.gone and self.now >= PRESSED[0]:
+        is_lossy = LOSS_PERIOD[0] <= self.now < LOSS_PERIOD[1]
+        if upstream.name in self.failed and self.now >= LOSS_PERIOD[0]:
             return True
-        return is_pressed and self.draw.random() < self.loss
+        return is_lossy and self.draw.random() < self.loss
 
-    def later(self, seconds, call, *arguments):
+    def schedule(self, seconds, call, *arguments):
         self.due.append((self.now + seconds, call, arguments))
 
     def perform(self, effects):
@@ -93,14 +82,14 @@
             elif isinstance(each, affinity.Reset):
                 self.resets.append(each.flow)
             elif isinstance(each, affinity.QueryPeers):
-                self.asked += 1
+                self.queries += 1
 
     def probe(self, wanted):
         outcome, seconds = affinity.ProbeOutcome.ALIVE, 0.004
         if self.is_lost(wanted.upstream):
             outcome = affinity.ProbeOutcome.SILENT
             seconds = wanted.timeout_seconds
-        self.later(seconds, self.end_probe, wanted, outcome)
+        self.schedule(seconds, self.end_probe, wanted, outcome)
 
     def end_probe(self, wanted, outcome):
         upstream = wanted.upstream
@@ -117,10 +106,10 @@
         upstream = self.flows[port]
         self.sent[port] += 100
         self.send(port, upstream, self.sent[port])
-        self.later(ASK_SECONDS, self.ask, port)
+        self.schedule(ASK_SECONDS, self.ask, port)
 
     def send(self, port, upstream, sequence):
-        """Send a request, again and again until it is answered."""
+        """Send a request and repeat it until it is answered."""
         if sequence != self.sent[port]:
             return
         packet = samples.build_packet(
@@ -128,9 +117,9 @@
         )
         self.perform(self.core.handle_packet(self.now, packet))
         if self.is_lost(upstream):
-            self.later(REPEAT_SECONDS, self.send, port, upstream, sequence)
+            self.schedule(REPEAT_SECONDS, self.send, port, upstream, sequence)
         else:
-            self.later(ANSWER_SECONDS, self.answer, port, upstream)
+            self.schedule(ANSWER_SECONDS, self.answer, port, upstream)
 
     def answer(self, port, upstream):
         self.answered[port] += 400
@@ -140,7 +129,7 @@
         self.perform(self.core.handle_packet(self.now, packet))
 
     def open(self, port):
-        """Open a flow that nobody goes on with."""
+        """Open a flow without any requests."""
         packet = samples.build_first(port)
         effects = self.core.handle_packet(self.now, packet)
         self.perform(effects)
@@ -148,8 +137,8 @@
         if names and not self.is_lost(
             self.core.directory.get(names[0]).upstream
         ):
-            self.later(0.007, self.confirm, port, names[0])
-        self.later(0.05, self.open, port + 1)
+            self.schedule(0.007, self.confirm, port, names[0])
+        self.schedule(0.05, self.open, port + 1)
 
     def confirm(self, port, name):
         upstream = self.core.directory.get(name).upstream
@@ -159,8 +148,8 @@
 
     def run(self, until=END):
         for number, port in enumerate(self.flows):
-            self.later(number * ASK_SECONDS / FLOWS, self.ask, port)
-        self.later(0.0, self.open, 20000)
+            self.schedule(number * ASK_SECONDS / FLOWS, self.ask, port)
+        self.schedule(0.0, self.open, 20000)
         while self.now < until:
             self.now += STEP_SECONDS
             ready = [each for each in self.due if each[0] <= self.now]
@@ -170,54 +159,60 @@
             self.core.note_confirmed(self.now)
             self.perform(self.core.tick(self.now))
 
-    def list_wrong(self):
+    def list_wrong_resets(self):
         """List resets of flows whose upstream lives."""
         carried = {**self.flows, **self.opened}
-        gone = {
+        failed = {
             samples.build_flow(port)
             for port, upstream in carried.items()
-            if upstream.name in self.gone
+            if upstream.name in self.failed
         }
-        return [flow for flow in self.resets if flow not in gone]
+        return [flow for flow in self.resets if flow not in failed]
 
-    def list_ended(self):
-        """List flows that callers use whose upstream is gone and known so."""
+    def list_reset_ports(self):
+        """List the ports of flows that were reset as their upstream failed."""
         return [
             port
             for port, upstream in self.flows.items()
-            if upstream.name in self.gone
+            if upstream.name in self.failed
             and samples.build_flow(port) in self.resets
         ]
 
 
 class OwnLinkTest(testtools.TestCase):
-    """No caller loses an open flow to a living upstream."""
+    """No open flow of a living upstream is reset."""
 
-    def test_no_flow_is_reset_whatever_share_is_lost(self):
+    def test_no_flow_is_reset_at_any_loss(self):
         for loss in (0.05, 0.15, 0.3, 0.45, 0.6, 0.8):
             for seed in SEEDS:
-                press = Press(seed, loss)
-                press.run()
-                self.assertEqual([], press.list_wrong(), (loss, seed))
+                simulation = LossyLink(seed, loss)
+                simulation.run()
+                self.assertEqual(
+                    [], simulation.list_wrong_resets(), (loss, seed)
+                )
 
-    def test_an_upstream_that_ends_beside_some_losses_is_found(self):
-        # One in fifty is more than a link in order loses.
+    def test_a_failed_upstream_is_detected_at_a_low_loss(self):
+        # One in fifty is more than a healthy link loses.
         for seed in SEEDS:
-            press = Press(seed, 0.02, gone=('i-0000000002',))
-            press.run()
-            self.assertEqual([], press.list_wrong(), seed)
-            self.assertEqual(FLOWS // UPSTREAMS, len(press.list_ended()), seed)
+            simulation = LossyLink(seed, 0.02, failed=('i-0000000002',))
+            simulation.run()
+            self.assertEqual([], simulation.list_wrong_resets(), seed)
+            self.assertEqual(
+                FLOWS // UPSTREAMS, len(simulation.list_reset_ports()), seed
+            )
 
-    def test_once_the_press_is_over_an_upstream_that_ended_is_found(self):
+    def test_a_failed_upstream_is_detected_after_the_loss_ends(self):
         for seed in SEEDS:
-            press = Press(seed, 0.45, gone=('i-0000000002',))
-            press.run()
-            self.assertEqual([], press.list_wrong(), seed)
-            self.assertEqual(FLOWS // UPSTREAMS, len(press.list_ended()), seed)
+            simulation = LossyLink(seed, 0.45, failed=('i-0000000002',))
+            simulation.run()
+            self.assertEqual([], simulation.list_wrong_resets(), seed)
+            self.assertEqual(
+                FLOWS // UPSTREAMS, len(simulation.list_reset_ports()), seed
+            )
 
 
 class FullLinkTest(testtools.TestCase):
-    """A link that is known to be full gets nothing that is not needed."""
+    """A saturated link gets no avoidable traffic."""
 
     RATE = 625_000.0
 
@@ -235,39 +230,39 @@
         self.core.set_upstreams(0.0, self.upstreams)
         self.core.note_confirmed(0.0)
 
-    def fill(self, now):
+    def saturate(self, now):
         self.room.record_traffic(now, int(self.RATE), int(self.RATE))
 
-    def test_an_unanswered_request_raises_no_question(self):
+    def test_an_unanswered_request_queries_no_peers(self):
         token = self.upstreams[0].token
         self.core.handle_packet(1.0, samples.build_packet(1, token))
         request = samples.build_packet(1, token, length=100)
         self.core.handle_packet(1.0, request)
-        self.fill(1.1)
+        self.saturate(1.1)
         effects = self.core.tick(1.12)
-        self.assertEqual([], samples.list_asked(effects))
+        self.assertEqual([], samples.list_queried(effects))
         self.assertEqual([], samples.list_probes(self.core.tick(1.2)))
 
     def test_an_unanswered_first_packet_is_not_copied(self):
         self.core.handle_packet(1.0, samples.build_first(5))
-        self.fill(1.03)
+        self.saturate(1.03)
         self.assertEqual([], samples.list_forwards(self.core.tick(1.05)))
 
     def test_the_caller_s_own_copy_goes_to_another_upstream(self):
         first = self.core.handle_packet(1.0, samples.build_first(5))
-        self.fill(1.03)
+        self.saturate(1.03)
         self.core.tick(1.05)
         again = self.core.handle_packet(1.2, samples.build_first(5, 1))
         (name,) = samples.list_forwards(again)
         self.assertNotEqual(samples.list_forwards(first), [name])
 
-    def test_probes_under_way_are_no_verdict(self):
+    def test_probes_in_flight_lead_to_no_verdict(self):
         token = self.upstreams[0].token
         self.core.handle_packet(1.0, samples.build_packet(1, token))
         self.core.handle_packet(1.0, samples.build_packet(1, token, length=9))
         self.core.tick(1.11)
         (probed,) = samples.list_probes(self.core.tick(1.14))
-        self.fill(1.2)
+        self.saturate(1.2)
         for _ in range(4):
             effects = self.core.handle_probe_result(
                 1.24, probed, affinity.ProbeOutcome.SILENT
@@ -276,10 +271,10 @@
         state = self.core.directory.get(probed)
         self.assertEqual('good', state.health)
 
-    def test_a_peer_s_verdict_is_not_looked_into(self):
-        self.fill(1.0)
-        lost = [self.upstreams[1].incarnation]
-        self.assertEqual([], self.core.handle_unreachable(1.0, lost))
+    def test_an_upstream_that_a_peer_reports_unreachable_is_not_probed(self):
+        self.saturate(1.0)
+        reported = [self.upstreams[1].incarnation]
+        self.assertEqual([], self.core.handle_unreachable(1.0, reported))
 
 
 class BusyUpstreamTest(testtools.TestCase):
@@ -300,7 +295,7 @@
             self.core.handle_packet(1.0, packet)
 
     def repeat(self, now, resets):
-        """Have callers repeat what is not answered."""
+        """Have callers repeat unanswered requests."""
         effects = []
         for port in range(1, 1 + self.REQUESTS):
             if samples.build_flow(port) not in resets:
@@ -311,7 +306,7 @@
         return effects
 
     def run_until(self, now, until):
-        """Have the busy one take no probe, and the other one all."""
+        """Run with the busy upstream silent and the other one answering."""
         resets = []
         again = now + REPEAT_SECONDS
         while now < until:
@@ -341,6 +336,6 @@
     def test_its_flows_are_not_reset_while_its_queue_may_be_full(self):
         self.assertEqual([], self.run_until(1.0, 2.4))
 
-    def test_they_are_once_it_was_silent_for_longer(self):
+    def test_its_flows_are_reset_after_a_longer_silence(self):
         resets = self.run_until(1.0, 3.5)
         self.assertEqual(self.REQUESTS, len(set(resets)))
--- a/skylarkfold/tests/affinity/test_opening.py
+++ b/skylarkfold/tests/affinity/test_opening.py
@@ -38,7 +38,7 @@
         late = core.handle_packet(0.2, samples.build_first(1, copy=1))
         self.assertEqual([], samples.list_forwards(late))
 
-    def test_a_copy_goes_to_an_upstream_that_has_not_had_it(self):
+    def test_a_copy_goes_to_an_upstream_that_has_not_got_it(self):
         core = samples.build_core(
             samples.build_upstream(1), samples.build_upstream(2)
         )
@@ -53,7 +53,7 @@
         effects = core.tick(0.25)
         self.assertEqual(['i-0000000001'], samples.list_probes(effects))
 
-    def test_copies_that_waited_together_go_out_once(self):
+    def test_a_copy_that_arrives_at_once_is_dropped(self):
         core = samples.build_core(
             samples.build_upstream(1), samples.build_upstream(2)
         )
@@ -77,7 +77,7 @@
         effects = core.handle_packet(0.0, samples.build_first(1))
         self.assertEqual([near.name], samples.list_forwards(effects))
 
-    def test_a_zone_that_is_loaded_well_above_the_mean_is_left(self):
+    def test_flows_leave_a_zone_with_a_load_well_above_the_mean(self):
         far = samples.build_upstream(1, zone=samples.OTHER_ZONE)
         near = samples.build_upstream(2)
         core = samples.build_core(far, near)
@@ -91,7 +91,7 @@
         tolerance = affinity.AffinitySettings().near_tolerance
         self.assertTrue(0.5 < share < (1 + tolerance) / 2 + 0.05, share)
 
-    def test_without_upstream_the_caller_is_told_at_once(self):
+    def test_without_an_upstream_the_flow_is_reset_at_once(self):
         core = samples.build_core()
         effects = core.handle_packet(0.0, samples.build_first(1))
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
@@ -116,8 +116,7 @@
         self.assertEqual(1, len(samples.list_forwards(effects)))
 
     def test_a_flow_waits_while_only_the_routes_are_known(self):
-        # Seen on the users' bench after the end of everything: new flows
-        # were reset in the 6 ms until the upstreams were known.
+        # Between the routes and the upstreams, new flows were reset.
         settings = affinity.AffinitySettings()
         core = affinity.AffinityCore(samples.ZONE, settings)
         core.set_routes(0.0, samples.build_routes())
--- a/skylarkfold/tests/affinity/test_placement.py
+++ b/skylarkfold/tests/affinity/test_placement.py
@@ -10,19 +10,19 @@
 from skylarkfold.affinity import _warm_up
 from skylarkfold.tests.affinity import samples
 
-# Upstreams and callers' flows by zone: one zone has more of the flows than
-# of the upstreams, as one of the co-operative's has.
+# Upstreams and callers' flows by zone: the zone with the most flows does not
+# have the most upstreams.
 UPSTREAMS = {'a': 3, 'b': 2, 'c': 2}
 FLOWS = {'a': 134, 'b': 110, 'c': 156}
 
 
-# A service of a fleet of 300 instances, and flows for each of its upstreams.
-MANY = 2400
+# A service of a fleet of 300 instances, and the flows of each upstream.
+UPSTREAM_COUNT = 2400
 EACH = 4
 
 
-class ManyTest(testtools.TestCase):
-    """Placement before thousands of upstreams."""
+class LargeServiceTest(testtools.TestCase):
+    """Placement on thousands of upstreams."""
 
     def setUp(self):
         super().setUp()
@@ -33,7 +33,7 @@
                 samples.build_upstream(number + 1, zone='abc'[number % 3]),
                 0.0,
             )
-            for number in range(MANY)
+            for number in range(UPSTREAM_COUNT)
         ]
         self.read = collections.Counter()
 
@@ -53,7 +53,7 @@
             chosen.flows += 1
         return chosen
 
-    def test_a_bounded_number_is_read(self):
+    def test_only_a_sample_is_read(self):
         read = []
 
         class Counted(list):
@@ -70,17 +70,17 @@
         self.assertEqual(self.settings.choice_sample, len(read))
 
     def test_the_busiest_stays_near_the_mean(self):
-        for port in range(MANY * EACH):
+        for port in range(UPSTREAM_COUNT * EACH):
             self.place(port)
         busiest = max(each.flows for each in self.states)
         self.assertLessEqual(busiest, 1.25 * EACH)
 
     def test_most_flows_stay_in_their_zone(self):
-        strangers = sum(
+        other_zone = sum(
             self.place(port).upstream.zone != 'abc'[port % 3]
-            for port in range(MANY)
+            for port in range(UPSTREAM_COUNT)
         )
-        self.assertLess(strangers, MANY / 10)
+        self.assertLess(other_zone, UPSTREAM_COUNT / 10)
 
     def test_where_the_sample_holds_no_good_one_all_are_read(self):
         for each in self.states[:-1]:
@@ -116,15 +116,15 @@
         return chosen
 
     def place_all(self):
-        """Place all flows, those of the zones in turns."""
+        """Place all flows, alternating between zones."""
         left = dict(FLOWS)
-        strangers = 0
+        other_zone = 0
         while any(left.values()):
             zone = max(left, key=lambda each: left[each] / FLOWS[each])
             left[zone] -= 1
             chosen = self.place(zone, sum(left.values()))
-            strangers += chosen.upstream.zone != zone
-        return strangers
+            other_zone += chosen.upstream.zone != zone
+        return other_zone
 
     def compute_imbalance(self):
         loads = [each.flows for each in self.states]
@@ -137,8 +137,8 @@
     def test_few_flows_leave_their_zone(self):
         self.assertLess(self.place_all(), sum(FLOWS.values()) / 10)
 
-    def test_one_that_fails_at_once_does_not_draw_all_flows(self):
-        # It has nothing to do, since it does nothing.
+    def test_an_upstream_that_fails_at_once_does_not_attract_all_flows(self):
+        # It has no requests in flight, as it fails at once.
         failing, *others = self.states
         for _ in range(16):
             failing.record_early_answer(True)
@@ -149,7 +149,7 @@
         )
         self.assertLess(counts[failing.upstream.name], 30 / len(UPSTREAMS))
 
-    def test_one_hasty_answer_among_many_changes_little(self):
+    def test_a_single_early_answer_changes_little(self):
         state = self.states[0]
         for number in range(64):
             state.record_early_answer(number % 20 == 0)
--- a/skylarkfold/tests/affinity/test_restart.py
+++ b/skylarkfold/tests/affinity/test_restart.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the name that they had."""
+"""Tests of upstreams that restart under the same name."""
 
 import testtools
 
@@ -8,11 +8,11 @@
 from skylarkfold import upstream_load
 
 BORN = 1764720000123
-# The store's revisions of the entries of both starts.
+# The store revisions of the entries of both starts.
 FIRST = 5
 SECOND = 9
-# A flow that is open for so long when the new entry comes is of the earlier
-# start for certain, one that is open since just now may be of the later.
+# A flow that has been open for so long when the new entry arrives is of the
+# earlier start; a recent one may be of the later.
 LONG = 20.0
 
 
@@ -47,7 +47,7 @@
     def get_state(self):
         return self.core.directory.get(self.first.name)
 
-    def test_nothing_of_the_start_before_holds(self):
+    def test_a_restart_discards_all_state(self):
         self.open_flow(0.0, 1)
         loads = {self.first.incarnation: upstream_load.UpstreamLoad(7, 3.0)}
         self.core.handle_load(0.1, 'peer', loads)
@@ -66,20 +66,20 @@
         self.assertLess(state.last_heard, 0.0)
         self.assertEqual(0, self.core.directory.count_flows())
 
-    def test_a_lapse_of_the_start_before_does_not_hold(self):
+    def test_a_restart_discards_an_earlier_lapse(self):
         self.core.set_upstreams(1.0, [])
         self.core.set_upstreams(2.0, [self.second])
         self.assertIsNone(self.get_state().lapsed_at)
         effects = self.core.handle_packet(2.1, samples.build_first(1))
         self.assertEqual([self.second.name], samples.list_forwards(effects))
 
-    def test_the_same_start_keeps_all(self):
+    def test_a_changed_entry_of_the_same_start_keeps_the_state(self):
         before = self.get_state()
         again = build(revision=SECOND, is_draining=True)
         self.core.set_upstreams(1.0, [again])
         self.assertIs(before, self.get_state())
 
-    def test_clocks_don_t_tell_which_start_is_later(self):
+    def test_start_times_are_not_ordered(self):
         for born in (BORN - 86_400_000, BORN + 1, None):
             before = self.get_state()
             other = build(born=born, revision=SECOND)
@@ -99,7 +99,7 @@
             self.assertIsNot(before, self.get_state())
             self.core.set_upstreams(2.0, [self.first])
 
-    def test_older_words_of_peers_are_not_of_the_new_start(self):
+    def test_reports_on_the_earlier_start_are_ignored(self):
         self.core.set_upstreams(1.0, [self.second])
         old = self.first.incarnation
         loads = {old: upstream_load.UpstreamLoad(7, 3.0)}
@@ -113,14 +113,14 @@
         self.assertLess(state.last_heard, 0.0)
         self.assertEqual('good', state.health)
 
-    def test_words_of_peers_who_were_first_hold_once_it_is_known(self):
+    def test_early_reports_on_the_new_start_count_once_it_is_known(self):
         loads = {self.second.incarnation: upstream_load.UpstreamLoad(7, 3.0)}
         self.core.handle_load(0.9, 'peer', loads)
         self.assertEqual(0, self.get_state().load)
         self.core.set_upstreams(1.0, [self.second])
         self.assertEqual(7, self.get_state().load)
 
-    def test_a_probe_of_the_start_before_says_nothing(self):
+    def test_a_probe_of_the_earlier_start_is_ignored(self):
         core = self.core
         self.open_flow(0.0, 1)
         self.send(1.0, 1)
@@ -139,13 +139,15 @@
         )
         self.assertLess(state.probe_answered_at, 0.0)
 
-    def test_old_flows_are_ended_at_once(self):
+    def test_flows_of_the_earlier_start_are_reset_at_once(self):
         self.open_flow(0.0, 1)
         self.core.note_present(LONG)
         effects = self.core.set_upstreams(LONG, [self.second])
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
 
-    def test_old_flows_with_a_request_that_runs_once_are_ended_too(self):
+    def test_flows_of_the_earlier_start_that_run_once_are_reset_too(
+        self,
+    ):
         routes = samples.build_routes(is_idempotent=False)
         core = samples.build_core(self.first, routes=routes)
         self.open_flow(0.0, 1, core)
@@ -155,8 +157,8 @@
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
 
     def test_a_flow_that_may_be_of_the_new_start_is_never_reset(self):
-        # Its process ended 4.6 s before the store removed the entry, and
-        # the first packet had waited for 1.3 s.
+        # Its process ended 4.6 s before the store removed the entry, and the
+        # first packet had waited for 1.3 s.
         self.open_flow(LONG - 5.9, 1)
         self.core.note_present(LONG)
         effects = self.core.set_upstreams(LONG, [self.second])
@@ -166,13 +168,15 @@
         self.assertEqual([self.second.name], samples.list_forwards(effects))
         self.assertEqual(1, self.get_state().flows)
 
-    def test_while_the_store_is_away_no_flow_is_known_to_be_old(self):
-        # Confirmed last at 0 s; the restart may have been any time since.
+    def test_without_the_store_no_flow_is_known_to_be_of_the_earlier_start(
+        self,
+    ):
+        # Last confirmed at 0 s; the restart may have been at any time since.
         self.open_flow(1.0, 1)
         effects = self.core.set_upstreams(LONG, [self.second])
         self.assertEqual([], samples.list_resets(effects))
 
-    def test_a_lapse_ends_what_is_known_of_the_start_before(self):
+    def test_a_lapse_bounds_the_lifetime_of_the_earlier_start(self):
         self.open_flow(0.0, 1)
         self.open_flow(LONG, 2)
         self.core.note_present(LONG + 0.9)
@@ -183,16 +187,18 @@
         effects = self.core.set_upstreams(LONG + 50.0, [self.second])
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
 
-    def test_a_lapse_that_is_heard_of_late_ends_no_flow(self):
-        # It started again at 1 s, was cut off from the store and lapsed at
-        # 5 s; this instance heard of neither until long after.
+    def test_a_lapse_that_is_learnt_late_resets_no_flow(self):
+        # It restarted at 1 s, was cut off from the store and lapsed at 5 s;
+        # this instance learnt of both much later.
         self.open_flow(2.0, 1)
         self.core.set_upstreams(LONG, [])
         self.core.note_present(LONG)
         effects = self.core.set_upstreams(LONG + 1.0, [self.second])
         self.assertEqual([], samples.list_resets(effects))
 
-    def test_a_request_to_the_start_before_is_no_doubt_of_the_new_one(self):
+    def test_a_request_to_the_earlier_start_raises_no_suspicion_of_the_new_one(
+        self,
+    ):
         self.open_flow(0.0, 1)
         self.send(1.0, 1)
         self.core.set_upstreams(1.05, [self.second])
@@ -200,40 +206,42 @@
             self.assertEqual([], self.core.tick(1.05 + number / 20))
         self.assertEqual('good', self.get_state().health)
 
-    def test_a_first_packet_to_the_start_before_is_no_doubt_either(self):
+    def test_a_first_packet_to_the_earlier_start_raises_no_suspicion_either(
+        self,
+    ):
         self.core.handle_packet(1.0, samples.build_first(1))
         self.core.set_upstreams(1.01, [self.second])
-        self.assertEqual([], samples.list_asked(self.core.tick(1.1)))
+        self.assertEqual([], samples.list_queried(self.core.tick(1.1)))
         self.assertEqual('good', self.get_state().health)
 
-    def test_a_flow_that_goes_on_is_no_word_of_the_new_start(self):
+    def test_a_flow_that_continues_does_not_prove_the_new_start_alive(self):
         self.open_flow(0.0, 1)
         self.core.set_upstreams(1.0, [self.second])
         self.send(1.1, 1)
         self.assertLess(self.get_state().last_heard, 0.0)
         self.assertEqual(1, self.get_state().flows)
 
-    def test_an_answer_to_whatever_start_is_no_word_of_the_new_one(self):
+    def test_an_answer_of_either_start_does_not_prove_the_new_one_alive(self):
         self.core.handle_packet(1.0, samples.build_first(1))
         self.core.set_upstreams(1.01, [self.second])
         self.send(1.1, 1)
         self.assertLess(self.get_state().last_heard, 0.0)
 
-    def test_flows_of_one_that_had_its_new_address_are_ended(self):
+    def test_flows_of_the_earlier_owner_of_its_new_address_are_reset(self):
         other = samples.build_upstream(
             2, created=7, revision=7, address=('10.0.0.77', 80)
         )
         core = samples.build_core(other)
         core.handle_packet(0.0, samples.build_first(1))
         core.handle_packet(0.01, samples.build_packet(1, other.token))
-        # The name's entry was created before that of whose address it has.
+        # Its entry was created before that of the owner of the address.
         moved = build(revision=SECOND, address=other.address)
         effects = core.set_upstreams(5.0, [moved])
         self.assertEqual([samples.build_flow(1)], samples.list_resets(effects))
 
-    def test_an_address_is_of_whom_the_later_era_gives_it(self):
-        # The store came back from a copy before the new one's entry was
-        # written, so that its revision has a lower number.
+    def test_an_address_belongs_to_the_entry_of_the_later_era(self):
+        # The store was restored from a copy made before the new entry was
+        # written, so that the new revision has a lower number.
         address = ('10.0.0.77', 80)
         former = samples.build_upstream(
             2,
@@ -270,7 +278,7 @@
     def setUp(self):
         super().setUp()
         self.known = samples.build_upstream(1, created=9)
-        # The older of two keeps a token that both have.
+        # The older of two upstreams keeps a shared token.
         self.foreign = samples.build_upstream(
             (1 << 32) + 1, 'unheard-of', created=2
         )
@@ -279,14 +287,14 @@
         route = affinity.Route(samples.ADDRESS, ((samples.SERVICE, 1),))
         return affinity.RouteTable(version, [route], services=services)
 
-    def test_one_of_no_service_takes_nothing_from_others(self):
+    def test_an_entry_of_an_unknown_service_claims_no_token(self):
         routes = self.build_routes(1, samples.SERVICE)
         core = samples.build_core(self.known, self.foreign, routes=routes)
         effects = core.handle_packet(1.0, samples.build_first(1))
         self.assertEqual([self.known.name], samples.list_forwards(effects))
         self.assertIsNone(core.directory.get(self.foreign.name))
 
-    def test_it_counts_as_soon_as_its_service_is_named(self):
+    def test_an_entry_counts_as_soon_as_its_service_is_known(self):
         routes = self.build_routes(1, samples.SERVICE)
         other = samples.build_upstream(2, samples.OTHER_SERVICE)
         core = samples.build_core(self.known, other, routes=routes)
@@ -296,7 +304,7 @@
         )
         self.assertIsNotNone(core.directory.get(other.name))
 
-    def test_flows_stay_where_a_service_is_named_no_more(self):
+    def test_flows_of_a_removed_service_continue(self):
         core = samples.build_core(
             self.known, routes=self.build_routes(1, samples.SERVICE)
         )
--- a/skylarkfold/tests/affinity/test_sharing.py
+++ b/skylarkfold/tests/affinity/test_sharing.py
@@ -1,9 +1,8 @@
-"""Tests of new flows that are beyond their caller's share.
+"""Tests of refusing new flows that exceed their caller's share.
 
-Load: one caller opens far more flows than there are slots for, others few.
-Bounds: others keep all theirs; a copy of a first packet and an open flow are
-never refused, since either may have run; where callers have no shares nothing
-is kept and nothing refused.
+One caller opens far more flows than there are slots, others few. The tests
+guard against refusing the others, refusing copies of first packets or open
+flows, which may have run, and any effect where shares are not enforced.
 """
 
 import testtools
@@ -14,8 +13,8 @@
 from skylarkfold.tests.affinity import samples
 
 WORK_SECONDS = 0.05
-PRESSING = '192.0.2.7'
-QUIET = '192.0.2.8'
+HEAVY = '192.0.2.7'
+LIGHT = '192.0.2.8'
 SLOTS = 8
 
 
@@ -40,7 +39,7 @@
     )
 
 
-class Case:
+class SharedCore:
     """A core that knows how long its requests take."""
 
     def __init__(self, settings=None, aim=0.0):
@@ -65,10 +64,10 @@
         self.port = 1000
         self.effects = []
 
-    def play(self, seconds, rates):
-        """Open flows; tell how many of each caller were passed on."""
-        passed = dict.fromkeys(rates, 0)
-        asked = dict.fromkeys(rates, 0)
+    def run(self, seconds, rates):
+        """Open flows and return each caller's share of forwarded ones."""
+        forwarded = dict.fromkeys(rates, 0)
+        opened = dict.fromkeys(rates, 0)
         for _ in range(round(seconds / 0.2)):
             arrivals = sorted(
                 (self.now + 0.2 * number / (rate * 0.2), host)
@@ -81,21 +80,21 @@
                 effects = self.core.handle_packet(
                     at, build_packet(host, self.port)
                 )
-                asked[host] += 1
-                passed[host] += bool(samples.list_forwards(effects))
+                opened[host] += 1
+                forwarded[host] += bool(samples.list_forwards(effects))
                 self.effects += effects
             self.now += 0.2
             self.refresh()
-        return {host: passed[host] / asked[host] for host in rates}
+        return {host: forwarded[host] / opened[host] for host in rates}
 
     def refresh(self):
-        """Do what the daemon does several times a second."""
+        """Refresh the shares as the daemon does several times a second."""
         sharing = self.core.shares.sharing
         if sharing is not None:
             sharing.refresh(self.now, shares.FleetSize(0))
 
     def list_refused(self):
-        """List the lines of refusals."""
+        """List the records of refusals."""
         return [
             each
             for each in self.effects
@@ -105,23 +104,23 @@
 
 
 class SharingTest(testtools.TestCase):
-    # 160 a second fill the slots.
-    RATES = {PRESSING: 640, QUIET: 60}
-
-    def test_who_presses_is_refused_and_others_are_not(self):
-        case = Case()
-        case.play(1.0, self.RATES)
-        passed = case.play(2.0, self.RATES)
-        self.assertEqual(1.0, passed[QUIET])
-        # What 60 leave of 0.95 of 160, of 640.
-        self.assertAlmostEqual(92 / 640, passed[PRESSING], delta=0.03)
-
-    def test_a_refusal_says_on_which_figures(self):
-        case = Case()
-        case.play(2.0, self.RATES)
+    # 160 requests a second fill the slots.
+    RATES = {HEAVY: 640, LIGHT: 60}
+
+    def test_the_heavy_caller_is_refused_and_others_are_not(self):
+        case = SharedCore()
+        case.run(1.0, self.RATES)
+        forwarded = case.run(2.0, self.RATES)
+        self.assertEqual(1.0, forwarded[LIGHT])
+        # The rest of 0.95 of 160 after 60, as a share of 640.
+        self.assertAlmostEqual(92 / 640, forwarded[HEAVY], delta=0.03)
+
+    def test_a_refusal_records_its_figures(self):
+        case = SharedCore()
+        case.run(2.0, self.RATES)
         details = case.list_refused()[-1].details
         self.assertEqual(samples.SERVICE, details['service'])
-        self.assertEqual(PRESSING, details['caller'])
+        self.assertEqual(HEAVY, details['caller'])
         self.assertAlmostEqual(32.0, details['demand_slots'], delta=2.0)
         self.assertAlmostEqual(4.6, details['share_slots'], delta=0.4)
         self.assertAlmostEqual(7.6, details['room_slots'], delta=0.01)
@@ -131,8 +130,8 @@
         self.assertEqual(len(case.list_refused()), counted)
 
     def test_a_refused_flow_was_sent_to_no_upstream(self):
-        case = Case()
-        case.play(2.0, self.RATES)
+        case = SharedCore()
+        case.run(2.0, self.RATES)
         refused = {each.flow for each in case.list_refused()}
         reset = set(samples.list_resets(case.effects))
         sent = {
@@ -145,39 +144,39 @@
         self.assertEqual(set(), refused & sent)
 
     def test_a_copy_is_not_refused(self):
-        case = Case()
-        case.play(2.0, self.RATES)
+        case = SharedCore()
+        case.run(2.0, self.RATES)
         for port in range(100):
-            packet = build_packet(PRESSING, port, copy=1)
+            packet = build_packet(HEAVY, port, copy=1)
             effects = case.core.handle_packet(case.now, packet)
             self.assertEqual([], samples.list_resets(effects))
 
     def test_open_flows_are_carried_on(self):
-        case = Case()
-        case.play(2.0, self.RATES)
+        case = SharedCore()
+        case.run(2.0, self.RATES)
         for port in range(100):
             packet = build_packet(
-                PRESSING, port, False, token=case.token, length=10
+                HEAVY, port, False, token=case.token, length=10
             )
             effects = case.core.handle_packet(case.now, packet)
             self.assertEqual(1, len(samples.list_forwards(effects)))
 
     def test_all_instances_draw_alike(self):
-        case, other = Case(), Case()
+        case, other = SharedCore(), SharedCore()
         for each in (case, other):
-            each.play(2.0, self.RATES)
+            each.run(2.0, self.RATES)
         self.assertEqual(
             [each.flow for each in case.list_refused()],
             [each.flow for each in other.list_refused()],
         )
 
     def test_requests_on_open_flows_count_for_their_caller(self):
-        case = Case()
+        case = SharedCore()
         core = case.core
         for step in range(200):
             now = step * 0.01
             packet = build_packet(
-                PRESSING,
+                HEAVY,
                 1,
                 False,
                 token=case.token,
@@ -193,8 +192,8 @@
         slots, rate = callers._counts.measure_services(2.0)[digest]
         self.assertAlmostEqual(100.0, rate, delta=5.0)
 
-    def test_the_way_to_the_caller_is_no_work(self):
-        case = Case()
+    def test_the_round_trip_to_the_caller_is_not_counted_as_work(self):
+        case = SharedCore()
         sharing = case.core.shares.sharing
         for _ in range(16):
             sharing.record_open(samples.SERVICE, 0.02)
@@ -202,42 +201,42 @@
         self.assertAlmostEqual(WORK_SECONDS - 0.02, seconds, delta=0.003)
 
     def test_where_nothing_was_answered_nothing_is_refused(self):
-        case = Case()
+        case = SharedCore()
         case.core._admission._by_address.clear()
         case.core._admission._by_service.clear()
-        passed = case.play(2.0, self.RATES)
-        self.assertEqual({PRESSING: 1.0, QUIET: 1.0}, passed)
+        forwarded = case.run(2.0, self.RATES)
+        self.assertEqual({HEAVY: 1.0, LIGHT: 1.0}, forwarded)
 
     def test_where_all_fits_nothing_is_refused(self):
-        case = Case()
-        rates = {PRESSING: 80, QUIET: 40}
-        self.assertEqual(1.0, min(case.play(3.0, rates).values()))
+        case = SharedCore()
+        rates = {HEAVY: 80, LIGHT: 40}
+        self.assertEqual(1.0, min(case.run(3.0, rates).values()))
 
-    def test_without_settings_nothing_is_kept_or_refused(self):
+    def test_without_settings_nothing_is_counted_or_refused(self):
         for settings in (None, shares.SharesSettings()):
-            case = Case()
+            case = SharedCore()
             case.core.shares.put(settings)
             self.assertIsNone(case.core.shares.sharing)
-            passed = case.play(2.0, self.RATES)
-            self.assertEqual(1.0, min(passed.values()))
+            forwarded = case.run(2.0, self.RATES)
+            self.assertEqual(1.0, min(forwarded.values()))
 
     def test_other_weights_keep_what_was_counted(self):
-        case = Case()
-        case.play(2.0, self.RATES)
-        network = shares.Network.parse(PRESSING)
+        case = SharedCore()
+        case.run(2.0, self.RATES)
+        network = shares.Network.parse(HEAVY)
         caps = shares.NetworkTable([(network, 20.0)])
         settings = shares.SharesSettings(True, caps_per_second=caps)
         case.core.shares.put(settings)
         case.refresh()
-        passed = case.play(1.0, self.RATES)
-        self.assertEqual(1.0, passed[QUIET])
-        self.assertAlmostEqual(20 / 640, passed[PRESSING], delta=0.02)
+        forwarded = case.run(1.0, self.RATES)
+        self.assertEqual(1.0, forwarded[LIGHT])
+        self.assertAlmostEqual(20 / 640, forwarded[HEAVY], delta=0.02)
 
-    def test_a_draw_is_not_that_of_late_answers(self):
+    def test_the_draw_is_independent_of_that_of_admission(self):
         over = shares.OverShare(2.0, 1.0, 1.0, 0.5, 0.0)
         late = []
         for port in range(2000):
-            flow_hash = _placement.hash_flow(build_flow(QUIET, port))
+            flow_hash = _placement.hash_flow(build_flow(LIGHT, port))
             if not over.refuses(flow_hash):
                 late.append((flow_hash >> 32) % (1 << 16) < 1 << 15)
         self.assertAlmostEqual(0.5, sum(late) / len(late), delta=0.05)
--- a/skylarkfold/tests/affinity/test_speeds.py
+++ b/skylarkfold/tests/affinity/test_speeds.py
@@ -1,9 +1,7 @@
-"""Tests of the speeds of upstreams, learnt from answers that pass.
+"""Tests of the speeds of upstreams, which are learnt from answers.
 
-They answer upstreams of one service on machines of several ages, and ones
-that turn slow for a while. What callers need: one that is slow gets less from
-the first seconds on, one that is well again gets its share within seconds,
-and where all are equal nothing changes for anyone.
+They guard against a slow upstream getting as many flows as others, a recovered
+one getting too few, and any change while all are equal.
 """
 
 import collections
@@ -20,7 +18,7 @@
 
 UNEQUAL = (0.6, 1.0, 1.6)
 WORK_SECONDS = 0.013
-# Of one upstream, at all instances.
+# Answers of one upstream at all instances.
 ANSWERS_PER_SECOND = 25
 MOST = upstream_load.MAXIMUM_ANSWERS
 
@@ -50,7 +48,7 @@
         return [each.speed for each in self.states]
 
     def answer(self, seconds, speeds, tails=True):
-        """Let upstreams answer for some time, with one request at a time."""
+        """Let upstreams answer for some time, one request at a time."""
         until = self.now + seconds
         while self.now < until:
             self.now += 1 / ANSWERS_PER_SECOND
@@ -65,30 +63,30 @@
                 )
             self.effects += self.admission.refresh(self.now)
 
-    def test_equal_ones_stay_exactly_so_in_spite_of_long_tails(self):
+    def test_equal_upstreams_keep_equal_speeds_despite_long_tails(self):
         for _ in range(300):
             self.answer(0.2, [1.0] * 5)
             self.assertEqual([1.0] * 5, self.list_speeds())
         self.assertEqual([], self.effects)
 
-    def test_one_that_turns_slow_is_known_within_two_seconds(self):
+    def test_an_upstream_that_slows_down_is_detected_within_two_seconds(self):
         self.answer(4.0, [1.0] * 5)
         self.answer(2.0, [1 / 6, 1.0, 1.0, 1.0, 1.0])
         slow, *others = self.list_speeds()
         self.assertLess(slow, 0.5)
         self.assertEqual([1.0] * 4, others)
 
-    def test_one_that_is_well_again_has_its_share_within_six_seconds(self):
+    def test_an_upstream_that_recovers_has_its_share_within_six_seconds(self):
         self.answer(10.0, [1 / 6, 1.0, 1.0, 1.0, 1.0])
         self.answer(6.0, [1.0] * 5)
         self.assertEqual([1.0] * 5, self.list_speeds())
 
-    def test_one_that_gets_no_work_any_more_is_tried_again(self):
+    def test_a_slow_upstream_without_work_is_tried_again(self):
         self.answer(10.0, [1 / 6, 1.0, 1.0, 1.0, 1.0])
         self.answer(10.0, [0, 1.0, 1.0, 1.0, 1.0])
         self.assertEqual([1.0] * 5, self.list_speeds())
 
-    def test_machines_of_three_ages_are_told_apart(self):
+    def test_machines_of_three_speeds_are_distinguished(self):
         self.answer(6.0, [0.6, 1.0, 1.0, 1.0, 1.6])
         slow, *usual, fast = self.list_speeds()
         self.assertTrue(0.45 < slow < 0.8, slow)
@@ -103,29 +101,29 @@
         self.assertEqual(1.0, state.speed)
         self.assertIsNone(state.answer_statistics)
 
-    def test_a_queue_is_no_slowness(self):
+    def test_a_queue_does_not_make_an_upstream_slow(self):
         self.answer(6.0, [1.0] * 5, tails=False)
         queued = self.states[0]
-        # Eight on two slots: four turns.
+        # Eight requests on two slots wait for four rounds.
         queued.remote_busy = 8.0
         self.answer(4.0, [0.25, 1.0, 1.0, 1.0, 1.0], tails=False)
         self.assertEqual(1.0, queued.speed)
 
-    def test_one_that_fails_at_once_is_no_fast_one(self):
+    def test_an_upstream_that_fails_at_once_is_not_fast(self):
         self.answer(4.0, [1.0] * 5)
         self.answer(4.0, [20.0, 1.0, 1.0, 1.0, 1.0], tails=False)
         self.assertEqual([1.0] * 5, self.list_speeds())
 
-    def test_one_peer_that_errs_changes_nothing(self):
-        # What it may say of an upstream at most, besides the true word of 25
-        # answers a second.
-        for said in (
+    def test_a_single_wrong_peer_changes_nothing(self):
+        # The largest possible report on an upstream, besides the true one of
+        # 25 answers a second.
+        for mean in (
             upstream_load.MAXIMUM_MEAN_SLOWNESS,
             -upstream_load.MAXIMUM_MEAN_SLOWNESS,
         ):
             self.answer(4.0, [1.0] * 5)
             self.states[0].remote_answers = MOST
-            self.states[0].remote_slowness = MOST * said
+            self.states[0].remote_slowness = MOST * mean
             self.answer(1.0, [1.0] * 5)
             self.assertEqual([1.0] * 5, self.list_speeds())
 
@@ -139,7 +137,7 @@
         self.assertLess(slow, 0.5)
         self.assertEqual([1.0] * 4, others)
 
-    def test_what_changes_is_said_once_with_its_grounds(self):
+    def test_a_change_is_recorded_once_with_its_figures(self):
         self.answer(4.0, [1.0] * 5)
         self.answer(4.0, [0.3, 1.0, 1.0, 1.0, 1.0])
         self.answer(8.0, [1.0] * 5)
@@ -154,27 +152,27 @@
         self.assertEqual(0.0, slow.details['peers_answers'])
         self.assertGreater(usual.details['lasted_ms'], 3000)
 
-    def test_switched_off_nothing_is_kept(self):
+    def test_when_disabled_nothing_is_kept(self):
         self.build(speed_tolerance=0.0)
         self.answer(6.0, [0.3, 1.0, 1.0, 1.0, 1.0])
         self.assertEqual([1.0] * 5, self.list_speeds())
         kept = {each.answer_statistics for each in self.states}
         self.assertEqual({None}, kept)
 
-    def test_gauges_tell_the_slowest_and_the_busiest(self):
+    def test_gauges_of_the_slowest_and_the_busiest(self):
         self.assertEqual(0, self.directory.count_slow())
         self.assertEqual(1.0, self.directory.find_slowest())
         self.answer(8.0, [0.5, 1.0, 1.0, 1.0, 1.0])
         slow = self.states[0]
         self.assertEqual(1, self.directory.count_slow())
         self.assertEqual(slow.speed, self.directory.find_slowest())
-        # Nobody has work: how soon the next request would be answered.
+        # No upstream has requests: the time until another would be answered.
         soon = 1 / slow.speed
         self.assertAlmostEqual(
             soon * 5 / (soon + 4), self.directory.compute_busiest(self.now)
         )
 
-    def test_where_a_flow_is_opened_its_speed_is_said(self):
+    def test_an_opened_flow_records_the_speed(self):
         core = samples.build_core(samples.build_upstream(1))
         next(iter(core.directory)).speed = 0.5
         opened, _ = core.handle_packet(0.0, samples.build_first(1))
@@ -190,9 +188,9 @@
 
 
 class FleetTest(testtools.TestCase):
-    """Many instances, each with a part of the answers, and old words."""
+    """Many instances, each with a part of the answers, and stale reports."""
 
-    def test_equal_ones_stay_so(self):
+    def test_equal_upstreams_keep_equal_speeds(self):
         for count, upstreams, age in (
             (1, 9, 0.2),
             (7, 9, 0.2),
@@ -204,9 +202,9 @@
             )
             for step in range(1, 7):
                 fleet.run(step)
-                self.assertEqual([1.0] * upstreams, fleet.list_known())
+                self.assertEqual([1.0] * upstreams, fleet.list_speeds())
 
-    def test_three_ages_are_told_apart_by_all(self):
+    def test_three_speeds_are_distinguished_by_all_instances(self):
         for count, upstreams, age in (
             (1, 9, 0.2),
             (7, 9, 0.4),
@@ -216,7 +214,7 @@
             fleet = simulation.SimulatedFleet(count, speeds, age, 0.5)
             fleet.run(8.0)
             known = collections.defaultdict(list)
-            for speed, each in zip(speeds, fleet.list_known()):
+            for speed, each in zip(speeds, fleet.list_speeds()):
                 known[speed].append(each)
             slow, usual, fast = (
                 sum(known[each]) / len(known[each]) for each in UNEQUAL
@@ -245,7 +243,7 @@
                 waits.append(fleet.compute_wait())
             self.assertLess(waits[0], waits[1], (count, age))
 
-    def test_six_hundred_do_not_all_choose_the_same(self):
+    def test_six_hundred_instances_do_not_all_choose_the_same(self):
         speeds = [UNEQUAL[n % 3] for n in range(24)]
         waits = []
         for trust in (4.0, 0.0):
@@ -257,10 +255,12 @@
             waits.append(fleet.compute_wait())
         self.assertLess(waits[0], waits[1] / 2)
 
-    def test_one_liar_among_seven_sends_nobody_astray(self):
-        lie = (0, 0.0, MOST, MOST * upstream_load.MAXIMUM_MEAN_SLOWNESS)
-        told = [lie] + [(0, 0.0, 0.0, 0.0)] * 8
-        fleet = simulation.SimulatedFleet(7, [1.0] * 9, 0.2, 0.5, told=told)
+    def test_one_false_report_among_seven_changes_nothing(self):
+        report = (0, 0.0, MOST, MOST * upstream_load.MAXIMUM_MEAN_SLOWNESS)
+        reports = [report] + [(0, 0.0, 0.0, 0.0)] * 8
+        fleet = simulation.SimulatedFleet(
+            7, [1.0] * 9, 0.2, 0.5, reports=reports
+        )
         for step in range(2, 7):
             fleet.run(step)
-            self.assertEqual([1.0] * 9, fleet.list_known())
+            self.assertEqual([1.0] * 9, fleet.list_speeds())
--- a/skylarkfold/tests/affinity/test_state_machine.py
+++ b/skylarkfold/tests/affinity/test_state_machine.py
@@ -1,4 +1,4 @@
-"""Instances with differing views against an oracle that knows the truth."""
+"""Stateful test of instances with differing views against an oracle."""
 
 import collections
 import itertools
@@ -13,18 +13,20 @@
 
 INSTANCES = ('one', 'two', 'three')
 NAMES = strategies.sampled_from(INSTANCES)
-# Names end in a running number above this; the token is the lowest 32 bits.
+# The number of an upstream has a serial number above this bit; the token is
+# the lowest 32 bits.
 TOKEN_BITS = 32
-# Copies of first packets acknowledge less, later packets more.
-LEAST_ACKNOWLEDGED = 100
-BEGUN = 3
-# A caller that is not answered repeats its packet every now and then.
+# Copies of first packets have smaller acknowledgement numbers, later packets
+# larger ones.
+MINIMUM_ACKNOWLEDGED = 100
+INITIAL_UPSTREAMS = 3
+# A caller without an answer repeats its packet at this interval.
 SILENT_STEPS = 6
 SILENT_SECONDS = 0.25
 
 
 class Process:
-    """An upstream as it is, whatever instances believe."""
+    """An upstream's actual state, whatever instances believe."""
 
     def __init__(self, upstream):
         self.upstream = upstream
@@ -40,18 +42,18 @@
         self.key = samples.build_flow(number)
         self.number = number
         self.process = None
-        self.is_over = False
+        self.is_ended = False
         self.sequence = 101
 
     @property
     def is_living(self):
         """Whether its upstream still holds it."""
         is_held = self.process is not None and self.process.is_alive
-        return is_held and not self.is_over
+        return is_held and not self.is_ended
 
 
 class Instance:
-    """A core with what it has been told."""
+    """A core and what it has been told."""
 
     def __init__(self):
         self.core = affinity.AffinityCore(
@@ -63,11 +65,11 @@
         self.is_cut = False
 
     def knows(self, process):
-        """Tell whether it was told of a process, which nothing replaced."""
+        """Return whether it has been told of a process."""
         return process.upstream.name in self.known
 
     def is_draining(self, name):
-        """Tell whether the last entry that it saw said so."""
+        """Return whether the last entry that it saw is draining."""
         return self.known[name].is_draining
 
 
@@ -77,7 +79,8 @@
         self.now = 0.0
         self.revisions = itertools.count(1)
         self.numbers = itertools.count(1)
-        # What the store held, each with the version of the routes.
+        # The versions of the routes in the store, and whether each has the
+        # route.
         self.versions = [(1, True)]
         self.processes = []
         self.flows = {}
@@ -85,7 +88,7 @@
 
     @stateful.initialize()
     def begin(self):
-        for position in range(BEGUN):
+        for position in range(INITIAL_UPSTREAMS):
             self.start(position + 1, position, samples.SERVICE)
         self.learn_all()
         self.open_flows(['one'])
@@ -105,8 +108,8 @@
     def living(self):
         return [each for each in self.processes if each.is_alive]
 
-    def list_alone(self):
-        """List those whose token no other process has."""
+    def list_unique_tokens(self):
+        """List living processes whose token no other process has."""
         tokens = [each.upstream.token for each in self.processes]
         return [
             each
@@ -121,7 +124,7 @@
         return None
 
     def perform(self, name, effects):
-        """Perform effects and give the truth back."""
+        """Perform effects and return their actual results."""
         pending = list(effects)
         while pending:
             wanted = pending.pop(0)
@@ -144,7 +147,7 @@
         return affinity.ProbeOutcome.ALIVE
 
     def deliver(self, wanted):
-        """Bring a packet to whoever is at the address and is meant."""
+        """Deliver a packet if the process at its address is the right one."""
         process = self.find_at(wanted.upstream.address)
         if process is None or process.upstream.name != wanted.upstream.name:
             return
@@ -158,75 +161,75 @@
 
     def check_reset(self, name, wanted):
         flow = self.flows[wanted.flow]
-        is_answer = wanted.acknowledged < LEAST_ACKNOWLEDGED
+        is_answer = wanted.acknowledged < MINIMUM_ACKNOWLEDGED
         if is_answer and flow.process is not None:
-            # It answers a copy of the first packet, and its number is far
-            # from what the caller of an open flow expects: no effect.
+            # It answers a copy of the first packet, and its number is far from
+            # what the caller of an open flow expects: it has no effect.
             return
         if flow.is_living:
-            # Only a configuration without the route ends a living flow.
+            # Only a configuration without the route may reset a living flow.
             has_route = self.instances[name].has_route
             assert not has_route, 'a living flow was reset'
-        flow.is_over = True
+        flow.is_ended = True
 
     @stateful.rule(
-        token=strategies.integers(1, BEGUN),
-        position=strategies.integers(0, BEGUN),
+        token=strategies.integers(1, INITIAL_UPSTREAMS),
+        position=strategies.integers(0, INITIAL_UPSTREAMS),
         service=strategies.sampled_from(
             [samples.SERVICE, samples.SERVICE, samples.OTHER_SERVICE]
         ),
-        is_told=strategies.booleans(),
+        is_announced=strategies.booleans(),
     )
-    def start_upstream(self, token, position, service, is_told):
-        """Start one; it may share its token and reuse an address.
+    def start_upstream(self, token, position, service, is_announced):
+        """Start an upstream, which may share a token and reuse an address.
 
-        An instance that starts later knows nothing of a process that has
-        left, and so can't tell that a newcomer has its token: only one that
-        is there shares it here.
+        An instance that starts later knows nothing of a process that has left,
+        and cannot tell that a new one has its token: tokens are shared only
+        with processes that still have an entry.
         """
-        gone = [each for each in self.processes if not each.has_entry]
-        if any(each.upstream.token == token for each in gone):
+        removed = [each for each in self.processes if not each.has_entry]
+        if any(each.upstream.token == token for each in removed):
             return
         if self.find_at((f'10.0.0.{position}', 8080)) is None:
             self.start(token, position, service)
-        if is_told:
+        if is_announced:
             self.learn_all()
             self.open_flows(['one'])
 
     @stateful.rule(data=strategies.data())
     def crash(self, data):
-        alone = self.list_alone()
-        if alone:
-            process = data.draw(strategies.sampled_from(alone))
+        unique = self.list_unique_tokens()
+        if unique:
+            process = data.draw(strategies.sampled_from(unique))
             process.is_alive = False
             process.has_entry = False
 
     @stateful.rule(data=strategies.data())
     def lapse(self, data):
-        """Take away the entry of a living upstream."""
-        alone = self.list_alone()
-        if alone:
-            process = data.draw(strategies.sampled_from(alone))
+        """Remove the entry of a living upstream."""
+        unique = self.list_unique_tokens()
+        if unique:
+            process = data.draw(strategies.sampled_from(unique))
             process.has_entry = False
 
     @stateful.rule()
-    def come_back(self):
-        """Give entries back; they are created anew."""
+    def restore_entries(self):
+        """Restore the entries of living upstreams by creating them anew."""
         for process in self.living:
             if not process.has_entry:
                 process.has_entry = True
                 process.upstream.created = next(self.revisions)
 
     @stateful.rule(data=strategies.data())
-    def renew(self, data):
-        """Take an entry away and create it anew, with all watching."""
-        alone = [each for each in self.list_alone() if each.has_entry]
-        if not alone:
+    def recreate_entry(self, data):
+        """Remove an entry and create it anew, with all instances notified."""
+        unique = [each for each in self.list_unique_tokens() if each.has_entry]
+        if not unique:
             return
-        process = data.draw(strategies.sampled_from(alone))
+        process = data.draw(strategies.sampled_from(unique))
         process.has_entry = False
         self.learn_all()
-        self.come_back()
+        self.restore_entries()
         self.learn_all()
 
     @stateful.rule(data=strategies.data())
@@ -242,7 +245,7 @@
 
     @stateful.rule(name=NAMES, is_stale=strategies.booleans())
     def learn(self, name, is_stale):
-        """Have an instance learn what the store says, or said before."""
+        """Send an instance the present or the previous routes of the store."""
         instance = self.instances[name]
         version, has_route = self.versions[-1]
         if is_stale and len(self.versions) > 1:
@@ -273,7 +276,7 @@
 
     @stateful.rule(names=strategies.lists(NAMES, min_size=1, max_size=3))
     def open_flows(self, names):
-        """Open one flow for each upstream there may be."""
+        """Open a flow for each living upstream."""
         for _ in range(len(self.living)):
             self.open_flow(names)
 
@@ -289,15 +292,15 @@
                 if isinstance(wanted, affinity.Forward):
                     assert not instance.is_draining(wanted.upstream.name)
             self.perform(name, effects)
-        self.send_on(flow, names[0])
+        self.send_request(flow, names[0])
 
     @stateful.rule(name=NAMES)
     def send(self, name):
-        """Send a request of each living flow through any instance."""
+        """Send a request on each living flow through one instance."""
         for flow in list(self.flows.values()):
-            self.send_on(flow, name)
+            self.send_request(flow, name)
 
-    def send_on(self, flow, name):
+    def send_request(self, flow, name):
         if not flow.is_living:
             return
         flow.sequence += 100
@@ -312,8 +315,8 @@
         self.perform(name, effects)
 
     @stateful.rule(name=NAMES, is_cut=strategies.booleans())
-    def wait_in_vain(self, name, is_cut):
-        """Have callers repeat what nobody answers, behind a cut or not."""
+    def repeat_unanswered(self, name, is_cut):
+        """Have callers repeat unanswered requests, maybe behind a cut."""
         instance = self.instances[name]
         instance.is_cut = is_cut
         flows = [each for each in self.flows.values() if each.is_living]
@@ -343,7 +346,7 @@
                 self.perform(name, instance.core.tick(self.now))
 
     @stateful.invariant()
-    def versions_do_not_fall(self):
+    def versions_never_decrease(self):
         for instance in self.instances.values():
             assert max(instance.core.version, 0) == instance.version
 
--- a/skylarkfold/tests/affinity/test_token.py
+++ b/skylarkfold/tests/affinity/test_token.py
@@ -14,7 +14,7 @@
         effects = core.handle_packet(0.0, packet)
         self.assertEqual([upstream.name], samples.list_forwards(effects))
 
-    def test_a_lapsed_entry_is_no_dead_upstream(self):
+    def test_flows_of_a_lapsed_upstream_continue(self):
         upstream = samples.build_upstream(1)
         core = samples.build_core(upstream, samples.build_upstream(2))
         core.set_upstreams(1.0, [samples.build_upstream(2)])
@@ -33,7 +33,7 @@
         late = core.handle_packet(4.0, samples.build_first(2))
         self.assertEqual(1, len(samples.list_resets(late)))
 
-    def test_an_address_with_a_new_owner_ends_the_flows_of_the_old(self):
+    def test_a_new_owner_of_an_address_resets_the_flows_of_the_old(self):
         old = samples.build_upstream(1, address=('10.0.0.9', 8080))
         core = samples.build_core(old)
         packet = samples.build_packet(1, old.token, length=10)
@@ -69,7 +69,7 @@
         effects = core.set_upstreams(0.1, [samples.build_upstream(1), new])
         self.assertEqual([new.name], samples.list_forwards(effects))
 
-    def test_what_waits_is_bounded_in_number_and_time(self):
+    def test_held_packets_are_bounded_in_number_and_time(self):
         core = samples.build_core(samples.build_upstream(1))
         for port in range(2000):
             core.handle_packet(0.0, samples.build_packet(port, 99))
@@ -89,8 +89,8 @@
         self.assertEqual([packet.flow], samples.list_resets(effects))
 
     def test_a_route_that_is_not_known_yet_ends_no_flow(self):
-        # Whoever opened the flow knew it. What this instance knows is old,
-        # or a copy from which the store has come back.
+        # The instance that opened the flow knew the route. This one's routes
+        # are old, or from a store restored from a copy.
         upstream = samples.build_upstream(1)
         core = affinity.AffinityCore(samples.ZONE, affinity.AffinitySettings())
         core.set_routes(0.0, affinity.RouteTable(3, []))
@@ -98,7 +98,7 @@
         packet = samples.build_packet(1, upstream.token, length=10)
         effects = core.handle_packet(0.1, packet)
         self.assertEqual([upstream.name], samples.list_forwards(effects))
-        # That it isn't there is certain now.
+        # Its removal is now confirmed.
         core.note_confirmed(0.2)
         again = samples.build_packet(1, upstream.token, 111, length=10)
         effects = core.handle_packet(0.3, again)
--- a/skylarkfold/tests/affinity/test_upstream_sync.py
+++ b/skylarkfold/tests/affinity/test_upstream_sync.py
@@ -1,9 +1,8 @@
-"""What is said of the upstreams when an instance first hears of them.
+"""Tests of the records about upstreams when an instance first learns them.
 
-At a start of everything every instance hears of up to 3,800 of them at
-once, while its callers wait, and holds 4,096 lines at most until there is
-time to write: a line for each would take the place of those about the
-process. Below a few hundred each upstream has its line.
+At a start of the whole system, each instance learns of up to 3,800 upstreams
+at once and buffers at most 4,096 log lines: a line for each upstream would
+displace others. Below a few hundred, each upstream has its own line.
 """
 
 import testtools
@@ -12,7 +11,7 @@
 from skylarkfold.tests.affinity import samples
 
 
-def list_said(effects):
+def list_records(effects):
     return [
         (each.kind, each.reason, each.details)
         for each in effects
@@ -27,7 +26,7 @@
         self.core = affinity.AffinityCore(samples.ZONE, settings)
 
     def set_upstreams(self, count, first=1):
-        return list_said(
+        return list_records(
             self.core.set_upstreams(
                 1.0,
                 [
@@ -40,20 +39,20 @@
             )
         )
 
-    def test_many_are_said_in_one_line(self):
-        said = self.set_upstreams(3800)
+    def test_many_upstreams_are_recorded_together(self):
+        records = self.set_upstreams(3800)
         zones = {samples.ZONE: 1900, samples.OTHER_ZONE: 1900}
         details = {'upstreams': 3800, 'zones': zones}
-        self.assertEqual([('upstream', 'listed', details)], said)
+        self.assertEqual([('upstream', 'listed', details)], records)
         self.assertEqual(3800, len(self.core.directory))
 
-    def test_few_have_a_line_each(self):
-        said = self.set_upstreams(100)
-        self.assertEqual(['added'] * 100, [reason for _, reason, _ in said])
+    def test_few_upstreams_have_a_record_each(self):
+        records = self.set_upstreams(100)
+        self.assertEqual(['added'] * 100, [reason for _, reason, _ in records])
 
-    def test_whatever_changes_later_has_a_line_each(self):
+    def test_later_changes_have_a_record_each(self):
         self.set_upstreams(300)
-        said = self.set_upstreams(300, first=301)
-        reasons = [reason for _, reason, _ in said]
+        records = self.set_upstreams(300, first=301)
+        reasons = [reason for _, reason, _ in records]
         self.assertEqual(300, reasons.count('added'))
         self.assertEqual(300, reasons.count('lapsed'))
--- a/skylarkfold/tests/affinity/test_warm_up.py
+++ b/skylarkfold/tests/affinity/test_warm_up.py
@@ -16,7 +16,7 @@
 ZONES = ('caerdydd', 'abertawe', 'casnewydd')
 WARM_UP_SECONDS = 2.0
 SLACK = 5
-# Long enough for an instance to own something.
+# Long enough for an instance to become an owner.
 SETTLED = 6.0
 COPY_SECONDS = 0.2
 
@@ -44,7 +44,7 @@
 
 
 def count_worst(times):
-    """Count the most openings in any second."""
+    """Count the most first packets in any second."""
     times = sorted(times)
     worst = begin = 0
     for place, at in enumerate(times):
@@ -57,18 +57,21 @@
 class FleetTest(testtools.TestCase):
     """All instances of a fleet place flows on upstreams that warm up."""
 
-    def play(self, instances, cold, warm, per_second, routes=None):
-        """Open flows for as long as upstreams warm up.
+    def run_fleet(self, instances, cold, warm, per_second, routes=None):
+        """Open flows while upstreams warm up.
 
-        :returns: times of first packets by upstream, and flows refused.
+        :returns: the times of first packets by upstream, and the refused
+            flows.
         """
         cores = {}
         for number in range(instances):
             zone = ZONES[number % len(ZONES)]
             cores[f'entry-{number}'] = build_core(zone, routes)
         for name, core in cores.items():
-            mates = [each for each in cores if cores[each]._zone == core._zone]
-            core.set_mates(0.0, name, set(mates) - {name})
+            zone_peers = [
+                each for each in cores if cores[each]._zone == core._zone
+            ]
+            core.set_mates(0.0, name, set(zone_peers) - {name})
         upstreams = [
             samples.build_upstream(
                 number + 1,
@@ -100,28 +103,28 @@
 
     def test_the_limit_holds_in_fleets_of_any_size(self):
         for instances, flows in ((7, 300), (84, 500), (195, 1000)):
-            openings, _ = self.play(instances, 20, 40, flows)
+            openings, _ = self.run_fleet(instances, 20, 40, flows)
             self.check_limit(openings)
 
     def test_it_holds_where_all_of_a_service_warms_up(self):
         for instances in (7, 84):
-            openings, refused = self.play(instances, 12, 0, 500)
+            openings, refused = self.run_fleet(instances, 12, 0, 500)
             self.check_limit(openings)
             self.assertGreater(refused, 0)
 
     def count_used(self, openings):
         return sum(len(openings[name]) for name in self.cold)
 
-    def test_some_of_it_is_used_where_the_warm_ones_are_busy(self):
-        openings, _ = self.play(84, 20, 2, 500)
+    def test_part_of_the_limit_is_used_while_the_others_are_busy(self):
+        openings, _ = self.run_fleet(84, 20, 2, 500)
         self.check_limit(openings)
         self.assertGreater(self.count_used(openings), 0)
 
-    def test_a_service_that_bears_more_gets_more(self):
+    def test_a_service_with_a_higher_limit_gets_more(self):
         routes = build_routes(per_second=40.0)
-        openings, _ = self.play(84, 20, 40, 2000, routes)
+        openings, _ = self.run_fleet(84, 20, 40, 2000, routes)
         self.check_limit(openings, limit=40 * 1.5 + SLACK)
-        others, _ = self.play(84, 20, 40, 2000)
+        others, _ = self.run_fleet(84, 20, 40, 2000)
         self.assertGreater(self.count_used(openings), self.count_used(others))
 
 
@@ -139,15 +142,15 @@
             names += samples.list_forwards(effects)
         return names
 
-    def set_upstreams(self, now, *lefts, revision=1):
-        """Tell of upstreams, and how much longer each warms up."""
+    def set_upstreams(self, now, *remaining, revision=1):
+        """Set upstreams and the remaining warm-up of each."""
         self.core.set_upstreams(
             now,
             [
                 samples.build_upstream(
-                    number + 1, warm_up_seconds=left, revision=revision
+                    number + 1, warm_up_seconds=seconds, revision=revision
                 )
-                for number, left in enumerate(lefts)
+                for number, seconds in enumerate(remaining)
             ],
         )
 
@@ -158,7 +161,7 @@
         counted = collections.Counter(names)
         self.assertLessEqual(counted['i-0000000002'], SLACK)
 
-    def test_what_none_may_take_is_refused_at_once(self):
+    def test_a_flow_that_no_upstream_may_take_is_refused_at_once(self):
         self.set_upstreams(SETTLED, 2.0, 2.0)
         names = self.open_flows(SETTLED, range(40))
         self.assertLessEqual(len(names), 2 * SLACK)
@@ -166,7 +169,7 @@
         effects = self.core.handle_packet(SETTLED, packet)
         self.assertEqual(1, len(samples.list_resets(effects)))
 
-    def test_one_that_is_warm_takes_all_again(self):
+    def test_an_upstream_is_unlimited_after_its_warm_up(self):
         self.set_upstreams(SETTLED, 2.0)
         names = self.open_flows(SETTLED + WARM_UP_SECONDS, range(40))
         self.assertEqual(40, len(names))
@@ -177,7 +180,7 @@
         names = self.open_flows(SETTLED + 2.01, range(40))
         self.assertEqual(40, len(names))
 
-    def test_an_entry_that_says_so_anew_counts_anew(self):
+    def test_an_entry_may_start_another_warm_up(self):
         self.set_upstreams(SETTLED, 0.0, 0.0)
         self.set_upstreams(SETTLED + 9.0, 2.0, 0.0, revision=2)
         names = self.open_flows(SETTLED + 9.1, range(40))
@@ -194,7 +197,7 @@
         self.assertEqual(1, self.core.directory.count_warming(SETTLED + 1.9))
         self.assertEqual(0, self.core.directory.count_warming(SETTLED + 2.0))
 
-    def test_a_zone_that_is_taken_back_is_met_over_a_while(self):
+    def test_a_zone_warms_up_after_its_evacuation(self):
         self.set_upstreams(0.0, 0.0, 0.0)
         zone = samples.ZONE
         evacuated = affinity.Evacuations({zone: 3})
@@ -206,7 +209,7 @@
         names = self.open_flows(later, range(50, 90))
         self.assertEqual(40, len(names))
 
-    def test_copies_count(self):
+    def test_copies_count_for_the_limit(self):
         self.set_upstreams(SETTLED, 2.0)
         sent = self.open_flows(SETTLED, [1])
         for step in range(1, 40):
@@ -233,7 +236,7 @@
         self.core.set_upstreams(SETTLED, [upstream])
         self.assertEqual([], self.open_flows(SETTLED, range(9)))
 
-    def test_mates_that_fell_silent_still_count(self):
+    def test_silent_instances_of_the_zone_still_count(self):
         names = [f'entry-{number}' for number in range(30)]
         limits = {
             name: _warm_up.WarmUpLimiter(samples.ZONE, build_settings())
@@ -246,7 +249,7 @@
         upstream = samples.build_upstream(1, warm_up_seconds=2.0)
         allowed = 0
         for limit in limits.values():
-            # Each has a view of its own.
+            # Each instance has its own state.
             state = _upstream_state.UpstreamState(upstream, SETTLED)
             allowed += limit.allows_first_packet(SETTLED, state)
         self.assertEqual(1, allowed)
@@ -259,7 +262,7 @@
         self.core = core
         self.assertEqual(40, len(self.open_flows(SETTLED, range(40))))
 
-    def test_how_slow_they_are_is_learnt(self):
+    def test_their_slowness_is_learnt(self):
         self.set_upstreams(0.0, 0.0, 60.0)
         slowness = self.core.directory.get('i-0000000002').slowness
         for port in range(60):
@@ -271,7 +274,7 @@
         self.assertTrue(0.28 < slowness.share < 0.39, slowness.share)
 
     def answer(self, now, name, port, seconds):
-        """Have a flow of an upstream ask and be answered."""
+        """Have an upstream answer a request of one of its flows."""
         token = int(name[2:], 16)
         port += token * 1000
         for sequence, wait, length in ((101, 0.0, 100), (201, seconds, 0)):
@@ -282,7 +285,7 @@
 
 
 class Upstream:
-    """An upstream as it is."""
+    """An upstream's actual state."""
 
     def __init__(self, number, zone):
         self.number = number
@@ -293,7 +296,7 @@
 
 
 class Instance:
-    """An instance with what it has been told."""
+    """An instance and what it has been told."""
 
     def __init__(self, name, zone, now):
         self.name = name
@@ -304,10 +307,10 @@
 
 
 class WarmUpMachine(stateful.RuleBasedStateMachine):
-    """Zones are evacuated, upstreams and instances come, paths are cut.
+    """Evacuations, starts of upstreams and instances, and partitions.
 
-    Upstreams turn cold as they start, and while their zone is evacuated.
-    An instance behind a cut learns nothing and goes on.
+    Upstreams need to warm up after their start and after an evacuation. An
+    instance that is cut off learns nothing and continues.
     """
 
     def __init__(self):
@@ -326,26 +329,26 @@
                 self.add_instance(zone, 0.0)
             for _ in range(2):
                 self.upstreams.append(Upstream(next(self.numbers), zone))
-        self.tell()
+        self.announce()
 
     def add_instance(self, zone, now):
         name = f'entry-{next(self.numbers)}'
         self.instances.append(Instance(name, zone, now))
 
-    def tell(self):
-        """Have all that are not cut off learn how things are."""
+    def announce(self):
+        """Announce the present state to all instances that are not cut off."""
         for instance in self.instances:
             if not instance.is_cut:
-                self.tell_one(instance)
+                self.announce_to(instance)
 
-    def tell_one(self, instance):
-        mates = [
+    def announce_to(self, instance):
+        zone_peers = [
             each.name
             for each in self.instances
             if each.zone == instance.zone and each is not instance
         ]
         core = instance.core
-        core.set_mates(instance.begun_at, instance.name, mates)
+        core.set_mates(instance.begun_at, instance.name, zone_peers)
         core.set_evacuations(
             self.now, affinity.Evacuations(dict(self.evacuated))
         )
@@ -367,52 +370,53 @@
         upstream = Upstream(next(self.numbers), zone)
         upstream.warm_at = self.now + WARM_UP_SECONDS
         self.upstreams.append(upstream)
-        self.tell()
+        self.announce()
 
     @stateful.rule(zone=strategies.sampled_from(ZONES[:2]))
     def start_instance(self, zone):
         self.add_instance(zone, self.now)
-        self.tell()
+        self.announce()
 
     @stateful.rule(data=strategies.data())
     def cut_or_join(self, data):
         instance = data.draw(strategies.sampled_from(self.instances))
         instance.is_cut = not instance.is_cut
-        self.tell()
+        self.announce()
 
     @stateful.rule(zone=strategies.sampled_from(ZONES[:2]))
     def evacuate(self, zone):
         if zone not in self.evacuated:
             self.evacuated[zone] = next(self.numbers)
-            self.tell()
+            self.announce()
 
     @stateful.rule(
-        zone=strategies.sampled_from(ZONES[:2]), is_told=strategies.booleans()
+        zone=strategies.sampled_from(ZONES[:2]),
+        is_announced=strategies.booleans(),
     )
-    def take_back(self, zone, is_told):
-        """Take a zone back, cold; entries may say so a little later."""
+    def end_evacuation(self, zone, is_announced):
+        """End an evacuation; entries may announce the warm-up later."""
         if zone not in self.evacuated:
             return
         if any(each.is_cut for each in self.instances):
-            # One that does not know of the evacuation would not know of
-            # the cold either.
+            # An instance that does not know of the evacuation would not know
+            # of the warm-up either.
             return
         del self.evacuated[zone]
-        if not is_told:
-            self.tell()
+        if not is_announced:
+            self.announce()
         for upstream in self.upstreams:
             if upstream.zone == zone:
                 upstream.warm_at = self.now + WARM_UP_SECONDS
                 upstream.revision = next(self.numbers)
-        if is_told:
-            self.tell()
+        if is_announced:
+            self.announce()
 
     @stateful.rule(seconds=strategies.sampled_from([0.3, 1.0, 5.0]))
     def wait(self, seconds):
         self.now += seconds
         for instance in self.instances:
             instance.core.tick(self.now)
-        self.tell()
+        self.announce()
 
     @stateful.rule(seconds=strategies.sampled_from([0.1, 1.0]))
     def open_flows(self, seconds):
@@ -432,7 +436,7 @@
                     upstream.openings.append(self.now)
 
     @stateful.invariant()
-    def no_upstream_gets_more_than_the_limit(self):
+    def no_upstream_exceeds_the_limit(self):
         for upstream in self.upstreams:
             begin = upstream.warm_at - WARM_UP_SECONDS
             cold = [
--- a/skylarkfold/tests/affinity/test_zone_loss.py
+++ b/skylarkfold/tests/affinity/test_zone_loss.py
@@ -1,4 +1,4 @@
-"""Tests of a whole zone that falls silent, before thousands of upstreams."""
+"""Tests of a zone with a thousand upstreams that falls silent."""
 
 import testtools
 
@@ -6,14 +6,14 @@
 from skylarkfold.tests.affinity import samples
 
 # A third of 3,000 upstreams, the size of a fleet of 300 instances.
-LOST = 1000
-USED = 5
+LOST_UPSTREAMS = 1000
+USED_UPSTREAMS = 5
 TICK_SECONDS = 0.01
-PLAYED_SECONDS = 3.0
-# What an instance may have under way at once: a probe and its control for
-# each upstream that it has flows with, and for a zone of today's size.
-SAMPLED = 32
-MOST_PROBES = 2 * (USED + SAMPLED)
+RUN_SECONDS = 3.0
+# The most probes in flight: a probe and its control for each upstream with
+# flows here, and for a zone at the suspect limit.
+SUSPECT_LIMIT = 32
+MAXIMUM_PROBES = 2 * (USED_UPSTREAMS + SUSPECT_LIMIT)
 
 
 class ZoneLossTest(testtools.TestCase):
@@ -31,14 +31,14 @@
                 zone=samples.OTHER_ZONE,
                 address=(f'10.2.{number >> 8}.{number & 255}', 80),
             )
-            for number in range(LOST)
+            for number in range(LOST_UPSTREAMS)
         ]
         self.core = samples.build_core(*self.near, *self.far)
         self.lost = {each.name for each in self.far}
         self.now = 0.0
         self.due = []
         self.probes = 0
-        self.most = 0
+        self.maximum_in_flight = 0
         self.opened = []
         self.resets = []
 
@@ -49,7 +49,7 @@
                 is_lost = each.upstream.name in self.lost
                 seconds = each.timeout_seconds if is_lost else 0.003
                 self.due.append((self.now + seconds, each.upstream))
-        self.most = max(self.most, len(self.due))
+        self.maximum_in_flight = max(self.maximum_in_flight, len(self.due))
         self.resets += samples.list_resets(effects)
 
     def run_until(self, until):
@@ -77,15 +77,16 @@
             )
             self.perform(self.core.handle_packet(self.now, packet))
 
-    def play(self):
+    def run_outage(self):
         """Have the zone fall silent while callers use some of it."""
-        used = self.far[:USED]
+        used = self.far[:USED_UPSTREAMS]
         self.use([*used, *self.near], 101)
-        for step in range(int(PLAYED_SECONDS / 0.05)):
+        for step in range(int(RUN_SECONDS / 0.05)):
             self.run_until((step + 1) * 0.05)
             self.use(self.near, 201 + 100 * step)
             if step in (3, 11):
-                # Those of the lost zone are not answered: callers repeat.
+                # Requests to the lost zone are not answered, so callers repeat
+                # them.
                 for upstream in used:
                     port = upstream.number & 0xFFF | upstream.number >> 4
                     packet = samples.build_packet(
@@ -94,21 +95,21 @@
                     effects = self.core.handle_packet(self.now, packet)
                     self.perform(effects)
 
-    def test_few_probes_are_under_way(self):
-        self.play()
-        self.assertLessEqual(self.most, MOST_PROBES)
+    def test_few_probes_are_in_flight(self):
+        self.run_outage()
+        self.assertLessEqual(self.maximum_in_flight, MAXIMUM_PROBES)
 
     def test_they_do_not_grow_with_the_zone(self):
-        self.play()
-        rounds = PLAYED_SECONDS / 0.4 + 2
-        self.assertLess(self.probes, MOST_PROBES * rounds)
+        self.run_outage()
+        rounds = RUN_SECONDS / 0.4 + 2
+        self.assertLess(self.probes, MAXIMUM_PROBES * rounds)
 
-    def test_flows_of_those_that_are_used_are_reset(self):
-        self.play()
-        self.assertEqual(USED, len(set(self.resets)))
+    def test_flows_of_used_upstreams_are_reset(self):
+        self.run_outage()
+        self.assertEqual(USED_UPSTREAMS, len(set(self.resets)))
 
     def test_no_new_flow_goes_there(self):
-        self.play()
+        self.run_outage()
         for port in range(20000, 20100):
             effects = self.core.handle_packet(
                 self.now, samples.build_first(port)
@@ -117,19 +118,21 @@
             zone = self.core.directory.get(name).upstream.zone
             self.assertNotEqual(samples.OTHER_ZONE, zone)
 
-    def test_what_peers_found_lost_is_probed_and_passed_on(self):
+    def test_an_upstream_that_peers_report_unreachable_is_probed(self):
         far = self.far[7]
         effects = self.core.handle_unreachable(1.0, [far.incarnation])
         self.assertEqual([far.name], samples.list_probes(effects))
 
-    def test_beyond_a_zone_of_them_they_are_passed_by_without_a_probe(self):
-        lost = [each.incarnation for each in self.far]
-        effects = self.core.handle_unreachable(1.0, lost)
-        self.assertEqual(SAMPLED, len(samples.list_probes(effects)))
+    def test_beyond_the_suspect_limit_upstreams_are_deprioritized_unprobed(
+        self,
+    ):
+        reported = [each.incarnation for each in self.far]
+        effects = self.core.handle_unreachable(1.0, reported)
+        self.assertEqual(SUSPECT_LIMIT, len(samples.list_probes(effects)))
         state = self.core.directory.get(self.far[-1].name)
         self.assertGreater(state.deprioritized_until, 4.0)
 
-    def test_one_that_is_passed_by_is_used_again_once_it_is_heard(self):
+    def test_a_deprioritized_upstream_is_used_again_once_it_is_heard(self):
         self.core.handle_unreachable(
             1.0, [each.incarnation for each in self.far]
         )
