--- a/skylarkfold/affinity/_core.py
+++ b/skylarkfold/affinity/_core.py
@@ -1,4 +1,4 @@
-"""The decisions on flows whose packets carry a token."""
+"""Decisions on packets of flows that carry a token."""
 
 from __future__ import annotations
 
@@ -6,47 +6,50 @@
 
 from skylarkfold.affinity import _admission
 from skylarkfold.affinity import _binding
-from skylarkfold.affinity import _certainty
 from skylarkfold.affinity import _destination
 from skylarkfold.affinity import _directory
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
 from skylarkfold.affinity import _evacuation
+from skylarkfold.affinity import _failure_detector
 from skylarkfold.affinity import _flow
+from skylarkfold.affinity import _flow_opener
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _health
-from skylarkfold.affinity import _held
-from skylarkfold.affinity import _link
-from skylarkfold.affinity import _load
-from skylarkfold.affinity import _opening
+from skylarkfold.affinity import _held_packets
+from skylarkfold.affinity import _link_admission
 from skylarkfold.affinity import _packet
+from skylarkfold.affinity import _peer_loads
+from skylarkfold.affinity import _peer_reports
 from skylarkfold.affinity import _placement
-from skylarkfold.affinity import _presence
 from skylarkfold.affinity import _refusal
 from skylarkfold.affinity import _route
+from skylarkfold.affinity import _route_freshness
 from skylarkfold.affinity import _settings
 from skylarkfold.affinity import _share_switch
-from skylarkfold.affinity import _standing
-from skylarkfold.affinity import _suspects
 from skylarkfold.affinity import _tally
 from skylarkfold.affinity import _upstream
+from skylarkfold.affinity import _upstream_state
+from skylarkfold.affinity import _upstream_sync
 from skylarkfold.affinity import _warm_up
-from skylarkfold.affinity import _words
 from skylarkfold import room as rooms
 
 Reason = _effect.Reason
 
 
 class AffinityCore:
-    """Places new flows, forwards known ones, finds what has failed.
+    """Places new flows, forwards open ones and detects failed upstreams.
 
-    What peers say and are told goes through methods of
-    :class:`._words.PeerWords`, the ends of probes through one of
-    :class:`._suspects.Suspects`; they stand here under their names.
+    Several methods are those of its parts and are bound in the constructor:
+    reports to and from peers (``_peer_reports.PeerReports``), probe results
+    (``_failure_detector.FailureDetector``), the instances of this zone
+    (``_warm_up.WarmUpLimiter``) and the times at which the store was known to
+    be up to date.
 
     :param zone: this instance's availability zone.
-    :param settings: the limits.
-    :param room: the instance's own; None for one that nothing is told of.
-    :ivar shares: whether callers are kept to shares.
+    :param settings: limits and timeouts.
+    :param room: the headroom of this instance's own link; None for a default
+        one without any reports.
+    :ivar shares: switches the enforcement of callers' shares.
     """
 
     def __init__(
@@ -59,41 +62,45 @@
         self.room = room or rooms.InstanceHeadroom()
         self._settings = settings
         self.tally = _tally.Tally()
-        self._routes = _route.EMPTY
+        self._routes = _route.EMPTY_TABLE
         self._directory = _directory.Directory(settings)
         self._flows = _flow.FlowTable(settings.flow_limit)
-        self._ending = _ending.Ending(settings, self._flows, self.tally)
+        self._flow_resetter = _flow_reset.FlowResetter(
+            settings, self._flows, self.tally
+        )
         self._admission = _admission.Admission(settings, self._directory)
-        self._suspects = _suspects.Suspects(
+        self._failure_detector = _failure_detector.FailureDetector(
             zone,
             settings,
             self._directory,
-            self._ending,
+            self._flow_resetter,
             self.tally,
             self.room,
         )
-        self._health = _health.HealthWatch(
-            settings, self._suspects, self._admission, self.tally
+        self._health = _health.HealthMonitor(
+            settings, self._failure_detector, self._admission, self.tally
         )
-        self._peer_loads = _load.PeerLoads(settings, self._directory)
-        self._limit = _warm_up.WarmUpLimit(zone, settings)
+        self._peer_loads = _peer_loads.PeerLoads(settings, self._directory)
+        self._warm_up_limiter = _warm_up.WarmUpLimiter(zone, settings)
         self._refusals = _refusal.Refusals(self.tally)
-        self.set_mates = self._limit.set_mates
-        self._opener = _opening.Opener(
+        self.set_mates = self._warm_up_limiter.set_mates
+        self._flow_opener = _flow_opener.FlowOpener(
             zone,
             settings,
             self._directory,
             self._health,
-            self._limit,
+            self._warm_up_limiter,
             self._refusals,
             self.tally,
             self.room,
-            self._peer_loads.unseen,
+            self._peer_loads.load_trust,
         )
-        self._binding = _binding.Binding(
+        self._flow_binder = _binding.FlowBinder(
             self._directory, self._flows, self._health
         )
-        self.link = _link.build_gate(self.room, self._refusals, self.tally)
+        self.link = _link_admission.build_link_admission(
+            self.room, self._refusals, self.tally
+        )
         self.shares = _share_switch.ShareSwitch(
             self._directory,
             self._admission,
@@ -101,38 +108,38 @@
             self._health,
             lambda address: self._routes.get(address),
         )
-        self._held = _held.HeldPackets()
-        self._presence = _presence.Presence(
+        self._held_packets = _held_packets.HeldPackets()
+        self._upstream_sync = _upstream_sync.UpstreamSync(
             settings,
             self._directory,
             self._health,
-            self._ending,
+            self._flow_resetter,
             self._peer_loads,
-            self._limit,
+            self._warm_up_limiter,
         )
-        words = _words.PeerWords(
-            settings, self._directory, self._suspects, self._peer_loads
+        peer_reports = _peer_reports.PeerReports(
+            settings, self._directory, self._failure_detector, self._peer_loads
         )
-        self.handle_load = words.handle_load
-        self.list_loads = words.list_loads
-        self.handle_last_seen = words.handle_last_seen
-        self.list_last_seen = words.list_last_seen
-        self.handle_unreachable = words.handle_unreachable
-        self.handle_probe_result = self._suspects.handle_probe_result
-        self.note_present = self._presence.note_present
-        self._certainty = _certainty.Certainty(settings)
-        self.note_confirmed = self._certainty.note
+        self.handle_load = peer_reports.handle_load
+        self.list_loads = peer_reports.list_loads
+        self.handle_last_seen = peer_reports.handle_last_seen
+        self.list_last_seen = peer_reports.list_last_seen
+        self.handle_unreachable = peer_reports.handle_unreachable
+        self.handle_probe_result = self._failure_detector.handle_probe_result
+        self.note_present = self._upstream_sync.note_present
+        self._route_freshness = _route_freshness.RouteFreshness(settings)
+        self.note_confirmed = self._route_freshness.record
         self._next_active = float('-inf')
         self._next_dormant = float('-inf')
 
     @property
     def is_ready(self) -> bool:
-        """Whether all that a new flow needs is known."""
-        return self._presence.is_known and self._routes.version >= 0
+        """Whether routes, upstreams and evacuations have all been received."""
+        return self._upstream_sync.is_known and self._routes.version >= 0
 
     @property
     def version(self) -> int:
-        """The version of the routes in force; -1 before the first."""
+        """The version of the active routes; -1 before the first."""
         return self._routes.version
 
     @property
@@ -143,70 +150,70 @@
     def set_routes(
         self, now: float, routes: _route.RouteTable
     ) -> list[object]:
-        """Put routes in force.
+        """Activate a version of the routes.
 
         :param now: the time in seconds of a monotonic clock.
-        :param routes: the routes; an older version than the one in force
-            is ignored, unless the two are of different eras of the store: a
-            version may be gone for good then.
+        :param routes: the routes; a version older than the active one is
+            ignored, unless the two are of different eras of the store: a
+            version may be lost for good then.
         :returns: effects.
         """
         is_same_era = routes.revision.era == self._routes.revision.era
         if is_same_era and routes.version <= self._routes.version:
             return []
         self._routes = routes
-        self._limit.set_warm_ups(routes.warm_ups)
+        self._warm_up_limiter.set_warm_ups(routes.warm_ups)
         if self.link is not None:
             self.link.set_routes(routes)
         details = {'version': routes.version, 'routes': len(routes)}
         effects: list[object] = [
             _effect.RecordDecision('routes', 'in-force', details=details)
         ]
-        effects += self._presence.set_services(now, routes.services)
-        return effects + self._release(now)
+        effects += self._upstream_sync.set_services(now, routes.services)
+        return effects + self._release_held(now)
 
     def set_upstreams(
         self, now: float, present: Iterable[_upstream.Upstream]
     ) -> list[object]:
-        """Take the list of all upstreams.
+        """Replace the list of all upstreams.
 
         :param now: the time in seconds.
-        :param present: every upstream that has an entry.
+        :param present: every upstream that has an entry in the store.
         :returns: effects.
         """
-        effects = self._presence.set_present(now, present)
-        return effects + self._release(now)
+        effects = self._upstream_sync.set_upstreams(now, present)
+        return effects + self._release_held(now)
 
     def set_evacuations(
         self, now: float, evacuations: _evacuation.Evacuations
     ) -> list[object]:
-        """Take which availability zones are evacuated.
+        """Replace the set of evacuated availability zones.
 
         :param now: the time in seconds.
-        :param evacuations: all of them.
+        :param evacuations: all evacuated zones.
         :returns: effects.
         """
-        effects = self._presence.set_evacuations(now, evacuations)
-        return effects + self._release(now)
+        effects = self._upstream_sync.set_evacuations(now, evacuations)
+        return effects + self._release_held(now)
 
     def handle_packet(
         self, now: float, packet: _packet.Packet
     ) -> list[object]:
-        """Decide on one packet of a caller.
+        """Decide on a packet from a caller.
 
         :param now: the time in seconds.
         :param packet: the packet.
         :returns: effects.
         """
         if packet.is_first:
-            return self._take_first(now, packet)
+            return self._handle_first_packet(now, packet)
         flow = self._flows.get(packet.flow)
         if flow is None or not _binding.is_bound(flow, packet):
-            flow = self._binding.bind(now, packet, flow, self._routes)
+            flow = self._flow_binder.bind(now, packet, flow, self._routes)
             if flow is None:
-                return self._take_unknown(now, packet)
+                return self._handle_unknown_token(now, packet)
         elif not flow.is_open:
-            self._health.note_open(now, flow, packet)
+            self._health.record_open(now, flow, packet)
         route = self._routes.get(packet.address)
         if route is not None:
             flow.is_routed = True
@@ -215,10 +222,10 @@
         elif self._is_removed(now, flow):
             self._flows.remove(flow)
             return self._refuse(packet, Reason.ROUTE_REMOVED)
-        return self._carry(now, packet, flow)
+        return self._forward(now, packet, flow)
 
     def tick(self, now: float) -> list[object]:
-        """Do what is due.
+        """Run what is due: timeouts, retries, probes and expiry.
 
         :param now: the time in seconds; a few dozen times a second.
         :returns: effects.
@@ -229,36 +236,39 @@
         if now >= self._next_dormant:
             self._next_dormant = now + self._routes.idle_seconds / 2
             self._flows.rotate_dormant()
-            self._directory.forget(now)
+            self._directory.remove_expired(now)
         self._peer_loads.expire(now)
-        effects = self._opener.repeat(now, self._routes)
+        effects = self._flow_opener.retry_unanswered(now, self._routes)
         effects += self._health.tick(now)
         if self.link is not None:
             effects += self._release_link(now, self.link)
-        for _ in range(self._held.expire(now)):
+        for _ in range(self._held_packets.expire(now)):
             self.tally.count(_tally.DROPPED, _tally.HELD_TOO_LONG)
         return effects
 
     def find_due(self, now: float) -> float | None:
-        """Find when a tick has something to do that can't wait.
+        """Return the time at which the next tick is needed.
 
         :param now: the time in seconds.
-        :returns: the time, at once for a probe; None if nothing waits.
+        :returns: the time, ``now`` while any upstream is suspected; None if
+            nothing is pending.
         """
-        if self._suspects.has_any:
+        if self._failure_detector.has_suspects:
             return now
-        waiting = (
-            self._opener.find_due(),
+        deadlines = (
+            self._flow_opener.find_due(),
             self._health.find_due(),
-            self._held.find_due(),
+            self._held_packets.find_due(),
             None if self.link is None else self.link.find_due(now),
         )
-        return min((at for at in waiting if at is not None), default=None)
+        return min((at for at in deadlines if at is not None), default=None)
 
-    def _take_first(self, now: float, packet: _packet.Packet) -> list[object]:
+    def _handle_first_packet(
+        self, now: float, packet: _packet.Packet
+    ) -> list[object]:
         flow = self._flows.get(packet.flow)
         if flow is not None:
-            return self._take_copy(now, packet, flow)
+            return self._handle_retransmission(now, packet, flow)
         if not self.is_ready:
             return self._hold(now, packet, Reason.ROUTE_UNKNOWN)
         route = self._routes.get(packet.address)
@@ -276,30 +286,30 @@
         link = self.link
         if link is not None and link.is_waiting(packet.flow):
             return self._drop(Reason.REPEATED)
-        hashed = _placement.hash_flow(packet.flow)
+        flow_hash = _placement.hash_flow(packet.flow)
         found = _destination.find_destination(
-            now, route, hashed, self._opener, self._admission
+            now, route, flow_hash, self._flow_opener, self._admission
         )
-        # Of a copy, another instance may have placed the first one.
-        is_copy = packet.acknowledged > 0
+        # Another instance may have placed the first transmission.
+        is_retransmission = packet.acknowledged > 0
         sharing = self.shares.sharing
-        if sharing is not None and not is_copy and not has_waited:
-            service = found and found.standing.upstream.service
-            refused = sharing.take_first(
-                now, packet, route, service, hashed, self._routes.version
+        if sharing is not None and not is_retransmission and not has_waited:
+            service = found and found.state.upstream.service
+            refused = sharing.check_first_packet(
+                now, packet, route, service, flow_hash, self._routes.version
             )
             if refused:
                 return refused
         if found is None:
             return self._refuse(packet, Reason.NO_UPSTREAM)
-        standing = found.standing
+        state = found.state
         if not has_waited:
             self.tally.observe(
                 _tally.WAIT_SECONDS, found.expected.wait_seconds
             )
-        if not is_copy and found.is_crowded:
+        if not is_retransmission and found.is_crowded:
             return self._refusals.refuse_crowded(
-                packet, self._routes.version, route, standing, found.expected
+                packet, self._routes.version, route, state, found.expected
             )
         if link is not None and not route.is_preferred:
             if not has_waited:
@@ -307,44 +317,46 @@
                 if held is not None:
                     return held
             link.begin(now, packet)
-        flow = _flow.Flow(packet.flow, standing, now)
+        flow = _flow.Flow(packet.flow, state, now)
         flow.is_idempotent = route.is_idempotent
         flow.is_routed = True
-        flow.first = packet.data
+        flow.first_packet = packet.data
         self._flows.add(flow)
-        return self._opener.send(
-            now, flow, standing, Reason.PLACED, self._routes.version
+        return self._flow_opener.send_first_packet(
+            now, flow, state, Reason.PLACED, self._routes.version
         )
 
-    def _take_copy(
+    def _handle_retransmission(
         self, now: float, packet: _packet.Packet, flow: _flow.Flow
     ) -> list[object]:
-        patience = self._settings.open_patience_seconds
-        if flow.is_open or now < flow.placed_at + patience:
+        open_timeout = self._settings.open_patience_seconds
+        if flow.is_open or now < flow.placed_at + open_timeout:
             return self._drop(Reason.REPEATED)
         route = self._routes.get(packet.address)
         if route is None:
             return self._refuse_route(now, packet)
-        return self._opener.take_copy(now, flow, packet, self._routes)
+        return self._flow_opener.handle_retransmission(
+            now, flow, packet, self._routes
+        )
 
-    def _carry(
+    def _forward(
         self, now: float, packet: _packet.Packet, flow: _flow.Flow
     ) -> list[object]:
-        flow.seen_at = now
-        standing = flow.standing
-        if standing.health != _standing.Health.GOOD or standing.is_replaced:
-            ended = self._ending.end_flow(now, flow, packet)
-            if ended is not None:
-                return ended
-            self._suspects.recheck(standing)
+        flow.last_packet_at = now
+        state = flow.state
+        if state.health != _upstream_state.Health.GOOD or state.is_replaced:
+            resets = self._flow_resetter.reset_flow(now, flow, packet)
+            if resets is not None:
+                return resets
+            self._failure_detector.resume_probing(state)
         self._health.handle_packet(now, flow, packet)
         if packet.is_last:
             flow.is_closed = True
-            _flow.end_work(flow, now)
-            _flow.count_out(flow)
-        return [_effect.Forward(standing.upstream, packet.data)]
+            _flow.finish_request(flow, now)
+            _flow.unbind_flow(flow)
+        return [_effect.Forward(state.upstream, packet.data)]
 
-    def _take_unknown(
+    def _handle_unknown_token(
         self, now: float, packet: _packet.Packet
     ) -> list[object]:
         if packet.token == 0:
@@ -352,19 +364,19 @@
         return self._hold(now, packet, Reason.TOKEN_UNKNOWN)
 
     def _is_removed(self, now: float, flow: _flow.Flow) -> bool:
-        """Tell whether a flow's route is there no more.
+        """Return whether a flow's route has been removed.
 
-        One that was never known here may be too new for this instance:
-        whoever opened the flow knew it.
+        A route that was never known here may be newer than this instance's
+        configuration: the instance that opened the flow knew it.
         """
         if not self.is_ready:
             return False
-        return flow.is_routed or self._certainty.is_certain(now)
+        return flow.is_routed or self._route_freshness.is_fresh(now)
 
     def _refuse_route(
         self, now: float, packet: _packet.Packet
     ) -> list[object]:
-        if not self._certainty.is_certain(now):
+        if not self._route_freshness.is_fresh(now):
             return self._drop(Reason.ROUTE_UNKNOWN)
         return self._refuse(packet, Reason.NO_ROUTE)
 
@@ -378,12 +390,14 @@
     def _hold(
         self, now: float, packet: _packet.Packet, reason: str
     ) -> list[object]:
-        if not self._held.add(now, packet):
+        if not self._held_packets.add(now, packet):
             return self._drop(reason)
         self.tally.count(_tally.HELD, reason)
         return []
 
-    def _release_link(self, now: float, link: _link.LinkGate) -> list[object]:
+    def _release_link(
+        self, now: float, link: _link_admission.LinkAdmission
+    ) -> list[object]:
         effects: list[object] = []
         for packet in link.release(now):
             route = self._routes.get(packet.address)
@@ -393,10 +407,10 @@
                 effects += self._place(now, packet, route, True)
         return effects + link.expire(now, self._routes.version)
 
-    def _release(self, now: float) -> list[object]:
+    def _release_held(self, now: float) -> list[object]:
         if not self.is_ready:
             return []
         effects: list[object] = []
-        for packet in self._held.release(now):
+        for packet in self._held_packets.release(now):
             effects += self.handle_packet(now, packet)
         return effects
--- a/skylarkfold/affinity/_link.py
+++ b/skylarkfold/affinity/_link_admission.py
@@ -1,4 +1,4 @@
-"""First packets that wait or are refused for the instance's own link."""
+"""Admission of first packets by the room on this instance's own link."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
 from skylarkfold.affinity import _flow
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _packet
 from skylarkfold.affinity import _refusal
 from skylarkfold.affinity import _route
@@ -17,41 +17,41 @@
 Reason = _effect.Reason
 
 
-class LinkGate:
-    """Asks the instance's room about bulk and says what came of it.
+class LinkAdmission:
+    """Applies decisions on bulk transfers to first packets.
 
-    :param gate: decides on what is bulk.
-    :param refusals: refuses what is not let in.
+    :param bulk_admission: decides on bulk transfers.
+    :param refusals: refuses flows that are not admitted.
     :param tally: where first packets are counted.
     """
 
-    __slots__ = ('_gate', '_refusals', '_tally')
+    __slots__ = ('_bulk_admission', '_refusals', '_tally')
 
     def __init__(
         self,
-        gate: rooms.BulkAdmission,
+        bulk_admission: rooms.BulkAdmission,
         refusals: _refusal.Refusals,
         tally: _tally.Tally,
     ) -> None:
-        self._gate = gate
+        self._bulk_admission = bulk_admission
         self._refusals = refusals
         self._tally = tally
         tally.add_histogram(_tally.LINK_WAIT_SECONDS)
 
     def set_routes(self, addresses: Container[bytes]) -> None:
-        """Forget what is known of routes that are gone.
+        """Remove what was learnt of routes that no longer exist.
 
-        :param addresses: those that there are.
+        :param addresses: the addresses of the existing routes.
         """
-        self._gate.keep_routes(addresses)
+        self._bulk_admission.keep_routes(addresses)
 
     def is_waiting(self, flow: bytes) -> bool:
-        """Tell whether a flow's first packet waits.
+        """Return whether a flow's first packet is held.
 
         :param flow: the packed flow.
         :returns: whether it does.
         """
-        return self._gate.is_waiting(flow)
+        return self._bulk_admission.is_waiting(flow)
 
     def hold(
         self,
@@ -64,33 +64,33 @@
 
         :param now: the time.
         :param packet: the packet.
-        :param route: its route, which has no preference.
-        :param version: of the routes.
+        :param route: its route, which is not preferred.
+        :param version: the version of the routes.
         :returns: effects; None to send it to an upstream.
         """
-        verdict = self._gate.decide(now, packet, route.aim_seconds)
-        if verdict is None:
+        decision = self._bulk_admission.decide(now, packet, route.aim_seconds)
+        if decision is None:
             return None
-        if verdict.outcome == verdict.WAITS:
+        if decision.outcome == decision.WAITS:
             self._tally.count(_tally.HELD, Reason.LINK_FULL)
-            details = _list_details(verdict)
+            details = _list_details(decision)
             reason = Reason.LINK_FULL
             return [
                 _effect.RecordDecision(
                     'hold', reason, packet.flow, details=details
                 )
             ]
-        if verdict.outcome == verdict.REPEATED:
+        if decision.outcome == decision.REPEATED:
             return self._drop(Reason.REPEATED)
-        return self._refuse(packet, verdict, version)
+        return self._refuse(packet, decision, version)
 
     def begin(self, now: float, packet: _packet.Packet) -> None:
-        """Count a first packet that is sent to an upstream.
+        """Record that a first packet is sent to an upstream.
 
         :param now: the time.
         :param packet: the packet.
         """
-        self._gate.begin(now, packet)
+        self._bulk_admission.begin(now, packet)
 
     def handle_packet(
         self,
@@ -99,63 +99,64 @@
         packet: _packet.Packet,
         route: _route.Route,
     ) -> None:
-        """Take a packet of an open flow before anything else reads it.
+        """Record a packet of an open flow, before the flow is updated.
 
         :param now: the time.
         :param flow: its flow.
         :param packet: the packet.
-        :param route: its route, which has no preference.
+        :param route: its route, which is not preferred.
         """
-        # Of a flow that another instance opened, a request may have begun
-        # there.
+        # If another instance opened the flow, a request may have begun there.
         is_start = bool(flow.tried)
-        if flow.sent is not None:
+        if flow.next_sequence is not None:
             is_start = flow.waiting_since is None
-        self._gate.handle_packet(now, packet, route.address, is_start)
+        self._bulk_admission.handle_packet(
+            now, packet, route.address, is_start
+        )
 
     def release(self, now: float) -> Iterator[_packet.Packet]:
-        """Give back first packets as there is room for them.
+        """Yield held first packets as the link has room for them.
 
         :param now: the time.
-        :returns: each, to be sent to an upstream before the next is asked
-            for.
+        :returns: packets, each to be sent to an upstream before the next one
+            is requested.
         """
-        while (waiter := self._gate.pop_ready(now)) is not None:
+        while (waiter := self._bulk_admission.pop_ready(now)) is not None:
             self._observe(now - waiter.since)
             yield waiter.packet
 
     def expire(self, now: float, version: int) -> list[object]:
-        """Refuse those that have waited for too long.
+        """Refuse first packets that have been held for too long.
 
         :param now: the time.
-        :param version: of the routes.
+        :param version: the version of the routes.
         :returns: effects.
         """
         effects: list[object] = []
-        while (waiter := self._gate.pop_late(now)) is not None:
+        while (waiter := self._bulk_admission.pop_late(now)) is not None:
             self._observe(now - waiter.since)
-            verdict = self._gate.describe(now, waiter)
-            effects += self._refuse(waiter.packet, verdict, version)
+            decision = self._bulk_admission.describe(now, waiter)
+            effects += self._refuse(waiter.packet, decision, version)
         return effects
 
     def find_due(self, now: float) -> float | None:
-        """Find when one may be let in or has waited for too long.
+        """Return when a held packet may be released or expires.
 
         :param now: the time.
-        :returns: the time, None where none waits.
+        :returns: the time, None if none is held.
         """
-        return self._gate.find_due(now)
+        return self._bulk_admission.find_due(now)
 
     def list_gauges(self) -> dict[str, float]:
-        """List what is on its way and what waits.
+        """List gauges of transfers in progress and held ones.
 
         :returns: values by name.
         """
-        transfers = self._gate.transfers
+        transfers = self._bulk_admission.transfers
         return {
             'transfers': float(len(transfers)),
             'transfer_bytes': float(transfers.on_way),
-            'transfers_waiting': float(self._gate.waiting_count),
+            'transfers_waiting': float(self._bulk_admission.waiting_count),
         }
 
     def _observe(self, seconds: float) -> None:
@@ -163,13 +164,16 @@
         waits.observe(seconds)
 
     def _refuse(
-        self, packet: _packet.Packet, verdict: rooms.BulkDecision, version: int
+        self,
+        packet: _packet.Packet,
+        decision: rooms.BulkDecision,
+        version: int,
     ) -> list[object]:
         if packet.acknowledged:
-            # Of a copy, another instance may have placed the first one.
+            # Another instance may have placed the first transmission.
             return self._drop(Reason.LINK_FULL)
         return self._refusals.refuse(
-            packet, Reason.LINK_FULL, version, _list_details(verdict)
+            packet, Reason.LINK_FULL, version, _list_details(decision)
         )
 
     def _drop(self, reason: str) -> list[object]:
@@ -177,31 +181,33 @@
         return [_effect.Drop(reason)]
 
 
-def _list_details(verdict: rooms.BulkDecision) -> dict[str, object]:
+def _list_details(decision: rooms.BulkDecision) -> dict[str, object]:
     return {
-        'bytes': verdict.on_way,
-        'waiting': verdict.waiting,
-        'link_share': round(verdict.link_share, 2),
-        'wait_ms': _ending.to_ms(verdict.wait_seconds),
-        'limit_ms': _ending.to_ms(verdict.limit_seconds),
+        'bytes': decision.on_way,
+        'waiting': decision.waiting,
+        'link_share': round(decision.link_share, 2),
+        'wait_ms': _flow_reset.to_ms(decision.wait_seconds),
+        'limit_ms': _flow_reset.to_ms(decision.limit_seconds),
     }
 
 
-def build_gate(
+def build_link_admission(
     room: rooms.InstanceHeadroom | None,
     refusals: _refusal.Refusals,
     tally: _tally.Tally,
-) -> LinkGate | None:
-    """Build a gate where there is something to be decided.
+) -> LinkAdmission | None:
+    """Build link admission if it is configured.
 
-    :param room: the instance's own.
-    :param refusals: refuses what is not let in.
+    :param room: the headroom of this instance's own link.
+    :param refusals: refuses flows that are not admitted.
     :param tally: where first packets are counted.
-    :returns: the gate; None where the link's rate is not known or bulk is
-        not limited.
+    :returns: link admission; None if the link's rate is not known or bulk
+        transfers are not limited.
     """
     if room is None or not room.bytes_per_second:
         return None
     if not room.settings.bulk_share:
         return None
-    return LinkGate(rooms.BulkAdmission(room.settings, room), refusals, tally)
+    return LinkAdmission(
+        rooms.BulkAdmission(room.settings, room), refusals, tally
+    )
--- a/skylarkfold/affinity/_refusal.py
+++ b/skylarkfold/affinity/_refusal.py
@@ -1,14 +1,14 @@
-"""Resets of packets that no upstream gets."""
+"""Resets of packets that are not sent to any upstream."""
 
 from __future__ import annotations
 
 from skylarkfold.affinity import _effect
-from skylarkfold.affinity import _ending
+from skylarkfold.affinity import _flow_reset
 from skylarkfold.affinity import _packet
+from skylarkfold.affinity import _request_time
 from skylarkfold.affinity import _route
-from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _tally
-from skylarkfold.affinity import _work
+from skylarkfold.affinity import _upstream_state
 from skylarkfold import light_imports
 
 if light_imports.TYPE_CHECKING:
@@ -16,9 +16,9 @@
 
 
 class Refusals:
-    """Refuses packets, with a line and a count for each.
+    """Refuses packets, and logs and counts each refusal.
 
-    :param tally: where they are counted.
+    :param tally: where refusals are counted.
     """
 
     __slots__ = ('_tally',)
@@ -36,9 +36,9 @@
         """Refuse a packet.
 
         :param packet: the packet.
-        :param reason: why.
-        :param version: of the routes that led to it.
-        :param details: what else decided it, by name.
+        :param reason: one of ``Reason``.
+        :param version: the version of the routes that were used.
+        :param details: further values that led to the decision, by name.
         :returns: effects.
         """
         self._tally.count(_tally.RESET, reason)
@@ -55,25 +55,25 @@
         packet: _packet.Packet,
         version: int,
         route: _route.Route,
-        standing: _standing.Standing,
-        expected: _work.Estimate,
+        state: _upstream_state.UpstreamState,
+        expected: _request_time.AnswerEstimate,
     ) -> list[object]:
         """Refuse a new flow whose request would be answered too late.
 
         :param packet: its first packet.
-        :param version: of the routes.
+        :param version: the version of the routes.
         :param route: its route.
-        :param standing: the least loaded upstream.
-        :param expected: how soon that would answer.
+        :param state: the least loaded upstream.
+        :param expected: the estimated time of its answer.
         :returns: effects.
         """
         details = {
-            'service': standing.upstream.service,
-            'upstream': standing.upstream.name,
-            'estimate_ms': _ending.to_ms(expected.seconds),
-            'wait_ms': _ending.to_ms(expected.wait_seconds),
-            'aim_ms': _ending.to_ms(route.aim_seconds),
-            'waiting': round(standing.waiting, 1),
+            'service': state.upstream.service,
+            'upstream': state.upstream.name,
+            'estimate_ms': _flow_reset.to_ms(expected.seconds),
+            'wait_ms': _flow_reset.to_ms(expected.wait_seconds),
+            'aim_ms': _flow_reset.to_ms(route.aim_seconds),
+            'waiting': round(state.in_flight, 1),
             'priority': route.priority,
         }
         reason = _effect.Reason.CROWDED
@@ -85,26 +85,26 @@
         version: int,
         route: _route.Route,
         service: str,
-        over: shares.OverShare,
+        over_share: shares.OverShare,
     ) -> list[object]:
-        """Refuse a new flow that is beyond its caller's share.
+        """Refuse a new flow that exceeds its caller's share.
 
         :param packet: its first packet.
-        :param version: of the routes.
+        :param version: the version of the routes.
         :param route: its route.
         :param service: its service.
-        :param over: the caller's demand and share.
+        :param over_share: the caller's demand and share.
         :returns: effects.
         """
         caller = _packet.get_caller(packet.flow)
         details = {
             'service': service,
             'caller': _packet.format_host(caller),
-            'demand_slots': round(over.demand, 2),
-            'share_slots': round(over.share, 2),
-            'room_slots': round(over.room, 2),
-            'refused_share': round(over.refused_share, 3),
-            'word_age_ms': _ending.to_ms(over.age_seconds),
+            'demand_slots': round(over_share.demand, 2),
+            'share_slots': round(over_share.share, 2),
+            'room_slots': round(over_share.room, 2),
+            'refused_share': round(over_share.refused_share, 3),
+            'word_age_ms': _flow_reset.to_ms(over_share.age_seconds),
             'priority': route.priority,
         }
         reason = _effect.Reason.OVER_SHARE
