--- a/skylarkfold/membership/__init__.py
+++ b/skylarkfold/membership/__init__.py
@@ -1,12 +1,12 @@
 """Which instances there are, and how each is seen from here."""
 
 from skylarkfold.membership._core import MembershipCore
-from skylarkfold.membership._listing import FIRST_CALL_NUMBER
 from skylarkfold.membership._messages import Gossip
 from skylarkfold.membership._messages import Heartbeat
 from skylarkfold.membership._messages import Hello
 from skylarkfold.membership._messages import MemberUpdate
 from skylarkfold.membership._messages import MESSAGES
+from skylarkfold.membership._platform_list import FIRST_CALL_NUMBER
 from skylarkfold.membership._settings import MembershipSettings
 from skylarkfold.overlay import list_neighbours
 from skylarkfold.overlay import rank_in_zone
--- a/skylarkfold/membership/_connector.py
+++ b/skylarkfold/membership/_connector.py
@@ -4,7 +4,7 @@
 
 from skylarkfold import member
 from skylarkfold.membership import _contacts
-from skylarkfold.membership import _identity
+from skylarkfold.membership import _own_member
 from skylarkfold.membership import _publication
 from skylarkfold.membership import _roster
 from skylarkfold.membership import _settings
@@ -26,7 +26,7 @@
     def __init__(
         self,
         settings: _settings.MembershipSettings,
-        own: _identity.Identity,
+        own: _own_member.Identity,
         roster: _roster.Roster,
         contacts: _contacts.Contacts,
     ) -> None:
--- a/skylarkfold/membership/_core.py
+++ b/skylarkfold/membership/_core.py
@@ -12,22 +12,22 @@
 from skylarkfold import member
 from skylarkfold.membership import _connector
 from skylarkfold.membership import _contacts
-from skylarkfold.membership import _decision
-from skylarkfold.membership import _detector
+from skylarkfold.membership import _effects
+from skylarkfold.membership import _failure_detector
 from skylarkfold.membership import _gossip
 from skylarkfold.membership import _heartbeat
-from skylarkfold.membership import _identity
-from skylarkfold.membership import _ledger
-from skylarkfold.membership import _listing
+from skylarkfold.membership import _membership_builder
 from skylarkfold.membership import _messages
+from skylarkfold.membership import _neighbour_monitor
+from skylarkfold.membership import _own_member
+from skylarkfold.membership import _platform_list
 from skylarkfold.membership import _probes
-from skylarkfold.membership import _progress
 from skylarkfold.membership import _publication
 from skylarkfold.membership import _readiness
 from skylarkfold.membership import _roster
+from skylarkfold.membership import _roster_updater
 from skylarkfold.membership import _settings
-from skylarkfold.membership import _view
-from skylarkfold.membership import _watch
+from skylarkfold.membership import _zone_revisions
 from skylarkfold.membership import _zones
 from skylarkfold import metric
 from skylarkfold import overlay
@@ -65,24 +65,24 @@
         self._random = random.Random(seed)
         self._roster = _roster.Roster()
         self._gossip = _gossip.Gossip(self._roster, instance.zone)
-        self._own = _identity.Identity(
+        self._own = _own_member.Identity(
             instance, incarnation, self._roster, self._gossip
         )
-        self._progress = _progress.Progress(self._roster, instance.zone)
+        self._progress = _zone_revisions.Progress(self._roster, instance.zone)
         self._zones = _zones.Zones()
-        self._detector = _detector.Detector(settings)
+        self._detector = _failure_detector.Detector(settings)
         self._contacts = _contacts.Contacts(settings, seed)
         self._heartbeats = _heartbeat.Heartbeats(
             settings, self._roster, self._progress, self._zones
         )
-        self._listing = _listing.Listing(settings, self._random)
-        view = _view.View(
+        self._listing = _platform_list.Listing(settings, self._random)
+        view = _membership_builder.View(
             instance.zone, settings, self._roster, self._progress, self._zones
         )
         self._probes = _probes.Probes(
             settings, self._own, self._roster, self._detector
         )
-        self._ledger = _ledger.Ledger(
+        self._ledger = _roster_updater.Ledger(
             self._own, self._roster, self._gossip, self._detector
         )
         self._connector = _connector.Connector(
@@ -92,7 +92,7 @@
         self._publication = _publication.Publication(
             self._own, view, self._readiness
         )
-        self._watch = _watch.Watch(
+        self._watch = _neighbour_monitor.Watch(
             self._own,
             self._roster,
             self._detector,
@@ -257,7 +257,7 @@
         if known is None:
             return effects
         if known.incarnation > message.fact.incarnation:
-            return [*effects, _decision.send_facts(sender, [known])]
+            return [*effects, _effects.send_facts(sender, [known])]
         effects += self._hear(known, now)
         if self._readiness.note_met(message.fact):
             effects.append(self._ask_roster(sender))
@@ -271,7 +271,7 @@
         if known is None or known.incarnation < message.incarnation:
             return [self._own.introduce(sender, True)]
         if known.incarnation > message.incarnation:
-            return [_decision.send_facts(sender, [known])]
+            return [_effects.send_facts(sender, [known])]
         if self._heartbeats.take(message, known, self._own.fact, now):
             self._is_urgent = True
         effects = self._hear(known, now)
@@ -318,7 +318,7 @@
         self._zones.note_heard(fact.zone, now)
         effects = self._probes.answer(fact.name)
         if fact.is_suspect or _roster.is_gone(fact):
-            effects.append(_decision.send_facts(fact.name, [fact]))
+            effects.append(_effects.send_facts(fact.name, [fact]))
         return effects
 
     def _beat(self, now: float) -> list[object]:
@@ -353,7 +353,7 @@
         self._ledger.is_changed = True
         if self._own.state is _State.JOINING:
             self._ledger.change_own(now, state=_State.ALIVE)
-        return [_decision.record(self._own.name, 'ready')]
+        return [_effects.record(self._own.name, 'ready')]
 
     def _begin(self, now: float) -> None:
         self._is_started = True
@@ -373,7 +373,7 @@
             self._own.introduce(peer, True)
             for peer in self._publication.neighbours
         ]
-        return [_decision.record(self._own.name, 'woken'), *introductions]
+        return [_effects.record(self._own.name, 'woken'), *introductions]
 
     def _is_reader(self, now: float) -> bool:
         is_first = self._publication.rank < overlay.READERS
--- a/skylarkfold/membership/_heartbeat.py
+++ b/skylarkfold/membership/_heartbeat.py
@@ -4,9 +4,9 @@
 
 from skylarkfold import effect
 from skylarkfold.membership import _messages
-from skylarkfold.membership import _progress
 from skylarkfold.membership import _roster
 from skylarkfold.membership import _settings
+from skylarkfold.membership import _zone_revisions
 from skylarkfold.membership import _zones
 
 _BEATS_OF_MATES = 2
@@ -38,7 +38,7 @@
         self,
         settings: _settings.MembershipSettings,
         roster: _roster.Roster,
-        progress: _progress.Progress,
+        progress: _zone_revisions.Progress,
         zones: _zones.Zones,
     ) -> None:
         self._settings = settings
--- a/skylarkfold/membership/_view.py
+++ b/skylarkfold/membership/_membership_builder.py
@@ -5,9 +5,9 @@
 from skylarkfold import endpoint
 from skylarkfold import member
 from skylarkfold.membership import _messages
-from skylarkfold.membership import _progress
 from skylarkfold.membership import _roster
 from skylarkfold.membership import _settings
+from skylarkfold.membership import _zone_revisions
 from skylarkfold.membership import _zones
 
 _State = member.MemberState
@@ -39,7 +39,7 @@
         own_zone: str,
         settings: _settings.MembershipSettings,
         roster: _roster.Roster,
-        progress: _progress.Progress,
+        progress: _zone_revisions.Progress,
         zones: _zones.Zones,
     ) -> None:
         self._own_zone = own_zone
--- a/skylarkfold/membership/_watch.py
+++ b/skylarkfold/membership/_neighbour_monitor.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from skylarkfold import member
-from skylarkfold.membership import _detector
-from skylarkfold.membership import _identity
-from skylarkfold.membership import _ledger
+from skylarkfold.membership import _failure_detector
+from skylarkfold.membership import _own_member
 from skylarkfold.membership import _probes
 from skylarkfold.membership import _publication
 from skylarkfold.membership import _roster
+from skylarkfold.membership import _roster_updater
 
 
 class Watch:
@@ -33,11 +33,11 @@
 
     def __init__(
         self,
-        own: _identity.Identity,
+        own: _own_member.Identity,
         roster: _roster.Roster,
-        detector: _detector.Detector,
+        detector: _failure_detector.Detector,
         probes: _probes.Probes,
-        ledger: _ledger.Ledger,
+        ledger: _roster_updater.Ledger,
         publication: _publication.Publication,
     ) -> None:
         self._own = own
--- a/skylarkfold/membership/_probes.py
+++ b/skylarkfold/membership/_probes.py
@@ -6,9 +6,9 @@
 
 from skylarkfold import effect
 from skylarkfold import member
-from skylarkfold.membership import _detector
-from skylarkfold.membership import _identity
+from skylarkfold.membership import _failure_detector
 from skylarkfold.membership import _messages
+from skylarkfold.membership import _own_member
 from skylarkfold.membership import _roster
 from skylarkfold.membership import _settings
 from skylarkfold import overlay
@@ -30,9 +30,9 @@
     def __init__(
         self,
         settings: _settings.MembershipSettings,
-        own: _identity.Identity,
+        own: _own_member.Identity,
         roster: _roster.Roster,
-        detector: _detector.Detector,
+        detector: _failure_detector.Detector,
     ) -> None:
         self._settings = settings
         self._own = own
--- a/skylarkfold/membership/_publication.py
+++ b/skylarkfold/membership/_publication.py
@@ -6,10 +6,10 @@
 
 from skylarkfold import effect
 from skylarkfold import member
-from skylarkfold.membership import _decision
-from skylarkfold.membership import _identity
+from skylarkfold.membership import _effects
+from skylarkfold.membership import _membership_builder
+from skylarkfold.membership import _own_member
 from skylarkfold.membership import _readiness
-from skylarkfold.membership import _view
 from skylarkfold import overlay
 
 _State = member.MemberState
@@ -35,8 +35,8 @@
 
     def __init__(
         self,
-        own: _identity.Identity,
-        view: _view.View,
+        own: _own_member.Identity,
+        view: _membership_builder.View,
         readiness: _readiness.Readiness,
     ) -> None:
         self._own = own
@@ -75,7 +75,7 @@
         if self.membership.topology != topology:
             self._place()
         lines = [
-            _decision.record(f'zone {zone}', state)
+            _effects.record(f'zone {zone}', state)
             for zone, state in self.judged.items()
             if before.get(zone, state) is not state
         ]
--- a/skylarkfold/membership/_ledger.py
+++ b/skylarkfold/membership/_roster_updater.py
@@ -8,11 +8,11 @@
 
 from skylarkfold import effect
 from skylarkfold import member
-from skylarkfold.membership import _decision
-from skylarkfold.membership import _detector
+from skylarkfold.membership import _effects
+from skylarkfold.membership import _failure_detector
 from skylarkfold.membership import _gossip
-from skylarkfold.membership import _identity
 from skylarkfold.membership import _messages
+from skylarkfold.membership import _own_member
 from skylarkfold.membership import _roster
 from skylarkfold import metric
 
@@ -32,10 +32,10 @@
 
     def __init__(
         self,
-        own: _identity.Identity,
+        own: _own_member.Identity,
         roster: _roster.Roster,
         gossip: _gossip.Gossip,
-        detector: _detector.Detector,
+        detector: _failure_detector.Detector,
     ) -> None:
         self._own = own
         self._roster = roster
@@ -80,7 +80,7 @@
             self.is_changed = True
         kept = [fact for fact in later if fact.name not in dropped]
         if kept:
-            effects.append(_decision.send_facts(sender, kept))
+            effects.append(_effects.send_facts(sender, kept))
         return effects
 
     def declare(
@@ -100,8 +100,8 @@
         self._keep(fact, self._own.name, now)
         state = _State.DEAD if _roster.is_gone(fact) else _State.SUSPECT
         return [
-            _decision.record(name, state),
-            _decision.send_facts(name, [fact]),
+            _effects.record(name, state),
+            _effects.send_facts(name, [fact]),
         ]
 
     def change_own(self, now: float, **changes: object) -> None:
@@ -120,7 +120,7 @@
         if not decided:
             return []
         self.is_changed = True
-        return [_decision.record(self._own.name, decided)]
+        return [_effects.record(self._own.name, decided)]
 
     def _keep(
         self, fact: _messages.MemberUpdate, sender: str, now: float
--- a/skylarkfold/tests/membership/test_progress.py
+++ b/skylarkfold/tests/membership/test_zone_revisions.py
@@ -6,8 +6,8 @@
 
 from skylarkfold import member
 from skylarkfold import membership
-from skylarkfold.membership import _progress
 from skylarkfold.membership import _roster
+from skylarkfold.membership import _zone_revisions
 
 NAMES = ('a1', 'a2', 'a3')
 
@@ -26,7 +26,7 @@
             0,
         )
         roster.put(fact, 0.0)
-    return _progress.Progress(roster, 'hall-a')
+    return _zone_revisions.Progress(roster, 'hall-a')
 
 
 class ProgressTest(testtools.TestCase):
