--- a/skylarkfold/membership/_connector.py
+++ b/skylarkfold/membership/_connector.py
@@ -21,32 +21,36 @@
     :param contacts: seeds and listed instances.
     """
 
-    __slots__ = ('_contacts', '_own', '_roster', '_settings')
+    __slots__ = ('_contacts', '_own_member', '_roster', '_settings')
 
     def __init__(
         self,
         settings: _settings.MembershipSettings,
-        own: _own_member.Identity,
+        own_member: _own_member.OwnMember,
         roster: _roster.Roster,
         contacts: _contacts.Contacts,
     ) -> None:
         self._settings = settings
-        self._own = own
+        self._own_member = own_member
         self._roster = roster
         self._contacts = contacts
 
-    def meet(self) -> list[object]:
+    def contact_unknown(self) -> list[object]:
         """Approach unknown instances, those of the own zone first."""
-        known = [
-            fact.address
-            for fact in self._roster.list_facts()
-            if not _roster.is_gone(fact)
+        known_addresses = [
+            update.address
+            for update in self._roster.list_updates()
+            if not _roster.is_gone(update)
         ]
-        unknown = self._contacts.list_unknown(known, self._own.zone)
-        unknown = unknown or self._contacts.list_unknown(known)
-        return self._introduce(unknown)
+        unknown = self._contacts.list_unknown(
+            known_addresses, self._own_member.zone
+        )
+        unknown = unknown or self._contacts.list_unknown(known_addresses)
+        return self._send_hellos(unknown)
 
-    def reconnect(self, publication: _publication.Publication) -> list[object]:
+    def contact_lost(
+        self, publication: _publication.Publication
+    ) -> list[object]:
         """Approach lost instances: they may only have been cut off.
 
         :param publication: how the members are seen.
@@ -55,15 +59,17 @@
         lost = [
             each.name
             for each in members
-            if each.state is _State.DEAD and each.zone == self._own.zone
+            if each.state is _State.DEAD and each.zone == self._own_member.zone
         ]
-        for zone, state in publication.judged.items():
-            if state is _State.ALIVE or zone == self._own.zone:
+        for zone, state in publication.zone_states.items():
+            if state is _State.ALIVE or zone == self._own_member.zone:
                 continue
             names = [each.name for each in members if each.zone == zone]
-            lost += self._contacts.choose(sorted(names), 1)
-        return self._introduce(sorted(lost))
+            lost += self._contacts.choose_next(sorted(names), 1)
+        return self._send_hellos(sorted(lost))
 
-    def _introduce(self, candidates: list[str]) -> list[object]:
-        chosen = self._contacts.choose(candidates, self._settings.contacts)
-        return [self._own.introduce(peer, True) for peer in chosen]
+    def _send_hellos(self, candidates: list[str]) -> list[object]:
+        chosen = self._contacts.choose_next(
+            candidates, self._settings.contacts
+        )
+        return [self._own_member.send_hello(peer, True) for peer in chosen]
--- a/skylarkfold/membership/_contacts.py
+++ b/skylarkfold/membership/_contacts.py
@@ -20,17 +20,17 @@
     :param seed: where this instance begins in the round.
     """
 
-    __slots__ = ('_listed', '_seed', '_settings', '_turn')
+    __slots__ = ('_hash_seed', '_listed', '_next_index', '_settings')
 
     def __init__(
         self, settings: _settings.MembershipSettings, seed: int
     ) -> None:
         self._settings = settings
-        self._seed = seed
-        self._turn = 0
+        self._hash_seed = seed
+        self._next_index = 0
         self._listed: tuple[platform_api.ListedInstance, ...] = ()
 
-    def take_list(
+    def set_listed(
         self, instances: tuple[platform_api.ListedInstance, ...]
     ) -> None:
         """Take the platform's list.
@@ -40,7 +40,7 @@
         self._listed = instances
 
     def list_unknown(
-        self, known: Iterable[str], own_zone: str | None = None
+        self, known_addresses: Iterable[str], zone: str | None = None
     ) -> list[str]:
         """List addresses of seeds and listed instances not known yet.
 
@@ -48,16 +48,16 @@
         :param own_zone: if given, only listed instances of this zone.
         :returns: addresses in this instance's own order.
         """
-        skipped = set(known)
+        skipped = set(known_addresses)
         listed = (
             each.address
             for each in self._listed
-            if not each.leaving and own_zone in (None, each.zone)
+            if not each.leaving and zone in (None, each.zone)
         )
         found = {*listed, *self._settings.seeds} - skipped
         return sorted(found, key=self._hash)
 
-    def choose(self, candidates: list[str], count: int) -> list[str]:
+    def choose_next(self, candidates: list[str], count: int) -> list[str]:
         """Choose the next candidates in turn.
 
         :param candidates: addresses or names.
@@ -67,11 +67,11 @@
         if not candidates:
             return []
         chosen = [
-            candidates[(self._turn + step) % len(candidates)]
+            candidates[(self._next_index + step) % len(candidates)]
             for step in range(min(count, len(candidates)))
         ]
-        self._turn += len(chosen)
+        self._next_index += len(chosen)
         return chosen
 
     def _hash(self, text: str) -> int:
-        return xxhash.xxh3_64_intdigest(text.encode(), seed=self._seed)
+        return xxhash.xxh3_64_intdigest(text.encode(), seed=self._hash_seed)
--- a/skylarkfold/membership/_effects.py
+++ b/skylarkfold/membership/_effects.py
@@ -8,7 +8,7 @@
 from skylarkfold.membership import _messages
 
 
-def record(subject: str, reason: str) -> effect.RecordDecision:
+def record_decision(subject: str, reason: str) -> effect.RecordDecision:
     """Make a log line of the membership.
 
     :param subject: the instance or zone concerned.
@@ -17,12 +17,12 @@
     return effect.RecordDecision('membership', '', subject, '', str(reason))
 
 
-def send_facts(
-    peer: str, facts: Iterable[_messages.MemberUpdate]
+def send_updates(
+    peer: str, updates: Iterable[_messages.MemberUpdate]
 ) -> effect.SendToPeer:
     """Tell one instance some facts.
 
     :param peer: the instance.
     :param facts: the facts.
     """
-    return effect.SendToPeer(peer, _messages.Gossip(tuple(facts)))
+    return effect.SendToPeer(peer, _messages.Gossip(tuple(updates)))
--- a/skylarkfold/membership/_failure_detector.py
+++ b/skylarkfold/membership/_failure_detector.py
@@ -8,40 +8,42 @@
 from skylarkfold.membership import _settings
 
 
-class Detector:
+class FailureDetector:
     """First-hand evidence, probes under way and suspicions.
 
     :param settings: the membership's settings.
     """
 
     __slots__ = (
-        '_heard',
         '_last_heard',
-        '_probes',
+        '_last_heard_any',
+        '_probe_deadlines',
         '_settings',
         '_suspicions',
     )
 
     def __init__(self, settings: _settings.MembershipSettings) -> None:
         self._settings = settings
-        self._heard: dict[str, float] = {}
-        self._probes: dict[str, float] = {}
+        self._last_heard: dict[str, float] = {}
+        self._probe_deadlines: dict[str, float] = {}
         self._suspicions: dict[str, tuple[int, float]] = {}
-        self._last_heard = -math.inf
+        self._last_heard_any = -math.inf
 
-    def note_heard(self, name: str, heard: float) -> None:
+    def record_heard(self, name: str, heard_at: float) -> None:
         """Note evidence that an instance was alive.
 
         :param name: the instance.
         :param heard: when, in seconds.
         """
-        self._heard[name] = max(heard, self._heard.get(name, heard))
-        self._last_heard = max(self._last_heard, heard)
-        self._probes.pop(name, None)
+        self._last_heard[name] = max(
+            heard_at, self._last_heard.get(name, heard_at)
+        )
+        self._last_heard_any = max(self._last_heard_any, heard_at)
+        self._probe_deadlines.pop(name, None)
 
-    def get_heard(self, name: str) -> float | None:
+    def get_last_heard(self, name: str) -> float | None:
         """Find when an instance was last heard, None for never."""
-        return self._heard.get(name)
+        return self._last_heard.get(name)
 
     def is_isolated(self, now: float) -> bool:
         """Tell whether nobody at all was heard of late.
@@ -50,20 +52,20 @@
 
         :param now: the time in seconds.
         """
-        return now - self._last_heard > self._settings.suspect_seconds
+        return now - self._last_heard_any > self._settings.suspect_seconds
 
-    def doubt(self, name: str, now: float) -> None:
+    def record_disconnect(self, name: str, now: float) -> None:
         """Note that the stream to an instance broke: ask at once.
 
         :param name: the instance.
         :param now: the time in seconds.
         """
-        if name in self._heard:
-            self._heard[name] = min(
-                self._heard[name], now - self._settings.suspect_seconds
+        if name in self._last_heard:
+            self._last_heard[name] = min(
+                self._last_heard[name], now - self._settings.suspect_seconds
             )
 
-    def find_silent(self, names: Iterable[str], now: float) -> list[str]:
+    def start_probes(self, names: Iterable[str], now: float) -> list[str]:
         """Find watched instances to ask after, and begin to.
 
         :param names: the instances that this one watches.
@@ -74,27 +76,29 @@
         silent = [
             name
             for name in names
-            if self._heard.setdefault(name, now) <= limit
-            and name not in self._probes
+            if self._last_heard.setdefault(name, now) <= limit
+            and name not in self._probe_deadlines
             and name not in self._suspicions
         ]
         for name in silent:
-            self._probes[name] = now + self._settings.probe_seconds
+            self._probe_deadlines[name] = now + self._settings.probe_seconds
         return silent
 
-    def list_unanswered(self, now: float) -> list[str]:
+    def pop_failed_probes(self, now: float) -> list[str]:
         """List instances that nobody heard either; their probes end.
 
         :param now: the time in seconds.
         """
-        overdue = [
-            name for name, deadline in self._probes.items() if now >= deadline
+        failed = [
+            name
+            for name, deadline in self._probe_deadlines.items()
+            if now >= deadline
         ]
-        for name in overdue:
-            del self._probes[name]
-        return overdue
+        for name in failed:
+            del self._probe_deadlines[name]
+        return failed
 
-    def suspect(self, name: str, incarnation: int, now: float) -> None:
+    def start_suspicion(self, name: str, incarnation: int, now: float) -> None:
         """Begin to wait for a suspect's refutation.
 
         :param name: the suspect.
@@ -106,12 +110,12 @@
             deadline = now + self._settings.dead_seconds
             self._suspicions[name] = (incarnation, deadline)
 
-    def clear(self, name: str) -> None:
+    def clear_suspicion(self, name: str) -> None:
         """End a suspicion."""
         self._suspicions.pop(name, None)
-        self._probes.pop(name, None)
+        self._probe_deadlines.pop(name, None)
 
-    def list_overdue(self, now: float) -> list[str]:
+    def list_expired_suspicions(self, now: float) -> list[str]:
         """List suspects whose time to refute is over.
 
         :param now: the time in seconds.
@@ -122,23 +126,25 @@
             if now >= deadline
         ]
 
-    def keep(self, names: Iterable[str]) -> None:
+    def retain(self, names: Iterable[str]) -> None:
         """Forget the evidence about all instances but some."""
         kept = set(names)
-        self._heard = {
-            name: heard for name, heard in self._heard.items() if name in kept
+        self._last_heard = {
+            name: heard
+            for name, heard in self._last_heard.items()
+            if name in kept
         }
 
-    def restart(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Count everything as fresh after a pause of this process.
 
         :param now: the time in seconds.
         """
-        self._probes.clear()
-        self._heard = dict.fromkeys(self._heard, now)
-        self.hold(now)
+        self._probe_deadlines.clear()
+        self._last_heard = dict.fromkeys(self._last_heard, now)
+        self.extend_suspicions(now)
 
-    def hold(self, now: float) -> None:
+    def extend_suspicions(self, now: float) -> None:
         """Give every suspect its whole time again.
 
         :param now: the time in seconds.
--- a/skylarkfold/membership/_gossip.py
+++ b/skylarkfold/membership/_gossip.py
@@ -11,26 +11,26 @@
 
 # More facts at once come from a comparison of rosters: the neighbours
 # find the same difference themselves.
-_MOST_QUEUED = 256
+_MAXIMUM_QUEUED = 256
 
 
-def is_valid(fact: _messages.MemberUpdate) -> bool:
+def is_valid(update: _messages.MemberUpdate) -> bool:
     """Tell whether a fact can be used at all."""
     try:
-        endpoint.parse_endpoint(fact.address)
+        endpoint.parse_endpoint(update.address)
     except ValueError:
         return False
-    return bool(fact.name and fact.zone)
+    return bool(update.name and update.zone)
 
 
-def is_later(
-    fact: _messages.MemberUpdate, known: _messages.MemberUpdate
+def supersedes(
+    update: _messages.MemberUpdate, known: _messages.MemberUpdate
 ) -> bool:
     """Tell whether a fact replaces another of the same instance."""
-    return _roster.rank(fact) > _roster.rank(known)
+    return _roster.get_precedence(update) > _roster.get_precedence(known)
 
 
-class Gossip:
+class GossipQueue:
     """Queues facts for the neighbours.
 
     A fact goes to all neighbours of the own zone, and to other zones only
@@ -47,7 +47,7 @@
         self._zone = zone
         self._queued: dict[str, tuple[_messages.MemberUpdate, str]] = {}
 
-    def trusts(self, fact: _messages.MemberUpdate, sender: str) -> bool:
+    def accepts(self, update: _messages.MemberUpdate, sender: str) -> bool:
         """Tell whether a sender may speak about a fact's instance.
 
         Of the own zone only its own members may: what another zone still
@@ -56,19 +56,19 @@
         :param fact: the fact.
         :param sender: who told it.
         """
-        if fact.zone != self._zone or fact.name == sender:
+        if update.zone != self._zone or update.name == sender:
             return True
         known = self._roster.get(sender)
         return known is not None and known.zone == self._zone
 
-    def queue(self, fact: _messages.MemberUpdate, sender: str) -> None:
+    def queue(self, update: _messages.MemberUpdate, sender: str) -> None:
         """Queue a fact that is new here.
 
         :param fact: the fact.
         :param sender: who told it, so that it is not told again.
         """
-        if len(self._queued) < _MOST_QUEUED:
-            self._queued[fact.name] = (fact, sender)
+        if len(self._queued) < _MAXIMUM_QUEUED:
+            self._queued[update.name] = (update, sender)
 
     def flush(self, neighbours: Iterable[str]) -> list[object]:
         """Send the queued facts.
@@ -82,62 +82,68 @@
         self._queued.clear()
         effects = []
         for peer in neighbours:
-            facts = tuple(
-                fact
-                for fact, sender in queued
-                if peer not in (sender, fact.name)
-                and self._concerns(fact, peer)
+            updates = tuple(
+                update
+                for update, sender in queued
+                if peer not in (sender, update.name)
+                and self._is_relevant(update, peer)
             )
-            if facts:
+            if updates:
                 effects.append(
-                    effect.SendToPeer(peer, _messages.Gossip(facts))
+                    effect.SendToPeer(peer, _messages.Gossip(updates))
                 )
         return effects
 
-    def ask(self) -> _messages.RosterRequest:
+    def build_request(self) -> _messages.RosterRequest:
         """Ask for the zones that are known differently elsewhere."""
         zones = tuple(
-            _messages.ZoneDigest(zone, self._roster.compute_digest(zone))
-            for zone in self._roster.list_zones()
+            _messages.ZoneDigest(zone, self._roster.compute_zone_digest(zone))
+            for zone in self._roster.list_live_zones()
         )
         return _messages.RosterRequest(zones)
 
-    def answer(
-        self, asked: tuple[_messages.ZoneDigest, ...]
+    def build_answer(
+        self, peer_digests: tuple[_messages.ZoneDigest, ...]
     ) -> _messages.RosterAnswer:
         """Answer with the facts of all zones whose digests differ.
 
         :param asked: the digests of the instance that asks.
         """
-        theirs = {each.zone: each.digest for each in asked}
-        zones = sorted({*theirs, *self._roster.list_zones()})
+        digests_by_zone = {each.zone: each.digest for each in peer_digests}
+        zones = sorted({*digests_by_zone, *self._roster.list_live_zones()})
         differing = tuple(
             zone
             for zone in zones
-            if theirs.get(zone) != self._roster.compute_digest(zone)
+            if digests_by_zone.get(zone)
+            != self._roster.compute_zone_digest(zone)
         )
-        facts = tuple(
-            fact for zone in differing for fact in self._roster.list_zone(zone)
+        updates = tuple(
+            update
+            for zone in differing
+            for update in self._roster.list_zone_updates(zone)
         )
-        return _messages.RosterAnswer(differing, facts)
+        return _messages.RosterAnswer(differing, updates)
 
-    def list_later(
+    def list_newer(
         self, answer: _messages.RosterAnswer
     ) -> list[_messages.MemberUpdate]:
         """List own facts that an answer lacks or has in an earlier form.
 
         :param answer: another instance's facts of some zones.
         """
-        theirs = {fact.name: fact for fact in answer.facts}
+        peer_updates = {update.name: update for update in answer.updates}
         covered = set(answer.zones)
         return [
-            fact
-            for fact in self._roster.list_facts()
-            if fact.zone in covered
-            and (fact.name not in theirs or is_later(fact, theirs[fact.name]))
+            update
+            for update in self._roster.list_updates()
+            if update.zone in covered
+            and (
+                update.name not in peer_updates
+                or supersedes(update, peer_updates[update.name])
+            )
         ]
 
-    def list_dropped(
+    def list_removed(
         self, answer: _messages.RosterAnswer, sender: str
     ) -> set[str]:
         """List members that their own zone does not know any more.
@@ -150,14 +156,14 @@
             return set()
         if known.zone not in answer.zones:
             return set()
-        named = {fact.name for fact in answer.facts}
+        listed = {update.name for update in answer.updates}
         return {
-            fact.name
-            for fact in self._roster.list_zone(known.zone)
-            if fact.name not in named and not _roster.is_gone(fact)
+            update.name
+            for update in self._roster.list_zone_updates(known.zone)
+            if update.name not in listed and not _roster.is_gone(update)
         }
 
-    def _concerns(self, fact: _messages.MemberUpdate, peer: str) -> bool:
+    def _is_relevant(self, update: _messages.MemberUpdate, peer: str) -> bool:
         known = self._roster.get(peer)
-        is_mate = known is not None and known.zone == self._zone
-        return is_mate or fact.zone == self._zone
+        is_zone_peer = known is not None and known.zone == self._zone
+        return is_zone_peer or update.zone == self._zone
--- a/skylarkfold/membership/_heartbeat.py
+++ b/skylarkfold/membership/_heartbeat.py
@@ -9,9 +9,9 @@
 from skylarkfold.membership import _zone_revisions
 from skylarkfold.membership import _zones
 
-_BEATS_OF_MATES = 2
-_BEATS_OF_ZONES = 4
-_DIFFERENCES = 3
+_FULL_INTERVAL_IN_ZONE = 2
+_FULL_INTERVAL_ACROSS_ZONES = 4
+_MISMATCHES_BEFORE_SYNC = 3
 
 
 class Heartbeats:
@@ -24,13 +24,13 @@
     """
 
     __slots__ = (
-        '_beat',
-        '_differences',
-        '_followers',
+        '_digest_mismatches',
         '_is_urgent',
-        '_progress',
         '_roster',
+        '_round',
         '_settings',
+        '_subscribers',
+        '_zone_revisions',
         '_zones',
     )
 
@@ -38,21 +38,21 @@
         self,
         settings: _settings.MembershipSettings,
         roster: _roster.Roster,
-        progress: _zone_revisions.Progress,
+        zone_revisions: _zone_revisions.ZoneRevisions,
         zones: _zones.Zones,
     ) -> None:
         self._settings = settings
         self._roster = roster
-        self._progress = progress
+        self._zone_revisions = zone_revisions
         self._zones = zones
-        self._beat = 0
+        self._round = 0
         self._is_urgent = False
-        self._followers: dict[str, float] = {}
-        self._differences: dict[str, int] = {}
+        self._subscribers: dict[str, float] = {}
+        self._digest_mismatches: dict[str, int] = {}
 
     def send(
         self,
-        own: _messages.MemberUpdate,
+        own_update: _messages.MemberUpdate,
         neighbours: tuple[str, ...],
         now: float,
         is_urgent: bool = False,
@@ -66,30 +66,30 @@
         :returns: heartbeats to them and to those that have chosen it.
         """
         self._is_urgent = is_urgent
-        self._beat += 1
-        self._followers = {
+        self._round += 1
+        self._subscribers = {
             name: until
-            for name, until in self._followers.items()
+            for name, until in self._subscribers.items()
             if until > now
         }
-        peers = sorted({*neighbours, *self._followers})
-        self._differences = {
+        peers = sorted({*neighbours, *self._subscribers})
+        self._digest_mismatches = {
             name: count
-            for name, count in self._differences.items()
+            for name, count in self._digest_mismatches.items()
             if name in peers
         }
         return [
             effect.SendToPeer(
-                peer, self._make(own, peer, peer in neighbours, now)
+                peer, self._build(own_update, peer, peer in neighbours, now)
             )
             for peer in peers
         ]
 
-    def take(
+    def handle(
         self,
         heartbeat: _messages.Heartbeat,
         sender: _messages.MemberUpdate,
-        own: _messages.MemberUpdate,
+        own_update: _messages.MemberUpdate,
         now: float,
     ) -> bool:
         """Take a heartbeat of the sender's present incarnation.
@@ -102,53 +102,57 @@
         """
         if heartbeat.is_chosen:
             until = now + self._settings.suspect_seconds
-            self._followers[sender.name] = until
+            self._subscribers[sender.name] = until
         changes = [
             self._zones.merge(summary, now)
             for summary in heartbeat.zones
-            if summary.zone != own.zone
+            if summary.zone != own_update.zone
         ]
-        if sender.zone == own.zone:
+        if sender.zone == own_update.zone:
             changes.append(
-                self._progress.note(sender.name, heartbeat.revision)
+                self._zone_revisions.note(sender.name, heartbeat.revision)
             )
             if heartbeat.progress is not None:
-                changes.append(self._progress.merge(heartbeat.progress))
+                changes.append(self._zone_revisions.merge(heartbeat.progress))
         return any(changes)
 
-    def must_compare(self, sender: str, digest: int) -> bool:
+    def must_sync_roster(self, sender: str, digest: int) -> bool:
         """Tell whether a neighbour has known other members for a while.
 
         :param sender: the neighbour.
         :param digest: its digest of all members.
         """
-        if digest == self._roster.compute_whole_digest():
-            self._differences.pop(sender, None)
+        if digest == self._roster.compute_full_digest():
+            self._digest_mismatches.pop(sender, None)
             return False
-        count = self._differences.get(sender, 0) + 1
-        self._differences[sender] = count % _DIFFERENCES
-        return count == _DIFFERENCES
+        count = self._digest_mismatches.get(sender, 0) + 1
+        self._digest_mismatches[sender] = count % _MISMATCHES_BEFORE_SYNC
+        return count == _MISMATCHES_BEFORE_SYNC
 
-    def _make(
+    def _build(
         self,
-        own: _messages.MemberUpdate,
+        own_update: _messages.MemberUpdate,
         peer: str,
         is_chosen: bool,
         now: float,
     ) -> _messages.Heartbeat:
         known = self._roster.get(peer)
-        is_mate = known is not None and known.zone == own.zone
-        beats = _BEATS_OF_MATES if is_mate else _BEATS_OF_ZONES
-        zones = () if is_mate else (own.zone,)
-        is_full = self._is_urgent or self._beat % beats == 0
+        is_zone_peer = known is not None and known.zone == own_update.zone
+        interval = (
+            _FULL_INTERVAL_IN_ZONE
+            if is_zone_peer
+            else _FULL_INTERVAL_ACROSS_ZONES
+        )
+        zones = () if is_zone_peer else (own_update.zone,)
+        is_full = self._is_urgent or self._round % interval == 0
         if is_full:
-            zones = self._roster.list_zones()
-        has_progress = is_mate and is_full
+            zones = self._roster.list_live_zones()
+        has_progress = is_zone_peer and is_full
         return _messages.Heartbeat(
-            incarnation=own.incarnation,
-            revision=own.revision,
+            incarnation=own_update.incarnation,
+            revision=own_update.revision,
             is_chosen=is_chosen,
-            digest=self._roster.compute_whole_digest(),
-            progress=self._progress.describe() if has_progress else None,
-            zones=self._zones.describe(zones, now),
+            digest=self._roster.compute_full_digest(),
+            progress=self._zone_revisions.describe() if has_progress else None,
+            zones=self._zones.build_summaries(zones, now),
         )
--- a/skylarkfold/membership/_membership_builder.py
+++ b/skylarkfold/membership/_membership_builder.py
@@ -13,7 +13,7 @@
 _State = member.MemberState
 
 
-class View:
+class MembershipBuilder:
     """Builds what the other subsystems see.
 
     :param own_zone: this instance's zone.
@@ -24,13 +24,13 @@
     """
 
     __slots__ = (
-        '_built',
+        '_cached_zones',
         '_own_zone',
-        '_progress',
         '_roster',
-        '_seen',
         '_settings',
-        '_topology',
+        '_topology_key',
+        '_topology_version',
+        '_zone_revisions',
         '_zones',
     )
 
@@ -39,32 +39,32 @@
         own_zone: str,
         settings: _settings.MembershipSettings,
         roster: _roster.Roster,
-        progress: _zone_revisions.Progress,
+        zone_revisions: _zone_revisions.ZoneRevisions,
         zones: _zones.Zones,
     ) -> None:
         self._own_zone = own_zone
         self._settings = settings
         self._roster = roster
-        self._progress = progress
+        self._zone_revisions = zone_revisions
         self._zones = zones
-        self._built: dict[
+        self._cached_zones: dict[
             str, tuple[tuple[object, ...], dict[str, member.Member]]
         ] = {}
-        self._seen: tuple[object, ...] = ()
-        self._topology = 0
+        self._topology_key: tuple[object, ...] = ()
+        self._topology_version = 0
 
-    def judge_zones(self, now: float) -> dict[str, _State]:
+    def compute_zone_states(self, now: float) -> dict[str, _State]:
         """Judge every zone by its silence.
 
         :param now: the time in seconds.
         :returns: ``ALIVE``, ``SUSPECT`` or ``DEAD`` for each zone.
         """
         return {
-            zone: self._judge_zone(zone, now)
-            for zone in self._roster.list_zones()
+            zone: self._compute_zone_state(zone, now)
+            for zone in self._roster.list_live_zones()
         }
 
-    def compute_least(self, judged: dict[str, _State]) -> int:
+    def compute_minimum_revision(self, zone_states: dict[str, _State]) -> int:
         """Compute the lowest revision in force on any reachable member.
 
         Members that are joining take no traffic and don't count.
@@ -72,16 +72,16 @@
         :param judged: the zones' states.
         :returns: the revision, 0 if it is unknown of any zone.
         """
-        taking = self._roster.list_taking()
+        serving_zones = self._roster.list_serving_zones()
         revisions = [
-            self._get_least(zone)
-            for zone, state in judged.items()
-            if state is not _State.DEAD and zone in taking
+            self._get_minimum_revision(zone)
+            for zone, state in zone_states.items()
+            if state is not _State.DEAD and zone in serving_zones
         ]
         return min(revisions, default=0)
 
     def build(
-        self, own: _messages.MemberUpdate, version: int, now: float
+        self, own_update: _messages.MemberUpdate, version: int, now: float
     ) -> member.Membership:
         """Build the membership.
 
@@ -89,50 +89,52 @@
         :param version: the membership's version.
         :param now: the time in seconds.
         """
-        judged = self.judge_zones(now)
+        zone_states = self.compute_zone_states(now)
         members: dict[str, member.Member] = {}
         for zone in self._roster.list_all_zones():
-            members.update(self._build_zone(zone, judged))
-        members[own.name] = self._build_member(own, {})
+            members.update(self._build_zone(zone, zone_states))
+        members[own_update.name] = self._build_member(own_update, {})
         return member.Membership(
             version,
             members,
-            self.compute_least(judged),
-            self._count_topology(own, judged),
+            self.compute_minimum_revision(zone_states),
+            self._update_topology_version(own_update, zone_states),
         )
 
-    def _count_topology(
-        self, own: _messages.MemberUpdate, judged: dict[str, _State]
+    def _update_topology_version(
+        self,
+        own_update: _messages.MemberUpdate,
+        zone_states: dict[str, _State],
     ) -> int:
         versions = tuple(
-            (zone, self._roster.get_version(zone))
+            (zone, self._roster.get_zone_version(zone))
             for zone in self._roster.list_all_zones()
         )
-        seen = (own.state, tuple(judged.items()), versions)
-        if seen != self._seen:
-            self._seen = seen
-            self._topology += 1
-        return self._topology
+        topology_key = (own_update.state, tuple(zone_states.items()), versions)
+        if topology_key != self._topology_key:
+            self._topology_key = topology_key
+            self._topology_version += 1
+        return self._topology_version
 
     def _build_zone(
-        self, zone: str, judged: dict[str, _State]
+        self, zone: str, zone_states: dict[str, _State]
     ) -> dict[str, member.Member]:
-        revised = self._zones.get_least(zone)
+        revision_key = self._zones.get_minimum_revision(zone)
         if zone == self._own_zone:
-            revised = self._progress.version
-        version = self._roster.get_version(zone)
-        key = (judged.get(zone), version, revised)
-        known = self._built.get(zone)
-        if known is not None and known[0] == key:
-            return known[1]
-        built = {
-            fact.name: self._build_member(fact, judged)
-            for fact in self._roster.list_zone(zone)
+            revision_key = self._zone_revisions.version
+        version = self._roster.get_zone_version(zone)
+        key = (zone_states.get(zone), version, revision_key)
+        cached = self._cached_zones.get(zone)
+        if cached is not None and cached[0] == key:
+            return cached[1]
+        members = {
+            update.name: self._build_member(update, zone_states)
+            for update in self._roster.list_zone_updates(zone)
         }
-        self._built[zone] = (key, built)
-        return built
+        self._cached_zones[zone] = (key, members)
+        return members
 
-    def _judge_zone(self, zone: str, now: float) -> _State:
+    def _compute_zone_state(self, zone: str, now: float) -> _State:
         silence = self._zones.compute_silence(zone, now)
         if silence > self._settings.zone_dead_seconds:
             return _State.DEAD
@@ -140,47 +142,51 @@
             return _State.SUSPECT
         return _State.ALIVE
 
-    def _get_least(self, zone: str) -> int:
+    def _get_minimum_revision(self, zone: str) -> int:
         if zone == self._own_zone:
-            return self._progress.compute_least()
-        return self._zones.get_least(zone)
+            return self._zone_revisions.compute_least()
+        return self._zones.get_minimum_revision(zone)
 
     def _build_member(
         self,
-        fact: _messages.MemberUpdate,
-        judged: dict[str, _State],
+        update: _messages.MemberUpdate,
+        zone_states: dict[str, _State],
     ) -> member.Member:
-        if fact.zone == self._own_zone:
-            revision = self._progress.get(fact.name)
+        if update.zone == self._own_zone:
+            revision = self._zone_revisions.get(update.name)
         else:
-            revision = max(fact.revision, self._zones.get_least(fact.zone))
-        return _build(fact, self._judge_member(fact, judged), revision)
+            revision = max(
+                update.revision, self._zones.get_minimum_revision(update.zone)
+            )
+        return _create_member(
+            update, self._compute_member_state(update, zone_states), revision
+        )
 
-    def _judge_member(
+    def _compute_member_state(
         self,
-        fact: _messages.MemberUpdate,
-        judged: dict[str, _State],
+        update: _messages.MemberUpdate,
+        zone_states: dict[str, _State],
     ) -> _State:
-        zone = judged.get(fact.zone, _State.ALIVE)
-        if _roster.is_gone(fact):
-            return fact.state
-        if zone is _State.DEAD:
-            return zone
-        is_doubted = fact.is_suspect or zone is _State.SUSPECT
-        if is_doubted and fact.state is _State.ALIVE:
+        zone_state = zone_states.get(update.zone, _State.ALIVE)
+        if _roster.is_gone(update):
+            return update.state
+        if zone_state is _State.DEAD:
+            return zone_state
+        is_suspected = update.is_suspect or zone_state is _State.SUSPECT
+        if is_suspected and update.state is _State.ALIVE:
             return _State.SUSPECT
-        return fact.state
+        return update.state
 
 
-def _build(
-    fact: _messages.MemberUpdate, state: _State, revision: int
+def _create_member(
+    update: _messages.MemberUpdate, state: _State, revision: int
 ) -> member.Member:
     return member.Member(
-        name=fact.name,
-        zone=fact.zone,
-        region=fact.region,
-        address=endpoint.parse_endpoint(fact.address),
-        incarnation=fact.incarnation,
+        name=update.name,
+        zone=update.zone,
+        region=update.region,
+        address=endpoint.parse_endpoint(update.address),
+        incarnation=update.incarnation,
         state=state,
         revision=revision,
     )
--- a/skylarkfold/membership/_messages.py
+++ b/skylarkfold/membership/_messages.py
@@ -116,7 +116,7 @@
     """
 
     zones: tuple[str, ...]
-    facts: tuple[MemberUpdate, ...]
+    updates: tuple[MemberUpdate, ...]
 
 
 class ProbeRequest(message.PeerMessage, tag=65):
--- a/skylarkfold/membership/_neighbour_monitor.py
+++ b/skylarkfold/membership/_neighbour_monitor.py
@@ -11,7 +11,7 @@
 from skylarkfold.membership import _roster_updater
 
 
-class Watch:
+class NeighbourMonitor:
     """Finds silent neighbours and takes them for suspect, then for dead.
 
     :param own: this instance.
@@ -24,30 +24,30 @@
 
     __slots__ = (
         '_detector',
-        '_ledger',
-        '_publication',
-        '_own',
+        '_own_member',
         '_probes',
+        '_publication',
         '_roster',
+        '_updater',
     )
 
     def __init__(
         self,
-        own: _own_member.Identity,
+        own_member: _own_member.OwnMember,
         roster: _roster.Roster,
-        detector: _failure_detector.Detector,
-        probes: _probes.Probes,
-        ledger: _roster_updater.Ledger,
+        detector: _failure_detector.FailureDetector,
+        probes: _probes.IndirectProbes,
+        updater: _roster_updater.RosterUpdater,
         publication: _publication.Publication,
     ) -> None:
-        self._own = own
+        self._own_member = own_member
         self._roster = roster
         self._detector = detector
         self._probes = probes
-        self._ledger = ledger
+        self._updater = updater
         self._publication = publication
 
-    def judge(self, now: float) -> list[object]:
+    def check(self, now: float) -> list[object]:
         """Ask after the silent, and declare those that nobody heard.
 
         An instance that hears nobody declares nobody.
@@ -55,40 +55,40 @@
         :param now: the time in seconds.
         :returns: effects.
         """
-        watched = self._list_watched()
+        monitored = self._list_monitored()
         effects: list[object] = []
-        for target in self._detector.find_silent(watched, now):
+        for target in self._detector.start_probes(monitored, now):
             effects += self._probes.send(
                 target,
                 self._publication.membership,
                 self._publication.neighbours,
             )
-        unanswered = self._detector.list_unanswered(now)
-        overdue = self._detector.list_overdue(now)
+        failed = self._detector.pop_failed_probes(now)
+        expired = self._detector.list_expired_suspicions(now)
         if self._detector.is_isolated(now):
-            self._detector.hold(now)
+            self._detector.extend_suspicions(now)
             return effects
-        for name in unanswered:
-            effects += self._ledger.declare(name, now, is_suspect=True)
-        for name in overdue:
-            effects += self._ledger.declare(
+        for name in failed:
+            effects += self._updater.declare(name, now, is_suspect=True)
+        for name in expired:
+            effects += self._updater.declare(
                 name, now, state=member.MemberState.DEAD
             )
         return effects
 
-    def has_mates(self) -> bool:
+    def has_zone_peers(self) -> bool:
         """Tell whether the own zone has other members."""
         return any(
-            fact.zone == self._own.zone
-            and fact.name != self._own.name
-            and not _roster.is_gone(fact)
-            for fact in self._roster.list_facts()
+            update.zone == self._own_member.zone
+            and update.name != self._own_member.name
+            and not _roster.is_gone(update)
+            for update in self._roster.list_updates()
         )
 
-    def _list_watched(self) -> list[str]:
+    def _list_monitored(self) -> list[str]:
         return [
             name
             for name in self._publication.neighbours
-            if (fact := self._roster.get(name)) is not None
-            and fact.zone == self._own.zone
+            if (update := self._roster.get(name)) is not None
+            and update.zone == self._own_member.zone
         ]
--- a/skylarkfold/membership/_own_member.py
+++ b/skylarkfold/membership/_own_member.py
@@ -14,7 +14,7 @@
 _State = member.MemberState
 
 
-class Identity:
+class OwnMember:
     """This instance's own fact, which nobody else may change.
 
     :param instance: this instance's identity.
@@ -24,18 +24,18 @@
     :param gossip: passes facts on.
     """
 
-    __slots__ = ('_gossip', '_roster', 'fact')
+    __slots__ = ('_gossip', '_roster', 'current_update')
 
     def __init__(
         self,
         instance: instance_module.InstanceSettings,
         incarnation: int,
         roster: _roster.Roster,
-        gossip: _gossip.Gossip,
+        gossip: _gossip.GossipQueue,
     ) -> None:
         self._roster = roster
         self._gossip = gossip
-        self.fact = _messages.MemberUpdate(
+        self.current_update = _messages.MemberUpdate(
             name=instance.name,
             zone=instance.zone,
             region=instance.region,
@@ -45,22 +45,22 @@
             is_suspect=False,
             revision=0,
         )
-        roster.put(self.fact, 0.0)
+        roster.put(self.current_update, 0.0)
 
     @property
     def name(self) -> str:
         """This instance's name."""
-        return self.fact.name
+        return self.current_update.name
 
     @property
     def zone(self) -> str:
         """Its availability zone."""
-        return self.fact.zone
+        return self.current_update.zone
 
     @property
     def state(self) -> member.MemberState:
         """Its state, as the others are told."""
-        return self.fact.state
+        return self.current_update.state
 
     def change(self, now: float, **changes: object) -> None:
         """Change the own fact and tell the neighbours.
@@ -68,13 +68,13 @@
         :param now: the time in seconds.
         :param changes: fields with their new values.
         """
-        before = self.fact
-        self.fact = msgspec.structs.replace(before, **changes)
-        self._roster.put(self.fact, now)
-        if _gossip.is_later(self.fact, before):
-            self._gossip.queue(self.fact, self.name)
+        previous = self.current_update
+        self.current_update = msgspec.structs.replace(previous, **changes)
+        self._roster.put(self.current_update, now)
+        if _gossip.supersedes(self.current_update, previous):
+            self._gossip.queue(self.current_update, self.name)
 
-    def refute(self, told: _messages.MemberUpdate, now: float) -> str:
+    def refute(self, received: _messages.MemberUpdate, now: float) -> str:
         """Answer what others say of this instance.
 
         A higher incarnation at another address is a later process under
@@ -84,20 +84,25 @@
         :param now: the time in seconds.
         :returns: what was decided, empty for nothing.
         """
-        own = self.fact
-        if own.state is _State.LEFT or not _gossip.is_later(told, own):
+        current = self.current_update
+        if current.state is _State.LEFT or not _gossip.supersedes(
+            received, current
+        ):
             return ''
-        if told.incarnation > own.incarnation and told.address != own.address:
+        if (
+            received.incarnation > current.incarnation
+            and received.address != current.address
+        ):
             self.change(now, state=_State.LEFT)
             return 'superseded'
-        self.change(now, incarnation=told.incarnation + 1)
+        self.change(now, incarnation=received.incarnation + 1)
         return 'refuted'
 
-    def introduce(self, peer: str, wants_answer: bool) -> effect.SendToPeer:
+    def send_hello(self, peer: str, wants_answer: bool) -> effect.SendToPeer:
         """Introduce this instance.
 
         :param peer: to whom: a member's name or an address.
         :param wants_answer: whether it shall introduce itself too.
         """
-        introduction = _messages.Hello(self.fact, wants_answer)
-        return effect.SendToPeer(peer, introduction)
+        hello = _messages.Hello(self.current_update, wants_answer)
+        return effect.SendToPeer(peer, hello)
--- a/skylarkfold/membership/_platform_list.py
+++ b/skylarkfold/membership/_platform_list.py
@@ -12,55 +12,65 @@
 FIRST_CALL_NUMBER = 1 << 40
 
 
-class Listing:
+class InstanceListReader:
     """At most one call under way, at jittered times.
 
     :param settings: the membership's settings.
     :param source: this instance's jitter.
     """
 
-    __slots__ = ('_call', '_next_call', '_next_time', '_random', '_settings')
+    __slots__ = (
+        '_next_call_number',
+        '_next_call_time',
+        '_pending_call',
+        '_random',
+        '_settings',
+    )
 
     def __init__(
         self,
         settings: _settings.MembershipSettings,
-        source: random.Random,
+        random_source: random.Random,
     ) -> None:
         self._settings = settings
-        self._random = source
-        self._next_call = FIRST_CALL_NUMBER
-        self._call: int | None = None
-        self._next_time = 0.0
+        self._random = random_source
+        self._next_call_number = FIRST_CALL_NUMBER
+        self._pending_call: int | None = None
+        self._next_call_time = 0.0
 
-    def begin(self, now: float) -> None:
+    def schedule_first_call(self, now: float) -> None:
         """Spread the first calls of a fleet that starts at once.
 
         :param now: the time in seconds.
         """
-        self._next_time = now + self._random.uniform(0, 1)
+        self._next_call_time = now + self._random.uniform(0, 1)
 
-    def call(self, now: float, is_reader: bool) -> list[object]:
+    def call_if_due(self, now: float, is_reader: bool) -> list[object]:
         """Read the list if it is time to.
 
         :param now: the time in seconds.
         :param is_reader: whether this instance reads it regularly.
         :returns: at most one call.
         """
-        if now < self._next_time or not is_reader or self._call is not None:
+        if (
+            now < self._next_call_time
+            or not is_reader
+            or self._pending_call is not None
+        ):
             return []
         jitter = self._random.uniform(0.75, 1.25)
-        self._next_time = now + self._settings.list_seconds * jitter
-        self._call = self._next_call
-        self._next_call += 1
+        self._next_call_time = now + self._settings.list_seconds * jitter
+        self._pending_call = self._next_call_number
+        self._next_call_number += 1
         return [
             effect.CallPlatform(
-                self._call,
+                self._pending_call,
                 platform_api.ListInstances(),
                 self._settings.list_timeout_seconds,
             )
         ]
 
-    def take(
+    def take_answer(
         self, answered: event.PlatformAnswered
     ) -> tuple[platform_api.ListedInstance, ...] | None:
         """Take an answer.
@@ -68,9 +78,9 @@
         :param answered: the end of any platform call.
         :returns: the list, or None if this is no list.
         """
-        if answered.call != self._call:
+        if answered.call != self._pending_call:
             return None
-        self._call = None
+        self._pending_call = None
         if answered.answer.status is not platform_api.PlatformStatus.OK:
             return None
         return answered.answer.instances
--- a/skylarkfold/membership/_probes.py
+++ b/skylarkfold/membership/_probes.py
@@ -13,10 +13,10 @@
 from skylarkfold.membership import _settings
 from skylarkfold import overlay
 
-_HELPERS = 3
+_MAXIMUM_PROXIES = 3
 
 
-class Probes:
+class IndirectProbes:
     """Indirect probes: silence here may be a broken path only.
 
     :param settings: the membership's settings.
@@ -25,20 +25,26 @@
     :param detector: this instance's own evidence.
     """
 
-    __slots__ = ('_asked', '_detector', '_own', '_roster', '_settings')
+    __slots__ = (
+        '_detector',
+        '_own_member',
+        '_pending_requests',
+        '_roster',
+        '_settings',
+    )
 
     def __init__(
         self,
         settings: _settings.MembershipSettings,
-        own: _own_member.Identity,
+        own_member: _own_member.OwnMember,
         roster: _roster.Roster,
-        detector: _failure_detector.Detector,
+        detector: _failure_detector.FailureDetector,
     ) -> None:
         self._settings = settings
-        self._own = own
+        self._own_member = own_member
         self._roster = roster
         self._detector = detector
-        self._asked: dict[str, set[str]] = {}
+        self._pending_requests: dict[str, set[str]] = {}
 
     def send(
         self,
@@ -52,45 +58,50 @@
         :param membership: all members.
         :param neighbours: this instance's own neighbours.
         """
-        watchers = overlay.list_neighbours(membership, target)
-        helpers = [name for name in watchers if name != self._own.name]
-        helpers += [
+        target_neighbours = overlay.list_neighbours(membership, target)
+        proxies = [
+            name for name in target_neighbours if name != self._own_member.name
+        ]
+        proxies += [
             name
             for name in neighbours
-            if name != target and name not in helpers
+            if name != target and name not in proxies
         ]
         request = _messages.ProbeRequest(target)
-        return [self._own.introduce(target, True)] + [
-            effect.SendToPeer(peer, request) for peer in helpers[:_HELPERS]
+        return [self._own_member.send_hello(target, True)] + [
+            effect.SendToPeer(peer, request)
+            for peer in proxies[:_MAXIMUM_PROXIES]
         ]
 
-    def take(self, target: str, sender: str, now: float) -> list[object]:
+    def handle_request(
+        self, target: str, sender: str, now: float
+    ) -> list[object]:
         """Answer at once or ask the target first.
 
         :param target: the instance that the sender does not hear.
         :param sender: who asks.
         :param now: the time in seconds.
         """
-        if target == self._own.name:
-            return [_answer(sender, target, 0.0)]
-        heard = self._detector.get_heard(target)
+        if target == self._own_member.name:
+            return [_send_answer(sender, target, 0.0)]
+        last_heard = self._detector.get_last_heard(target)
         limit = now - self._settings.suspect_seconds / 2
-        if heard is not None and heard > limit:
-            return [_answer(sender, target, now - heard)]
+        if last_heard is not None and last_heard > limit:
+            return [_send_answer(sender, target, now - last_heard)]
         if self._roster.get(target) is None:
             return []
-        self._asked.setdefault(target, set()).add(sender)
-        return [self._own.introduce(target, True)]
+        self._pending_requests.setdefault(target, set()).add(sender)
+        return [self._own_member.send_hello(target, True)]
 
-    def answer(self, target: str) -> list[object]:
+    def answer_pending(self, target: str) -> list[object]:
         """Answer those who asked after an instance that is heard now.
 
         :param target: the instance.
         """
-        asked = self._asked.pop(target, ())
-        return [_answer(peer, target, 0.0) for peer in sorted(asked)]
+        requesters = self._pending_requests.pop(target, ())
+        return [_send_answer(peer, target, 0.0) for peer in sorted(requesters)]
 
 
-def _answer(peer: str, target: str, age: float) -> effect.SendToPeer:
+def _send_answer(peer: str, target: str, age: float) -> effect.SendToPeer:
     answer = _messages.ProbeAnswer(target, int(age * 1000))
     return effect.SendToPeer(peer, answer)
--- a/skylarkfold/membership/_publication.py
+++ b/skylarkfold/membership/_publication.py
@@ -24,38 +24,39 @@
     """
 
     __slots__ = (
-        '_own',
+        '_builder',
+        '_own_member',
         '_readiness',
-        '_view',
-        'judged',
         'membership',
         'neighbours',
-        'rank',
+        'zone_rank',
+        'zone_states',
     )
 
     def __init__(
         self,
-        own: _own_member.Identity,
-        view: _membership_builder.View,
+        own_member: _own_member.OwnMember,
+        builder: _membership_builder.MembershipBuilder,
         readiness: _readiness.Readiness,
     ) -> None:
-        self._own = own
-        self._view = view
+        self._own_member = own_member
+        self._builder = builder
         self._readiness = readiness
-        self.judged: dict[str, _State] = {}
-        self.membership = view.build(own.fact, 0, 0.0)
+        self.zone_states: dict[str, _State] = {}
+        self.membership = builder.build(own_member.current_update, 0, 0.0)
         self.neighbours: tuple[str, ...] = ()
-        self.rank = 0
+        self.zone_rank = 0
 
     def is_outdated(self, now: float) -> bool:
         """Tell whether a zone fell silent, came back or moved on.
 
         :param now: the time in seconds.
         """
-        judged = self._view.judge_zones(now)
-        least = self._view.compute_least(judged)
+        zone_states = self._builder.compute_zone_states(now)
+        minimum_revision = self._builder.compute_minimum_revision(zone_states)
         return (
-            judged != self.judged or least != self.membership.minimum_revision
+            zone_states != self.zone_states
+            or minimum_revision != self.membership.minimum_revision
         )
 
     def publish(self, now: float) -> list[object]:
@@ -65,23 +66,28 @@
         :returns: the membership, and a log line for each zone that
             changed.
         """
-        shown = self._own.fact
-        if self._readiness.is_learning and shown.state is _State.ALIVE:
-            shown = msgspec.structs.replace(shown, state=_State.JOINING)
-        before, self.judged = self.judged, self._view.judge_zones(now)
+        own_update = self._own_member.current_update
+        if self._readiness.is_syncing and own_update.state is _State.ALIVE:
+            own_update = msgspec.structs.replace(
+                own_update, state=_State.JOINING
+            )
+        previous_states, self.zone_states = (
+            self.zone_states,
+            self._builder.compute_zone_states(now),
+        )
         version = self.membership.version + 1
         topology = self.membership.topology
-        self.membership = self._view.build(shown, version, now)
+        self.membership = self._builder.build(own_update, version, now)
         if self.membership.topology != topology:
-            self._place()
+            self._update_overlay()
         lines = [
-            _effects.record(f'zone {zone}', state)
-            for zone, state in self.judged.items()
-            if before.get(zone, state) is not state
+            _effects.record_decision(f'zone {zone}', state)
+            for zone, state in self.zone_states.items()
+            if previous_states.get(zone, state) is not state
         ]
         return [effect.PublishMembership(self.membership), *lines]
 
-    def _place(self) -> None:
-        name = self._own.name
+    def _update_overlay(self) -> None:
+        name = self._own_member.name
         self.neighbours = overlay.list_neighbours(self.membership, name)
-        self.rank = overlay.rank_in_zone(self.membership, name)
+        self.zone_rank = overlay.rank_in_zone(self.membership, name)
--- a/skylarkfold/membership/_readiness.py
+++ b/skylarkfold/membership/_readiness.py
@@ -18,57 +18,61 @@
 
     __slots__ = (
         '_is_synced',
-        '_revision',
+        '_last_tick',
+        '_required_revision',
         '_settings',
-        '_since',
-        '_ticked',
-        'is_learning',
+        '_syncing_since',
+        'is_syncing',
     )
 
     def __init__(self, settings: _settings.MembershipSettings) -> None:
         self._settings = settings
-        self._ticked: float | None = None
-        self._since = 0.0
-        self._revision = 0
+        self._last_tick: float | None = None
+        self._syncing_since = 0.0
+        self._required_revision = 0
         self._is_synced = False
-        self.is_learning = True
+        self.is_syncing = True
 
-    def note_tick(self, now: float) -> bool:
+    def record_tick(self, now: float) -> bool:
         """Note a tick.
 
         :param now: the time in seconds.
         :returns: whether the process was paused before it; learning has
             begun again then.
         """
-        last, self._ticked = self._ticked, now
+        last, self._last_tick = self._last_tick, now
         if last is None:
-            self._since = now
+            self._syncing_since = now
             return False
         if now - last <= self._settings.pause_seconds:
             return False
-        self._since = now
-        self._revision = 0
+        self._syncing_since = now
+        self._required_revision = 0
         self._is_synced = False
-        self.is_learning = True
+        self.is_syncing = True
         return True
 
-    def note_met(self, fact: _messages.MemberUpdate) -> bool:
+    def record_hello(self, update: _messages.MemberUpdate) -> bool:
         """Note the introduction of a member.
 
         :param fact: its own fact.
         :returns: whether to ask it for its roster.
         """
-        if not self.is_learning:
+        if not self.is_syncing:
             return False
-        if fact.state is member.MemberState.ALIVE:
-            self._revision = max(self._revision, fact.revision)
+        if update.state is member.MemberState.ALIVE:
+            self._required_revision = max(
+                self._required_revision, update.revision
+            )
         return not self._is_synced
 
-    def note_synced(self) -> None:
+    def record_roster(self) -> None:
         """Note that a peer's whole roster was taken."""
         self._is_synced = True
 
-    def settle(self, now: float, revision: int, is_alone: bool) -> bool:
+    def finish_sync(
+        self, now: float, revision: int, is_isolated: bool
+    ) -> bool:
         """Be ready if enough is known.
 
         :param now: the time in seconds.
@@ -76,11 +80,15 @@
         :param is_alone: whether nobody was heard of late.
         :returns: whether it has become ready just now.
         """
-        if not self.is_learning:
+        if not self.is_syncing:
             return False
-        if is_alone:
-            is_over = now - self._since >= self._settings.alone_seconds
+        if is_isolated:
+            is_finished = (
+                now - self._syncing_since >= self._settings.alone_seconds
+            )
         else:
-            is_over = self._is_synced and revision >= self._revision
-        self.is_learning = not is_over
-        return is_over
+            is_finished = (
+                self._is_synced and revision >= self._required_revision
+            )
+        self.is_syncing = not is_finished
+        return is_finished
--- a/skylarkfold/membership/_roster_updater.py
+++ b/skylarkfold/membership/_roster_updater.py
@@ -19,7 +19,7 @@
 _State = member.MemberState
 
 
-class Ledger:
+class RosterUpdater:
     """Changes the roster, and what follows from a change.
 
     :param own: this instance's identity.
@@ -28,23 +28,32 @@
     :param detector: keeps the time that suspects have left.
     """
 
-    __slots__ = ('_detector', '_gossip', '_own', '_roster', 'is_changed')
+    __slots__ = (
+        '_detector',
+        '_gossip',
+        '_own_member',
+        '_roster',
+        'is_changed',
+    )
 
     def __init__(
         self,
-        own: _own_member.Identity,
+        own_member: _own_member.OwnMember,
         roster: _roster.Roster,
-        gossip: _gossip.Gossip,
-        detector: _failure_detector.Detector,
+        gossip: _gossip.GossipQueue,
+        detector: _failure_detector.FailureDetector,
     ) -> None:
-        self._own = own
+        self._own_member = own_member
         self._roster = roster
         self._gossip = gossip
         self._detector = detector
         self.is_changed = True
 
     def merge(
-        self, facts: Iterable[_messages.MemberUpdate], sender: str, now: float
+        self,
+        updates: Iterable[_messages.MemberUpdate],
+        sender: str,
+        now: float,
     ) -> list[object]:
         """Take another instance's facts.
 
@@ -54,16 +63,16 @@
         :returns: log lines and counts.
         """
         effects = []
-        for fact in facts:
-            if fact.name == self._own.name:
-                effects += self._answer(fact, now)
-            elif not _gossip.is_valid(fact):
+        for update in updates:
+            if update.name == self._own_member.name:
+                effects += self._refute(update, now)
+            elif not _gossip.is_valid(update):
                 effects.append(effect.CountMetric(metric.MEMBERSHIP_MALFORMED))
-            elif self._gossip.trusts(fact, sender):
-                self._keep(fact, sender, now)
+            elif self._gossip.accepts(update, sender):
+                self._apply(update, sender, now)
         return effects
 
-    def take_roster(
+    def merge_roster(
         self, answer: _messages.RosterAnswer, sender: str, now: float
     ) -> list[object]:
         """Take all facts of some zones, and tell what is later here.
@@ -72,15 +81,17 @@
         :param sender: who told them.
         :param now: the time in seconds.
         """
-        later = self._gossip.list_later(answer)
-        dropped = self._gossip.list_dropped(answer, sender)
-        effects = self.merge(answer.facts, sender, now)
-        for name in dropped:
-            self._roster.drop(name)
+        newer = self._gossip.list_newer(answer)
+        removed = self._gossip.list_removed(answer, sender)
+        effects = self.merge(answer.updates, sender, now)
+        for name in removed:
+            self._roster.remove(name)
             self.is_changed = True
-        kept = [fact for fact in later if fact.name not in dropped]
-        if kept:
-            effects.append(_effects.send_facts(sender, kept))
+        unknown_to_sender = [
+            update for update in newer if update.name not in removed
+        ]
+        if unknown_to_sender:
+            effects.append(_effects.send_updates(sender, unknown_to_sender))
         return effects
 
     def declare(
@@ -94,14 +105,14 @@
         """
         known = self._roster.get(name)
         if known is None or _roster.is_gone(known):
-            self._detector.clear(name)
+            self._detector.clear_suspicion(name)
             return []
-        fact = msgspec.structs.replace(known, **changes)
-        self._keep(fact, self._own.name, now)
-        state = _State.DEAD if _roster.is_gone(fact) else _State.SUSPECT
+        update = msgspec.structs.replace(known, **changes)
+        self._apply(update, self._own_member.name, now)
+        state = _State.DEAD if _roster.is_gone(update) else _State.SUSPECT
         return [
-            _effects.record(name, state),
-            _effects.send_facts(name, [fact]),
+            _effects.record_decision(name, state),
+            _effects.send_updates(name, [update]),
         ]
 
     def change_own(self, now: float, **changes: object) -> None:
@@ -110,27 +121,29 @@
         :param now: the time in seconds.
         :param changes: the fields that change.
         """
-        self._own.change(now, **changes)
+        self._own_member.change(now, **changes)
         self.is_changed = True
 
-    def _answer(
-        self, fact: _messages.MemberUpdate, now: float
+    def _refute(
+        self, update: _messages.MemberUpdate, now: float
     ) -> list[object]:
-        decided = self._own.refute(fact, now)
-        if not decided:
+        outcome = self._own_member.refute(update, now)
+        if not outcome:
             return []
         self.is_changed = True
-        return [_effects.record(self._own.name, decided)]
+        return [_effects.record_decision(self._own_member.name, outcome)]
 
-    def _keep(
-        self, fact: _messages.MemberUpdate, sender: str, now: float
+    def _apply(
+        self, update: _messages.MemberUpdate, sender: str, now: float
     ) -> None:
-        if not self._roster.merge(fact, now):
+        if not self._roster.merge(update, now):
             return
         self.is_changed = True
-        self._gossip.queue(fact, sender)
-        is_mate = fact.zone == self._own.zone
-        if is_mate and fact.is_suspect and not _roster.is_gone(fact):
-            self._detector.suspect(fact.name, fact.incarnation, now)
+        self._gossip.queue(update, sender)
+        is_zone_peer = update.zone == self._own_member.zone
+        if is_zone_peer and update.is_suspect and not _roster.is_gone(update):
+            self._detector.start_suspicion(
+                update.name, update.incarnation, now
+            )
         else:
-            self._detector.clear(fact.name)
+            self._detector.clear_suspicion(update.name)
--- a/skylarkfold/membership/_zone_revisions.py
+++ b/skylarkfold/membership/_zone_revisions.py
@@ -10,7 +10,7 @@
 _UNKNOWN = 255
 
 
-class Progress:
+class ZoneRevisions:
     """Revisions by name; they only rise, so merging is safe in any order.
 
     :param roster: all facts.
@@ -18,12 +18,12 @@
     """
 
     __slots__ = (
-        '_described',
-        '_least',
-        '_names',
+        '_digests',
+        '_member_names',
+        '_minimum',
         '_revisions',
         '_roster',
-        '_stamp',
+        '_summary',
         '_zone',
         'version',
     )
@@ -32,21 +32,21 @@
         self._roster = roster
         self._zone = zone
         self._revisions: dict[str, tuple[int, int]] = {}
-        self._names: list[str] = []
-        self._stamp: tuple[int, int] | None = None
-        self._described: _messages.Progress | None = None
-        self._least: int | None = None
+        self._member_names: list[str] = []
+        self._digests: tuple[int, int] | None = None
+        self._summary: _messages.Progress | None = None
+        self._minimum: int | None = None
         self.version = 0
 
     def get(self, name: str) -> int:
         """Find the revision that is in force on a mate, as last heard."""
-        fact = self._roster.get(name)
-        if fact is None:
+        update = self._roster.get(name)
+        if update is None:
             return 0
         incarnation, revision = self._revisions.get(name, (-1, 0))
-        if incarnation != fact.incarnation:
-            return fact.revision
-        return max(revision, fact.revision)
+        if incarnation != update.incarnation:
+            return update.revision
+        return max(revision, update.revision)
 
     def note(self, name: str, revision: int) -> bool:
         """Note a revision that is in force on a member of the zone.
@@ -55,11 +55,11 @@
         :param revision: the revision.
         :returns: whether it is higher than before.
         """
-        fact = self._roster.get(name)
-        if fact is None or revision <= self.get(name):
+        update = self._roster.get(name)
+        if update is None or revision <= self.get(name):
             return False
-        self._revisions[name] = (fact.incarnation, revision)
-        self._described = self._least = None
+        self._revisions[name] = (update.incarnation, revision)
+        self._summary = self._minimum = None
         self.version += 1
         return True
 
@@ -71,53 +71,55 @@
         """
         if progress == self.describe():
             return False
-        names = self._names
-        if progress.digest != self._stamp[1]:
+        names = self._member_names
+        if progress.digest != self._digests[1]:
             return False
         if len(progress.lags) != len(names):
             return False
         pairs = zip(names, progress.lags)
-        rises = [
+        changes = [
             self.note(name, progress.highest - lag)
             for name, lag in pairs
             if lag < _UNKNOWN
         ]
-        return any(rises)
+        return any(changes)
 
     def describe(self) -> _messages.Progress:
         """Describe the zone for another member of it."""
         self._refresh()
-        if self._described is None:
-            revisions = [self.get(name) for name in self._names]
+        if self._summary is None:
+            revisions = [self.get(name) for name in self._member_names]
             highest = max(revisions, default=0)
             lags = bytes(min(_UNKNOWN, highest - each) for each in revisions)
-            self._described = _messages.Progress(self._stamp[1], highest, lags)
-        return self._described
+            self._summary = _messages.Progress(self._digests[1], highest, lags)
+        return self._summary
 
     def compute_least(self) -> int:
         """Compute the lowest revision among members that take traffic."""
         self._refresh()
-        if self._least is None:
-            facts = self._roster.list_zone(self._zone)
-            taking = filter(_roster.takes_traffic, facts)
-            revisions = [self.get(fact.name) for fact in taking]
-            self._least = min(revisions, default=0)
-        return self._least
+        if self._minimum is None:
+            updates = self._roster.list_zone_updates(self._zone)
+            serving = filter(_roster.takes_traffic, updates)
+            revisions = [self.get(update.name) for update in serving]
+            self._minimum = min(revisions, default=0)
+        return self._minimum
 
     def _refresh(self) -> None:
-        zone_digest = self._roster.compute_digest(self._zone)
-        if self._stamp is not None and self._stamp[0] == zone_digest:
+        zone_digest = self._roster.compute_zone_digest(self._zone)
+        if self._digests is not None and self._digests[0] == zone_digest:
             return
-        self._described = self._least = None
-        present = [
-            fact
-            for fact in self._roster.list_zone(self._zone)
-            if not _roster.is_gone(fact)
+        self._summary = self._minimum = None
+        live = [
+            update
+            for update in self._roster.list_zone_updates(self._zone)
+            if not _roster.is_gone(update)
         ]
-        self._names = [fact.name for fact in present]
-        text = '\n'.join(f'{fact.name}|{fact.incarnation}' for fact in present)
-        self._stamp = (zone_digest, xxhash.xxh32_intdigest(text.encode()))
-        kept = set(self._names)
+        self._member_names = [update.name for update in live]
+        text = '\n'.join(
+            f'{update.name}|{update.incarnation}' for update in live
+        )
+        self._digests = (zone_digest, xxhash.xxh32_intdigest(text.encode()))
+        kept = set(self._member_names)
         self._revisions = {
             name: known
             for name, known in self._revisions.items()
--- a/skylarkfold/membership/_zones.py
+++ b/skylarkfold/membership/_zones.py
@@ -10,10 +10,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Zone:
-    heard: float
+class _ZoneRecord:
+    heard_at: float
     minimum_revision: int = 0
-    reported: float = -math.inf
+    reported_at: float = -math.inf
 
 
 class Zones:
@@ -22,27 +22,29 @@
     __slots__ = ('_zones',)
 
     def __init__(self) -> None:
-        self._zones: dict[str, _Zone] = {}
+        self._zones: dict[str, _ZoneRecord] = {}
 
-    def note_heard(self, zone: str, heard: float) -> None:
+    def record_heard(self, zone: str, heard_at: float) -> None:
         """Note that an instance of a zone was heard.
 
         :param zone: the zone.
         :param heard: when, in seconds.
         """
-        known = self._zones.setdefault(zone, _Zone(heard))
-        known.heard = max(known.heard, heard)
+        record = self._zones.setdefault(zone, _ZoneRecord(heard_at))
+        record.heard_at = max(record.heard_at, heard_at)
 
-    def note_least(self, zone: str, revision: int, now: float) -> None:
+    def record_minimum_revision(
+        self, zone: str, revision: int, now: float
+    ) -> None:
         """Note the lowest revision of the own zone.
 
         :param zone: the zone.
         :param revision: the revision.
         :param now: the time in seconds.
         """
-        known = self._zones.setdefault(zone, _Zone(now))
-        known.minimum_revision = revision
-        known.reported = now
+        record = self._zones.setdefault(zone, _ZoneRecord(now))
+        record.minimum_revision = revision
+        record.reported_at = now
 
     def merge(self, summary: _messages.ZoneSummary, now: float) -> bool:
         """Take another instance's summary unless a later one is known.
@@ -51,22 +53,22 @@
         :param now: the time in seconds.
         :returns: whether the zone's lowest revision changed by it.
         """
-        reported = now - max(0, summary.age_milliseconds) / 1000
-        self.note_heard(summary.zone, reported)
-        known = self._zones[summary.zone]
-        if reported <= known.reported:
+        reported_at = now - max(0, summary.age_milliseconds) / 1000
+        self.record_heard(summary.zone, reported_at)
+        record = self._zones[summary.zone]
+        if reported_at <= record.reported_at:
             return False
-        known.reported = reported
-        before, known.minimum_revision = (
-            known.minimum_revision,
+        record.reported_at = reported_at
+        previous, record.minimum_revision = (
+            record.minimum_revision,
             summary.minimum_revision,
         )
-        return before != summary.minimum_revision
+        return previous != summary.minimum_revision
 
-    def get_least(self, zone: str) -> int:
+    def get_minimum_revision(self, zone: str) -> int:
         """Find a zone's lowest revision, 0 if it is unknown."""
-        known = self._zones.get(zone)
-        return 0 if known is None else known.minimum_revision
+        record = self._zones.get(zone)
+        return 0 if record is None else record.minimum_revision
 
     def compute_silence(self, zone: str, now: float) -> float:
         """Compute for how long nothing was heard of a zone.
@@ -77,9 +79,9 @@
         :param now: the time in seconds.
         :returns: seconds.
         """
-        return now - self._zones.setdefault(zone, _Zone(now)).heard
+        return now - self._zones.setdefault(zone, _ZoneRecord(now)).heard_at
 
-    def describe(
+    def build_summaries(
         self, zones: Iterable[str], now: float
     ) -> tuple[_messages.ZoneSummary, ...]:
         """Describe zones for another instance.
@@ -91,18 +93,23 @@
         return tuple(
             _summarize(zone, self._zones[zone], now)
             for zone in zones
-            if zone in self._zones and self._zones[zone].reported > -math.inf
+            if zone in self._zones
+            and self._zones[zone].reported_at > -math.inf
         )
 
-    def restart(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Count every zone as heard now, after a pause of this process.
 
         :param now: the time in seconds.
         """
-        for known in self._zones.values():
-            known.heard = now
+        for record in self._zones.values():
+            record.heard_at = now
 
 
-def _summarize(zone: str, known: _Zone, now: float) -> _messages.ZoneSummary:
-    age = max(0.0, now - known.reported)
-    return _messages.ZoneSummary(zone, known.minimum_revision, int(age * 1000))
+def _summarize(
+    zone: str, record: _ZoneRecord, now: float
+) -> _messages.ZoneSummary:
+    age = max(0.0, now - record.reported_at)
+    return _messages.ZoneSummary(
+        zone, record.minimum_revision, int(age * 1000)
+    )
--- a/skylarkfold/tests/membership/test_zone_revisions.py
+++ b/skylarkfold/tests/membership/test_zone_revisions.py
@@ -26,7 +26,7 @@
             0,
         )
         roster.put(fact, 0.0)
-    return _zone_revisions.Progress(roster, 'hall-a')
+    return _zone_revisions.ZoneRevisions(roster, 'hall-a')
 
 
 class ProgressTest(testtools.TestCase):
