--- a/skylarkfold/membership/__init__.py
+++ b/skylarkfold/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which instances there are, and how each is seen from here."""
+"""Membership of the cluster: discovery, failure detection and gossip."""
 
 from skylarkfold.membership._core import MembershipCore
 from skylarkfold.membership._messages import Gossip
--- a/skylarkfold/membership/_connector.py
+++ b/skylarkfold/membership/_connector.py
@@ -1,4 +1,4 @@
-"""Introduces this instance to unknown and lost ones."""
+"""Contact attempts to unknown and unreachable instances."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class Connector:
-    """A few introductions at a time, in turn.
+    """Sends Hello messages to a few candidates at a time, round robin.
 
     :param settings: the membership's settings.
-    :param own: this instance's identity.
-    :param roster: all facts.
-    :param contacts: seeds and listed instances.
+    :param own_member: this instance's own member update.
+    :param roster: the latest update of each member.
+    :param contacts: seeds and instances from the platform's list.
     """
 
     __slots__ = ('_contacts', '_own_member', '_roster', '_settings')
@@ -36,7 +36,7 @@
         self._contacts = contacts
 
     def contact_unknown(self) -> list[object]:
-        """Approach unknown instances, those of the own zone first."""
+        """Contact unknown instances, those of the own zone first."""
         known_addresses = [
             update.address
             for update in self._roster.list_updates()
@@ -51,9 +51,11 @@
     def contact_lost(
         self, publication: _publication.Publication
     ) -> list[object]:
-        """Approach lost instances: they may only have been cut off.
+        """Contact dead members and silent zones.
 
-        :param publication: how the members are seen.
+        They may have been partitioned from this instance and still run.
+
+        :param publication: the published membership.
         """
         members = list(publication.membership.members.values())
         lost = [
--- a/skylarkfold/membership/_contacts.py
+++ b/skylarkfold/membership/_contacts.py
@@ -1,4 +1,4 @@
-"""Whom to approach that is not, or no longer, a known live member."""
+"""Candidates to contact that are not known as live members."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Contacts:
-    """Seeds and listed instances, tried in turn.
+    """Seeds and instances from the platform's list, tried round robin.
 
-    The platform's list lags: it introduces instances, but it makes nobody
-    alive, leaving or dead.
+    The platform's list may be out of date, so it is used for discovery
+    only and never changes the state of a member.
 
     :param settings: the membership's settings.
-    :param seed: where this instance begins in the round.
+    :param seed: the hash seed that orders the candidates on this instance.
     """
 
     __slots__ = ('_hash_seed', '_listed', '_next_index', '_settings')
@@ -33,9 +33,9 @@
     def set_listed(
         self, instances: tuple[platform_api.ListedInstance, ...]
     ) -> None:
-        """Take the platform's list.
+        """Replace the platform's list.
 
-        :param instances: its entries.
+        :param instances: the listed instances.
         """
         self._listed = instances
 
@@ -44,9 +44,11 @@
     ) -> list[str]:
         """List addresses of seeds and listed instances not known yet.
 
-        :param known: the addresses of live members and the own one.
-        :param own_zone: if given, only listed instances of this zone.
-        :returns: addresses in this instance's own order.
+        :param known_addresses: the addresses of live members, including
+            this instance.
+        :param zone: if given, list only instances of this zone; seeds are
+            always included.
+        :returns: addresses, sorted by a hash that is seeded per instance.
         """
         skipped = set(known_addresses)
         listed = (
@@ -58,11 +60,11 @@
         return sorted(found, key=self._hash)
 
     def choose_next(self, candidates: list[str], count: int) -> list[str]:
-        """Choose the next candidates in turn.
+        """Choose the next candidates, round robin.
 
         :param candidates: addresses or names.
-        :param count: how many.
-        :returns: at most so many of them.
+        :param count: the maximum number to choose.
+        :returns: the chosen candidates.
         """
         if not candidates:
             return []
--- a/skylarkfold/membership/_core.py
+++ b/skylarkfold/membership/_core.py
@@ -1,4 +1,4 @@
-"""The decisions of the membership."""
+"""Core of the membership subsystem."""
 
 from __future__ import annotations
 
@@ -32,26 +32,27 @@
 from skylarkfold import metric
 from skylarkfold import overlay
 
-# After a rumor the next ones wait for a tick, so that many changes at once
-# (a whole fleet that starts) go in few messages.
+# Minimum time between gossip messages outside of ticks: a burst of changes,
+# as when a whole fleet starts, is sent in few messages.
 _GOSSIP_INTERVAL_SECONDS = 0.25
-# The first change is published with the next tick, those after it together.
+# Minimum time between two publications; changes in between are batched.
 _PUBLICATION_INTERVAL_SECONDS = 1.0
 _State = member.MemberState
 
 
 class MembershipCore:
-    """Knows the other instances by first-hand heartbeats and by rumor.
+    """Tracks the other instances by heartbeats and gossip.
 
-    Members of a zone watch each other; only they declare one of them
-    dead. Zones know each other through a few delegates, and judge a
-    silent zone as a whole.
+    Members of a zone monitor each other, and only they declare one of
+    them dead. Zones exchange heartbeats through a few delegates each; if
+    nothing is heard from a zone, all of its members become suspect, then
+    dead.
 
-    :param instance: this instance's identity.
+    :param instance: this instance's settings.
     :param settings: the membership's settings.
     :param incarnation: higher than that of any earlier process under the
         same name.
-    :param seed: spreads this instance's timers against the others'.
+    :param seed: seed of the random jitter of this instance's timers.
     """
 
     def __init__(
@@ -123,17 +124,17 @@
 
     @property
     def state(self) -> member.MemberState:
-        """This instance's own state, as the others are told."""
+        """This instance's state as sent to the other instances."""
         return self._own_member.state
 
     @property
     def is_ready(self) -> bool:
-        """Whether the view can be relied on.
+        """Whether the published membership is complete enough to use.
 
-        False while joining, and after a pause of the process until others
-        were heard. Publications pause, and the other cores know what was
-        published: it must show this instance as alive, and with it those
-        that it has met by then.
+        False while joining, and after a pause of the process until this
+        instance has synced with a peer again. Other cores act on the
+        published membership, which may lag behind: it must already show
+        this instance as alive.
         """
         published = self.membership.members.get(self._own_member.name)
         if published is None or published.state is not _State.ALIVE:
@@ -144,10 +145,10 @@
         )
 
     def resolve(self, peer: str) -> endpoint.Endpoint | None:
-        """Find where a peer takes streams.
+        """Return the address at which a peer accepts streams.
 
         :param peer: a member's name, or a seed's ``host:port``.
-        :returns: its address, or None if it is not known.
+        :returns: its address, or None if it is unknown.
         """
         known = self._roster.get(peer)
         try:
@@ -158,10 +159,10 @@
             return None
 
     def report_revision(self, now: float, revision: int) -> list[object]:
-        """Take the revision that is now in force on this instance.
+        """Record the configuration revision in force on this instance.
 
         :param now: the time in seconds.
-        :param revision: the revision; a lower one than before is ignored.
+        :param revision: the revision; ignored if lower than before.
         :returns: effects.
         """
         if self._zone_revisions.note(self._own_member.name, revision):
@@ -170,16 +171,18 @@
         return []
 
     def leave(self, now: float) -> list[object]:
-        """Say goodbye, as the last thing before the process ends.
+        """Announce to the neighbours that this instance has left.
+
+        To be called last, just before the process ends.
 
         :param now: the time in seconds.
-        :returns: the last messages.
+        :returns: the final messages.
         """
         self._updater.change_own(now, state=_State.LEFT)
         return self._flush_gossip(now)
 
     def handle(self, now: float, event_: object) -> list[object]:
-        """Take one event.
+        """Handle one event.
 
         :param now: the time in seconds of a monotonic clock.
         :param event_: one of :mod:`skylarkfold.event`.
@@ -339,8 +342,8 @@
         return effects
 
     def _run_round(self, now: float) -> list[object]:
-        # The own zone is silent only for one that hears nobody at all:
-        # else its mates are watched one by one.
+        # The own zone counts as silent only if this instance hears nobody
+        # at all; otherwise its members are monitored one by one.
         if not (
             self._monitor.has_zone_peers() and self._detector.is_isolated(now)
         ):
@@ -369,7 +372,7 @@
     def _update_readiness(self, now: float) -> list[object]:
         is_isolated = self._detector.is_isolated(now)
         revision = self._own_member.current_update.revision
-        if not self._readiness.finish_sync(now, revision, is_isolated):
+        if not self._readiness.try_finish_sync(now, revision, is_isolated):
             is_stuck = self._readiness.is_syncing and is_isolated
             return self._connector.contact_unknown() if is_stuck else []
         self._updater.is_changed = True
--- a/skylarkfold/membership/_effects.py
+++ b/skylarkfold/membership/_effects.py
@@ -1,4 +1,4 @@
-"""Log lines and messages that several modules make."""
+"""Builders of effects that several modules use."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def record_decision(subject: str, reason: str) -> effect.RecordDecision:
-    """Make a log line of the membership.
+    """Build the log record of a membership decision.
 
     :param subject: the instance or zone concerned.
-    :param reason: what was decided of it.
+    :param reason: the decision.
     """
     return effect.RecordDecision('membership', '', subject, '', str(reason))
 
@@ -20,9 +20,9 @@
 def send_updates(
     peer: str, updates: Iterable[_messages.MemberUpdate]
 ) -> effect.SendToPeer:
-    """Tell one instance some facts.
+    """Send member updates to one instance.
 
-    :param peer: the instance.
-    :param facts: the facts.
+    :param peer: the receiver.
+    :param updates: the updates.
     """
     return effect.SendToPeer(peer, _messages.Gossip(tuple(updates)))
--- a/skylarkfold/membership/_failure_detector.py
+++ b/skylarkfold/membership/_failure_detector.py
@@ -1,4 +1,4 @@
-"""Judges the silence of the neighbours in the own zone."""
+"""Failure detector for the neighbours in the own zone."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FailureDetector:
-    """First-hand evidence, probes under way and suspicions.
+    """Tracks last contact, pending indirect probes and suspicions.
 
     :param settings: the membership's settings.
     """
@@ -30,10 +30,10 @@
         self._last_heard_any = -math.inf
 
     def record_heard(self, name: str, heard_at: float) -> None:
-        """Note evidence that an instance was alive.
+        """Record that an instance was heard from.
 
         :param name: the instance.
-        :param heard: when, in seconds.
+        :param heard_at: the time in seconds.
         """
         self._last_heard[name] = max(
             heard_at, self._last_heard.get(name, heard_at)
@@ -42,20 +42,23 @@
         self._probe_deadlines.pop(name, None)
 
     def get_last_heard(self, name: str) -> float | None:
-        """Find when an instance was last heard, None for never."""
+        """Return when an instance was last heard from, None if never."""
         return self._last_heard.get(name)
 
     def is_isolated(self, now: float) -> bool:
-        """Tell whether nobody at all was heard of late.
+        """Return whether no instance was heard from recently.
 
-        Such an instance rather suspects itself.
+        The fault is then likely on this side, so no neighbour should be
+        declared suspect or dead.
 
         :param now: the time in seconds.
         """
         return now - self._last_heard_any > self._settings.suspect_seconds
 
     def record_disconnect(self, name: str, now: float) -> None:
-        """Note that the stream to an instance broke: ask at once.
+        """Record that the stream to an instance broke.
+
+        The instance counts as silent, so it is probed in the next round.
 
         :param name: the instance.
         :param now: the time in seconds.
@@ -66,11 +69,11 @@
             )
 
     def start_probes(self, names: Iterable[str], now: float) -> list[str]:
-        """Find watched instances to ask after, and begin to.
+        """Start the probe deadline of each instance that fell silent.
 
-        :param names: the instances that this one watches.
+        :param names: the instances that this one monitors.
         :param now: the time in seconds.
-        :returns: those that were silent for too long just now.
+        :returns: the instances to probe.
         """
         limit = now - self._settings.suspect_seconds
         silent = [
@@ -85,7 +88,7 @@
         return silent
 
     def pop_failed_probes(self, now: float) -> list[str]:
-        """List instances that nobody heard either; their probes end.
+        """Remove and return the instances whose probes timed out.
 
         :param now: the time in seconds.
         """
@@ -99,7 +102,9 @@
         return failed
 
     def start_suspicion(self, name: str, incarnation: int, now: float) -> None:
-        """Begin to wait for a suspect's refutation.
+        """Start the refutation deadline of a suspect.
+
+        Does nothing if the same incarnation is suspected already.
 
         :param name: the suspect.
         :param incarnation: its incarnation.
@@ -111,12 +116,12 @@
             self._suspicions[name] = (incarnation, deadline)
 
     def clear_suspicion(self, name: str) -> None:
-        """End a suspicion."""
+        """Clear the suspicion and the probe of an instance."""
         self._suspicions.pop(name, None)
         self._probe_deadlines.pop(name, None)
 
     def list_expired_suspicions(self, now: float) -> list[str]:
-        """List suspects whose time to refute is over.
+        """List the suspects whose refutation deadline has passed.
 
         :param now: the time in seconds.
         """
@@ -127,7 +132,7 @@
         ]
 
     def retain(self, names: Iterable[str]) -> None:
-        """Forget the evidence about all instances but some."""
+        """Drop the last contact of all instances but the named ones."""
         kept = set(names)
         self._last_heard = {
             name: heard
@@ -136,7 +141,9 @@
         }
 
     def reset(self, now: float) -> None:
-        """Count everything as fresh after a pause of this process.
+        """Restart all deadlines, after a pause of this process.
+
+        Every instance counts as heard from now.
 
         :param now: the time in seconds.
         """
@@ -145,7 +152,7 @@
         self.extend_suspicions(now)
 
     def extend_suspicions(self, now: float) -> None:
-        """Give every suspect its whole time again.
+        """Restart the refutation deadline of every suspect.
 
         :param now: the time in seconds.
         """
--- a/skylarkfold/membership/_gossip.py
+++ b/skylarkfold/membership/_gossip.py
@@ -1,4 +1,4 @@
-"""Passes facts on, and compares what two instances know."""
+"""Gossip of member updates, and reconciliation of two rosters."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from skylarkfold.membership import _messages
 from skylarkfold.membership import _roster
 
-# More facts at once come from a comparison of rosters: the neighbours
-# find the same difference themselves.
+# A larger batch comes from a roster sync; the neighbours find the same
+# difference by their own syncs.
 _MAXIMUM_QUEUED = 256
 
 
 def is_valid(update: _messages.MemberUpdate) -> bool:
-    """Tell whether a fact can be used at all."""
+    """Return whether an update has a name, a zone and a valid address."""
     try:
         endpoint.parse_endpoint(update.address)
     except ValueError:
@@ -26,18 +26,18 @@
 def supersedes(
     update: _messages.MemberUpdate, known: _messages.MemberUpdate
 ) -> bool:
-    """Tell whether a fact replaces another of the same instance."""
+    """Return whether an update is newer than a known one of the member."""
     return _roster.get_precedence(update) > _roster.get_precedence(known)
 
 
 class GossipQueue:
-    """Queues facts for the neighbours.
+    """Forwards member updates to the neighbours and reconciles rosters.
 
-    A fact goes to all neighbours of the own zone, and to other zones only
-    from the zone that it is about.
+    An update is sent to all neighbours of the own zone. Neighbours in
+    other zones get only updates about members of the own zone.
 
-    :param roster: all facts.
-    :param zone: the own zone.
+    :param roster: the latest update of each member.
+    :param zone: this instance's zone.
     """
 
     __slots__ = ('_queued', '_roster', '_zone')
@@ -48,13 +48,14 @@
         self._queued: dict[str, tuple[_messages.MemberUpdate, str]] = {}
 
     def accepts(self, update: _messages.MemberUpdate, sender: str) -> bool:
-        """Tell whether a sender may speak about a fact's instance.
+        """Return whether to accept an update from a sender.
 
-        Of the own zone only its own members may: what another zone still
-        believes of it is older.
+        Updates about members of the own zone are accepted only from
+        members of that zone or from the member itself, since other zones
+        hold older state.
 
-        :param fact: the fact.
-        :param sender: who told it.
+        :param update: the update.
+        :param sender: the instance that sent it.
         """
         if update.zone != self._zone or update.name == sender:
             return True
@@ -62,19 +63,19 @@
         return known is not None and known.zone == self._zone
 
     def queue(self, update: _messages.MemberUpdate, sender: str) -> None:
-        """Queue a fact that is new here.
+        """Queue an update that was new to this instance.
 
-        :param fact: the fact.
-        :param sender: who told it, so that it is not told again.
+        :param update: the update.
+        :param sender: the instance that sent it; it does not get it back.
         """
         if len(self._queued) < _MAXIMUM_QUEUED:
             self._queued[update.name] = (update, sender)
 
     def flush(self, neighbours: Iterable[str]) -> list[object]:
-        """Send the queued facts.
+        """Send the queued updates.
 
-        :param neighbours: to whom.
-        :returns: one message a neighbour that has something to hear.
+        :param neighbours: the receivers.
+        :returns: at most one message to each neighbour.
         """
         if not self._queued:
             return []
@@ -95,7 +96,7 @@
         return effects
 
     def build_request(self) -> _messages.RosterRequest:
-        """Ask for the zones that are known differently elsewhere."""
+        """Build a request for the zones whose digests differ at the peer."""
         zones = tuple(
             _messages.ZoneDigest(zone, self._roster.compute_zone_digest(zone))
             for zone in self._roster.list_live_zones()
@@ -105,9 +106,9 @@
     def build_answer(
         self, peer_digests: tuple[_messages.ZoneDigest, ...]
     ) -> _messages.RosterAnswer:
-        """Answer with the facts of all zones whose digests differ.
+        """Build an answer with the updates of all zones that differ.
 
-        :param asked: the digests of the instance that asks.
+        :param peer_digests: the zone digests of the requesting instance.
         """
         digests_by_zone = {each.zone: each.digest for each in peer_digests}
         zones = sorted({*digests_by_zone, *self._roster.list_live_zones()})
@@ -127,9 +128,9 @@
     def list_newer(
         self, answer: _messages.RosterAnswer
     ) -> list[_messages.MemberUpdate]:
-        """List own facts that an answer lacks or has in an earlier form.
+        """List known updates that an answer lacks or has an older one of.
 
-        :param answer: another instance's facts of some zones.
+        :param answer: the complete updates of some zones.
         """
         peer_updates = {update.name: update for update in answer.updates}
         covered = set(answer.zones)
@@ -146,10 +147,11 @@
     def list_removed(
         self, answer: _messages.RosterAnswer, sender: str
     ) -> set[str]:
-        """List members that their own zone does not know any more.
+        """List members of the sender's zone that the sender has forgotten.
 
-        :param answer: all facts of some zones.
-        :param sender: who sent them; only its own zone is judged.
+        :param answer: the complete updates of some zones.
+        :param sender: the instance that sent it; if it is of the own zone,
+            nothing is listed.
         """
         known = self._roster.get(sender)
         if known is None or known.zone == self._zone:
--- a/skylarkfold/membership/_heartbeat.py
+++ b/skylarkfold/membership/_heartbeat.py
@@ -1,4 +1,4 @@
-"""Makes and reads heartbeats."""
+"""Sending and receiving of heartbeats."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 from skylarkfold.membership import _zone_revisions
 from skylarkfold.membership import _zones
 
+# Number of rounds between full heartbeats, which summarize all zones.
 _FULL_INTERVAL_IN_ZONE = 2
 _FULL_INTERVAL_ACROSS_ZONES = 4
 _MISMATCHES_BEFORE_SYNC = 3
 
 
 class Heartbeats:
-    """Tells neighbours the little that they must hear often.
+    """Builds this instance's heartbeats and handles those of its peers.
 
     :param settings: the membership's settings.
-    :param roster: all facts.
-    :param progress: the revisions in the own zone.
-    :param zones: what is known of whole zones.
+    :param roster: the latest update of each member.
+    :param zone_revisions: the revisions in force in the own zone.
+    :param zones: the state of whole zones.
     """
 
     __slots__ = (
@@ -57,13 +58,15 @@
         now: float,
         is_urgent: bool = False,
     ) -> list[object]:
-        """Make the heartbeats of one beat.
+        """Send the heartbeats of one round.
 
-        :param own: this instance's fact.
-        :param neighbours: the instances it has chosen.
+        :param own_update: this instance's own update.
+        :param neighbours: its neighbours in the overlay.
         :param now: the time in seconds.
-        :param is_urgent: whether there is news of revisions in force.
-        :returns: heartbeats to them and to those that have chosen it.
+        :param is_urgent: whether a revision in force has changed, so that
+            full heartbeats are sent.
+        :returns: heartbeats to the neighbours and to the instances that
+            have this one as a neighbour.
         """
         self._is_urgent = is_urgent
         self._round += 1
@@ -92,13 +95,13 @@
         own_update: _messages.MemberUpdate,
         now: float,
     ) -> bool:
-        """Take a heartbeat of the sender's present incarnation.
+        """Handle a heartbeat of the sender's current incarnation.
 
         :param heartbeat: the heartbeat.
-        :param sender: the sender's fact.
-        :param own: this instance's fact.
+        :param sender: the sender's latest update.
+        :param own_update: this instance's own update.
         :param now: the time in seconds.
-        :returns: whether a revision in force somewhere changed.
+        :returns: whether it changed a known revision in force.
         """
         if heartbeat.is_chosen:
             until = now + self._settings.suspect_seconds
@@ -117,7 +120,10 @@
         return any(changes)
 
     def must_sync_roster(self, sender: str, digest: int) -> bool:
-        """Tell whether a neighbour has known other members for a while.
+        """Return whether to request a neighbour's roster.
+
+        That is when its digest has differed in several heartbeats in a
+        row.
 
         :param sender: the neighbour.
         :param digest: its digest of all members.
--- a/skylarkfold/membership/_membership_builder.py
+++ b/skylarkfold/membership/_membership_builder.py
@@ -1,4 +1,4 @@
-"""Turns facts and the silence of zones into a membership."""
+"""Builder of the published membership."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class MembershipBuilder:
-    """Builds what the other subsystems see.
+    """Builds a membership from the roster and the state of the zones.
 
     :param own_zone: this instance's zone.
     :param settings: the membership's settings.
-    :param roster: all facts.
-    :param progress: the revisions in the own zone.
-    :param zones: what is known of whole zones.
+    :param roster: the latest update of each member.
+    :param zone_revisions: the revisions in force in the own zone.
+    :param zones: the state of whole zones.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         self._topology_version = 0
 
     def compute_zone_states(self, now: float) -> dict[str, _State]:
-        """Judge every zone by its silence.
+        """Compute the state of each zone from the time since it was heard.
 
         :param now: the time in seconds.
         :returns: ``ALIVE``, ``SUSPECT`` or ``DEAD`` for each zone.
@@ -67,10 +67,10 @@
     def compute_minimum_revision(self, zone_states: dict[str, _State]) -> int:
         """Compute the lowest revision in force on any reachable member.
 
-        Members that are joining take no traffic and don't count.
+        Joining members don't count, as they take no traffic.
 
-        :param judged: the zones' states.
-        :returns: the revision, 0 if it is unknown of any zone.
+        :param zone_states: the state of each zone.
+        :returns: the revision, 0 if that of any zone is unknown.
         """
         serving_zones = self._roster.list_serving_zones()
         revisions = [
@@ -85,7 +85,7 @@
     ) -> member.Membership:
         """Build the membership.
 
-        :param own: this instance's fact, as it is to be shown.
+        :param own_update: this instance's own update, as published.
         :param version: the membership's version.
         :param now: the time in seconds.
         """
--- a/skylarkfold/membership/_messages.py
+++ b/skylarkfold/membership/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the membership between instances."""
+"""Messages of the membership protocol."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one instance; a later fact replaces an earlier one.
+    """State of one instance; a newer update replaces an older one.
 
     :param name: the instance's name.
     :param zone: its availability zone.
     :param region: its region.
-    :param address: where it takes peers' streams, ``host:port``.
-    :param incarnation: only the instance itself raises it.
-    :param state: every state but suspect.
+    :param address: where it accepts streams of peers, ``host:port``.
+    :param incarnation: raised by the instance itself only.
+    :param state: any state but suspect.
     :param is_suspect: whether another instance suspects it.
-    :param revision: the revision in force there when the fact was made.
+    :param revision: the revision in force there when the update was made.
     """
 
     name: str
@@ -32,11 +32,11 @@
 
 
 class ZoneSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What other zones are told of a zone.
+    """Summary of a zone for instances of other zones.
 
     :param zone: the zone.
     :param minimum_revision: the lowest revision in force there.
-    :param age_milliseconds: how long ago an instance of it said so.
+    :param age_milliseconds: how long ago an instance of the zone reported it.
     """
 
     zone: str
@@ -45,12 +45,12 @@
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """The revisions in force on all members of the sender's zone.
+    """Revisions in force on all members of the sender's zone.
 
-    :param digest: identifies the zone's members, in a fixed order.
+    :param digest: digest of the zone's members.
     :param highest: the highest revision among them.
-    :param lags: for each member one byte, how far it is behind that; 255
-        for further or unknown.
+    :param lags: one byte for each member, sorted by name: how far it is
+        behind the highest revision; 255 if further or unknown.
     """
 
     digest: message.Count
@@ -59,17 +59,17 @@
 
 
 class ZoneDigest(msgspec.Struct, frozen=True, array_like=True):
-    """Identifies what is known of a zone's members."""
+    """Digest of the known members of a zone."""
 
     zone: str
     digest: message.Count
 
 
 class Hello(message.PeerMessage, tag=60):
-    """Who the sender is.
+    """Introduction of the sender.
 
-    :param fact: the sender's own fact.
-    :param wants_answer: whether the receiver shall introduce itself.
+    :param fact: the sender's own update.
+    :param wants_answer: whether the receiver is to reply with its own.
     """
 
     fact: MemberUpdate
@@ -77,15 +77,17 @@
 
 
 class Heartbeat(message.PeerMessage, tag=61):
-    """The sender is alive.
+    """Sign of life of the sender.
 
-    :param incarnation: its incarnation.
-    :param revision: the revision in force there.
+    :param incarnation: the sender's incarnation.
+    :param revision: the revision in force on the sender.
     :param is_chosen: whether the receiver is a neighbour of the sender
-        in the sender's overlay, and is to send heartbeats too.
-    :param digest: identifies what the sender knows of all members.
-    :param progress: of the sender's zone, to members of the same zone.
-    :param zones: of other zones; left out of most heartbeats.
+        in the sender's overlay, and is to send heartbeats in return.
+    :param digest: digest of all members that the sender knows.
+    :param progress: revisions in the sender's zone; only in full
+        heartbeats to members of that zone.
+    :param zones: summaries of all zones in full heartbeats; in others of
+        the sender's zone at most.
     """
 
     incarnation: message.Count
@@ -97,22 +99,22 @@
 
 
 class Gossip(message.PeerMessage, tag=62):
-    """Facts that are new to the sender."""
+    """Updates that are new to the sender."""
 
     facts: tuple[MemberUpdate, ...]
 
 
 class RosterRequest(message.PeerMessage, tag=63):
-    """Asks for the facts of all zones of which the digests differ."""
+    """Request for the updates of all zones whose digests differ."""
 
     zones: tuple[ZoneDigest, ...]
 
 
 class RosterAnswer(message.PeerMessage, tag=64):
-    """All facts of some zones.
+    """Complete updates of some zones.
 
-    :param zones: the zones that are covered whole.
-    :param facts: their facts.
+    :param zones: the zones.
+    :param updates: the updates of all of their members.
     """
 
     zones: tuple[str, ...]
@@ -120,16 +122,16 @@
 
 
 class ProbeRequest(message.PeerMessage, tag=65):
-    """Asks whether the receiver hears an instance."""
+    """Request to probe an instance on the sender's behalf."""
 
     target: str
 
 
 class ProbeAnswer(message.PeerMessage, tag=66):
-    """An instance was heard.
+    """Report that a probed instance was heard from.
 
-    :param target: the instance.
-    :param age_milliseconds: how long ago.
+    :param target: the probed instance.
+    :param age_milliseconds: how long ago it was heard from.
     """
 
     target: str
--- a/skylarkfold/membership/_neighbour_monitor.py
+++ b/skylarkfold/membership/_neighbour_monitor.py
@@ -1,4 +1,4 @@
-"""The watch that the members of a zone keep on each other."""
+"""Monitoring of the neighbours in the own zone."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class NeighbourMonitor:
-    """Finds silent neighbours and takes them for suspect, then for dead.
+    """Probes silent neighbours and declares them suspect, then dead.
 
-    :param own: this instance.
-    :param roster: what is known of every instance.
-    :param detector: the evidence.
-    :param probes: asks others for theirs.
-    :param ledger: declares.
-    :param publication: who the neighbours are.
+    :param own_member: this instance's own member update.
+    :param roster: the latest update of each member.
+    :param detector: the failure detector.
+    :param probes: sends indirect probes.
+    :param updater: applies the declarations to the roster.
+    :param publication: the published membership and its neighbours.
     """
 
     __slots__ = (
@@ -48,9 +48,10 @@
         self._publication = publication
 
     def check(self, now: float) -> list[object]:
-        """Ask after the silent, and declare those that nobody heard.
+        """Probe silent neighbours and declare those that failed.
 
-        An instance that hears nobody declares nobody.
+        While this instance is isolated, it declares nobody suspect or
+        dead.
 
         :param now: the time in seconds.
         :returns: effects.
@@ -77,7 +78,7 @@
         return effects
 
     def has_zone_peers(self) -> bool:
-        """Tell whether the own zone has other members."""
+        """Return whether the own zone has other live members."""
         return any(
             update.zone == self._own_member.zone
             and update.name != self._own_member.name
--- a/skylarkfold/membership/_own_member.py
+++ b/skylarkfold/membership/_own_member.py
@@ -1,4 +1,4 @@
-"""What this instance says of itself."""
+"""This instance's own member update."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class OwnMember:
-    """This instance's own fact, which nobody else may change.
+    """The update about this instance, which only this instance changes.
 
-    :param instance: this instance's identity.
+    :param instance: this instance's settings.
     :param incarnation: higher than that of any earlier process under the
         same name.
-    :param roster: all facts.
-    :param gossip: passes facts on.
+    :param roster: the latest update of each member.
+    :param gossip: the queue of updates for the neighbours.
     """
 
     __slots__ = ('_gossip', '_roster', 'current_update')
@@ -59,11 +59,11 @@
 
     @property
     def state(self) -> member.MemberState:
-        """Its state, as the others are told."""
+        """Its state as sent to the other instances."""
         return self.current_update.state
 
     def change(self, now: float, **changes: object) -> None:
-        """Change the own fact and tell the neighbours.
+        """Change fields of the own update and queue it for the neighbours.
 
         :param now: the time in seconds.
         :param changes: fields with their new values.
@@ -75,14 +75,14 @@
             self._gossip.queue(self.current_update, self.name)
 
     def refute(self, received: _messages.MemberUpdate, now: float) -> str:
-        """Answer what others say of this instance.
+        """Refute an update that another instance sent about this one.
 
-        A higher incarnation at another address is a later process under
-        the same name: this one has been replaced.
+        If it has a higher incarnation and another address, a newer process
+        runs under the same name, and this instance leaves.
 
-        :param told: another instance's fact about this one.
+        :param received: the update about this instance.
         :param now: the time in seconds.
-        :returns: what was decided, empty for nothing.
+        :returns: the reason to log, or an empty string if nothing changed.
         """
         current = self.current_update
         if current.state is _State.LEFT or not _gossip.supersedes(
@@ -99,10 +99,10 @@
         return 'refuted'
 
     def send_hello(self, peer: str, wants_answer: bool) -> effect.SendToPeer:
-        """Introduce this instance.
+        """Send a Hello message with the own update.
 
-        :param peer: to whom: a member's name or an address.
-        :param wants_answer: whether it shall introduce itself too.
+        :param peer: the receiver, a member's name or an address.
+        :param wants_answer: whether the receiver is to reply with its own.
         """
         hello = _messages.Hello(self.current_update, wants_answer)
         return effect.SendToPeer(peer, hello)
--- a/skylarkfold/membership/_platform_list.py
+++ b/skylarkfold/membership/_platform_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of instances."""
+"""Reader of the platform's list of instances."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class InstanceListReader:
-    """At most one call under way, at jittered times.
+    """Reads the list at jittered intervals, with at most one pending call.
 
     :param settings: the membership's settings.
-    :param source: this instance's jitter.
+    :param random_source: the source of the jitter.
     """
 
     __slots__ = (
@@ -39,14 +39,16 @@
         self._next_call_time = 0.0
 
     def schedule_first_call(self, now: float) -> None:
-        """Spread the first calls of a fleet that starts at once.
+        """Schedule the first call after a random delay.
+
+        It spreads the calls of a fleet whose instances start together.
 
         :param now: the time in seconds.
         """
         self._next_call_time = now + self._random.uniform(0, 1)
 
     def call_if_due(self, now: float, is_reader: bool) -> list[object]:
-        """Read the list if it is time to.
+        """Call the platform for the list if a call is due.
 
         :param now: the time in seconds.
         :param is_reader: whether this instance reads it regularly.
@@ -73,10 +75,11 @@
     def take_answer(
         self, answered: event.PlatformAnswered
     ) -> tuple[platform_api.ListedInstance, ...] | None:
-        """Take an answer.
+        """Handle the answer to a platform call.
 
-        :param answered: the end of any platform call.
-        :returns: the list, or None if this is no list.
+        :param answered: the answer to any platform call.
+        :returns: the listed instances, or None if the call failed or was
+            not made here.
         """
         if answered.call != self._pending_call:
             return None
--- a/skylarkfold/membership/_probes.py
+++ b/skylarkfold/membership/_probes.py
@@ -1,4 +1,4 @@
-"""Asks others whether they hear an instance, and answers them."""
+"""Indirect probes of silent instances."""
 
 from __future__ import annotations
 
@@ -17,12 +17,14 @@
 
 
 class IndirectProbes:
-    """Indirect probes: silence here may be a broken path only.
+    """Probes instances by way of others, and answers their probe requests.
+
+    An instance that is silent here may only be unreachable from here.
 
     :param settings: the membership's settings.
-    :param own: this instance's identity.
-    :param roster: all facts.
-    :param detector: this instance's own evidence.
+    :param own_member: this instance's own member update.
+    :param roster: the latest update of each member.
+    :param detector: knows when this instance last heard from others.
     """
 
     __slots__ = (
@@ -52,11 +54,13 @@
         membership: member.Membership,
         neighbours: Iterable[str],
     ) -> list[object]:
-        """Ask a silent instance itself and some that watch it too.
+        """Probe a silent instance directly and by way of other instances.
+
+        The target's own neighbours are asked first.
 
         :param target: the silent instance.
         :param membership: all members.
-        :param neighbours: this instance's own neighbours.
+        :param neighbours: this instance's neighbours.
         """
         target_neighbours = overlay.list_neighbours(membership, target)
         proxies = [
@@ -76,10 +80,10 @@
     def handle_request(
         self, target: str, sender: str, now: float
     ) -> list[object]:
-        """Answer at once or ask the target first.
+        """Answer a probe request, or contact its target first.
 
-        :param target: the instance that the sender does not hear.
-        :param sender: who asks.
+        :param target: the instance to probe.
+        :param sender: the instance that sent the request.
         :param now: the time in seconds.
         """
         if target == self._own_member.name:
@@ -94,9 +98,9 @@
         return [self._own_member.send_hello(target, True)]
 
     def answer_pending(self, target: str) -> list[object]:
-        """Answer those who asked after an instance that is heard now.
+        """Answer the pending probe requests for an instance just heard from.
 
-        :param target: the instance.
+        :param target: the probed instance.
         """
         requesters = self._pending_requests.pop(target, ())
         return [_send_answer(peer, target, 0.0) for peer in sorted(requesters)]
--- a/skylarkfold/membership/_publication.py
+++ b/skylarkfold/membership/_publication.py
@@ -1,4 +1,4 @@
-"""The published membership and what follows from it for this instance."""
+"""The published membership and this instance's place in the overlay."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Publication:
-    """Rebuilds the membership when it has changed.
+    """Publishes the membership when it has changed.
 
-    :param own: this instance's identity.
-    :param view: builds memberships.
-    :param readiness: whether this instance may rely on its view.
+    :param own_member: this instance's own member update.
+    :param builder: builds memberships.
+    :param readiness: whether this instance is still syncing.
     """
 
     __slots__ = (
@@ -48,7 +48,7 @@
         self.zone_rank = 0
 
     def is_outdated(self, now: float) -> bool:
-        """Tell whether a zone fell silent, came back or moved on.
+        """Return whether a zone state or the minimum revision has changed.
 
         :param now: the time in seconds.
         """
@@ -63,8 +63,8 @@
         """Rebuild and publish the membership.
 
         :param now: the time in seconds.
-        :returns: the membership, and a log line for each zone that
-            changed.
+        :returns: the membership, and a log record for each zone whose
+            state changed.
         """
         own_update = self._own_member.current_update
         if self._readiness.is_syncing and own_update.state is _State.ALIVE:
@@ -80,12 +80,12 @@
         self.membership = self._builder.build(own_update, version, now)
         if self.membership.topology != topology:
             self._update_overlay()
-        lines = [
+        decisions = [
             _effects.record_decision(f'zone {zone}', state)
             for zone, state in self.zone_states.items()
             if previous_states.get(zone, state) is not state
         ]
-        return [effect.PublishMembership(self.membership), *lines]
+        return [effect.PublishMembership(self.membership), *decisions]
 
     def _update_overlay(self) -> None:
         name = self._own_member.name
--- a/skylarkfold/membership/_readiness.py
+++ b/skylarkfold/membership/_readiness.py
@@ -1,4 +1,4 @@
-"""Whether this instance may rely on its view yet."""
+"""Readiness of this instance after a start or a pause."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class Readiness:
-    """A new or woken instance hears from others before it is ready.
+    """Tracks whether a started or resumed instance has synced with others.
 
-    It needs a peer's whole roster and, in force here, the revision that
-    was in force on the members it met. Who finds nobody is alone.
+    It needs a peer's complete roster, and the highest revision reported
+    by the members that it met has to be in force here. An instance that
+    finds no other becomes ready after a timeout.
 
     :param settings: the membership's settings.
     """
@@ -34,11 +35,10 @@
         self.is_syncing = True
 
     def record_tick(self, now: float) -> bool:
-        """Note a tick.
+        """Record a tick, and start to sync again after a pause.
 
         :param now: the time in seconds.
-        :returns: whether the process was paused before it; learning has
-            begun again then.
+        :returns: whether the process was paused before this tick.
         """
         last, self._last_tick = self._last_tick, now
         if last is None:
@@ -53,10 +53,10 @@
         return True
 
     def record_hello(self, update: _messages.MemberUpdate) -> bool:
-        """Note the introduction of a member.
+        """Record the Hello message of a member.
 
-        :param fact: its own fact.
-        :returns: whether to ask it for its roster.
+        :param update: the member's own update.
+        :returns: whether to request its roster.
         """
         if not self.is_syncing:
             return False
@@ -67,18 +67,18 @@
         return not self._is_synced
 
     def record_roster(self) -> None:
-        """Note that a peer's whole roster was taken."""
+        """Record that a peer's complete roster was received."""
         self._is_synced = True
 
-    def finish_sync(
+    def try_finish_sync(
         self, now: float, revision: int, is_isolated: bool
     ) -> bool:
-        """Be ready if enough is known.
+        """End the sync if its conditions are met.
 
         :param now: the time in seconds.
         :param revision: the revision in force here.
-        :param is_alone: whether nobody was heard of late.
-        :returns: whether it has become ready just now.
+        :param is_isolated: whether no instance was heard from recently.
+        :returns: whether this call ended the sync.
         """
         if not self.is_syncing:
             return False
--- a/skylarkfold/membership/_roster.py
+++ b/skylarkfold/membership/_roster.py
@@ -1,4 +1,4 @@
-"""All facts that an instance knows."""
+"""Roster of all known instances."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 
 
 def is_gone(update: _messages.MemberUpdate) -> bool:
-    """Tell whether a fact says that its instance is no more."""
+    """Return whether the instance is dead or has left."""
     return update.state in _GONE
 
 
 def takes_traffic(update: _messages.MemberUpdate) -> bool:
-    """Tell whether an instance is neither joining nor gone."""
+    """Return whether the instance is neither joining nor gone."""
     return not is_gone(update) and update.state is not _State.JOINING
 
 
 def get_precedence(update: _messages.MemberUpdate) -> tuple[int, int, bool]:
-    """Order the facts of one instance; the highest counts."""
+    """Return the sort key of an update: the highest of a member wins."""
     return (
         update.incarnation,
         _STATE_PRECEDENCE[update.state],
@@ -41,7 +41,7 @@
 
 
 class Roster:
-    """The latest fact of each instance, merged in any order."""
+    """The latest update of each member; updates may arrive in any order."""
 
     __slots__ = (
         '_digests',
@@ -65,20 +65,20 @@
         self._zone_versions: dict[str, int] = {}
 
     def get(self, name: str) -> _messages.MemberUpdate | None:
-        """Find an instance's fact."""
+        """Return the latest update of an instance, None if unknown."""
         return self._updates.get(name)
 
     def list_updates(self) -> Iterable[_messages.MemberUpdate]:
-        """List all facts, those of gone members included."""
+        """List the updates of all members, including those that are gone."""
         return self._updates.values()
 
     def list_zone_updates(self, zone: str) -> list[_messages.MemberUpdate]:
-        """List a zone's facts in a fixed order."""
+        """List the updates of a zone's members, sorted by name."""
         updates = self._updates_by_zone.get(zone, {})
         return [updates[name] for name in sorted(updates)]
 
     def list_live_zones(self) -> list[str]:
-        """List the zones of all members that are not gone, sorted."""
+        """List the zones that have members that are not gone, sorted."""
         if self._live_zones is None:
             self._live_zones = sorted(
                 zone
@@ -88,15 +88,15 @@
         return self._live_zones
 
     def list_all_zones(self) -> list[str]:
-        """List the zones of all members, gone ones included, sorted."""
+        """List the zones of all members, including gone ones, sorted."""
         return sorted(self._updates_by_zone)
 
     def get_zone_version(self, zone: str) -> int:
-        """Find a number that rises with each change of a zone's facts."""
+        """Return a zone's version, which rises with each change in it."""
         return self._zone_versions.get(zone, 0)
 
     def list_serving_zones(self) -> set[str]:
-        """List the zones that have members which take traffic."""
+        """List the zones that have members that take traffic."""
         if self._serving_zones is None:
             self._serving_zones = {
                 update.zone
@@ -106,11 +106,11 @@
         return self._serving_zones
 
     def merge(self, update: _messages.MemberUpdate, now: float) -> bool:
-        """Keep a fact if it is later than what is known.
+        """Store an update if it is newer than the known one.
 
-        :param fact: the fact.
+        :param update: the update.
         :param now: the time in seconds.
-        :returns: whether it was later.
+        :returns: whether it was newer.
         """
         known = self._updates.get(update.name)
         if known is not None and get_precedence(update) <= get_precedence(
@@ -121,9 +121,9 @@
         return True
 
     def put(self, update: _messages.MemberUpdate, now: float) -> None:
-        """Keep a fact whatever is known, for the instance's own.
+        """Store an update without comparing it to the known one.
 
-        :param fact: the fact.
+        :param update: the update.
         :param now: the time in seconds.
         """
         known = self._updates.get(update.name)
@@ -139,7 +139,7 @@
             self._gone_since.pop(update.name, None)
 
     def remove(self, name: str) -> None:
-        """Forget an instance."""
+        """Remove an instance."""
         update = self._updates.pop(name)
         del self._updates_by_zone[update.zone][name]
         if not self._updates_by_zone[update.zone]:
@@ -148,9 +148,9 @@
         self._invalidate_caches(update.zone)
 
     def expire(self, cutoff: float) -> None:
-        """Forget the instances that are gone since long.
+        """Remove the instances that have been gone since before a cutoff.
 
-        :param before: the time in seconds before which they went.
+        :param cutoff: the time in seconds.
         """
         for name, since in list(self._gone_since.items()):
             if since < cutoff:
@@ -160,7 +160,7 @@
         """Compute a digest of a zone's members that are not gone.
 
         :param zone: the zone.
-        :returns: 32 bits, equal on instances that agree.
+        :returns: 32 bits, equal on instances that know the same members.
         """
         digest = self._digests.get(zone)
         if digest is None:
@@ -196,7 +196,7 @@
 def _is_same_except_revision(
     update: _messages.MemberUpdate, known: _messages.MemberUpdate
 ) -> bool:
-    """Tell whether two facts differ in nothing but the revision."""
+    """Return whether two updates differ at most in the revision."""
     where = (update.zone, update.region, update.address)
     return where == (known.zone, known.region, known.address) and (
         get_precedence(update) == get_precedence(known)
--- a/skylarkfold/membership/_roster_updater.py
+++ b/skylarkfold/membership/_roster_updater.py
@@ -1,4 +1,4 @@
-"""Takes and makes statements about instances."""
+"""Application of member updates to the roster."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class RosterUpdater:
-    """Changes the roster, and what follows from a change.
+    """Applies updates to the roster, the gossip queue and the detector.
 
-    :param own: this instance's identity.
-    :param roster: all facts.
-    :param gossip: passes facts on.
-    :param detector: keeps the time that suspects have left.
+    :param own_member: this instance's own member update.
+    :param roster: the latest update of each member.
+    :param gossip: the queue of updates for the neighbours.
+    :param detector: tracks the refutation deadlines of suspects.
     """
 
     __slots__ = (
@@ -55,12 +55,12 @@
         sender: str,
         now: float,
     ) -> list[object]:
-        """Take another instance's facts.
+        """Merge updates from another instance.
 
-        :param facts: the facts.
-        :param sender: who told them.
+        :param updates: the updates.
+        :param sender: the instance that sent them.
         :param now: the time in seconds.
-        :returns: log lines and counts.
+        :returns: log records and metric counts.
         """
         effects = []
         for update in updates:
@@ -75,10 +75,10 @@
     def merge_roster(
         self, answer: _messages.RosterAnswer, sender: str, now: float
     ) -> list[object]:
-        """Take all facts of some zones, and tell what is later here.
+        """Merge a roster and send back the updates that are newer here.
 
-        :param answer: the facts.
-        :param sender: who told them.
+        :param answer: the complete updates of some zones.
+        :param sender: the instance that sent them.
         :param now: the time in seconds.
         """
         newer = self._gossip.list_newer(answer)
@@ -87,21 +87,19 @@
         for name in removed:
             self._roster.remove(name)
             self.is_changed = True
-        unknown_to_sender = [
-            update for update in newer if update.name not in removed
-        ]
-        if unknown_to_sender:
-            effects.append(_effects.send_updates(sender, unknown_to_sender))
+        newer_here = [update for update in newer if update.name not in removed]
+        if newer_here:
+            effects.append(_effects.send_updates(sender, newer_here))
         return effects
 
     def declare(
         self, name: str, now: float, **changes: object
     ) -> list[object]:
-        """State that an instance is a suspect or dead.
+        """Declare an instance suspect or dead, and tell it so.
 
         :param name: the instance.
         :param now: the time in seconds.
-        :param changes: the fields of its fact that change.
+        :param changes: the fields of its update that change.
         """
         known = self._roster.get(name)
         if known is None or _roster.is_gone(known):
@@ -116,10 +114,10 @@
         ]
 
     def change_own(self, now: float, **changes: object) -> None:
-        """Change the own fact.
+        """Change fields of this instance's own update.
 
         :param now: the time in seconds.
-        :param changes: the fields that change.
+        :param changes: the fields with their new values.
         """
         self._own_member.change(now, **changes)
         self.is_changed = True
--- a/skylarkfold/membership/_settings.py
+++ b/skylarkfold/membership/_settings.py
@@ -7,35 +7,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipSettings:
-    """How instances find and watch each other.
+    """Settings of discovery, failure detection and gossip.
 
-    :param seeds: addresses of some instances, each ``host:port``; they
-        let an instance start while the platform is down.
+    :param seeds: addresses of some instances, each ``host:port``; an
+        instance can join through them while the platform is down.
     :param heartbeat_seconds: how often an instance tells its neighbours
         that it is alive.
-    :param urgent_seconds: heartbeats with news of the revisions in force
-        are sent early, but not sooner than this after the last ones.
-    :param suspect_seconds: a neighbour silent for so long is asked after
-        at other instances.
-    :param probe_seconds: how long to wait for their answers.
-    :param dead_seconds: a suspect that does not refute the suspicion for
-        so long is dead.
-    :param zone_suspect_seconds: the members of a zone from which nothing
-        was heard for so long are suspects.
-    :param zone_dead_seconds: after so long they are dead for this
-        instance; they come back at the first word from their zone.
-    :param forget_seconds: how long dead and departed members are
-        remembered.
+    :param urgent_seconds: minimum time between heartbeats when a change of
+        a revision in force triggers them early.
+    :param suspect_seconds: a neighbour that is silent for so long is
+        probed by way of other instances.
+    :param probe_seconds: how long to wait for the answer to a probe.
+    :param dead_seconds: a suspect that does not refute the suspicion
+        within this time is declared dead.
+    :param zone_suspect_seconds: when nothing was heard from a zone for so
+        long, its members are suspect.
+    :param zone_dead_seconds: when nothing was heard from a zone for so
+        long, its members are dead for this instance until it hears from
+        the zone again.
+    :param forget_seconds: how long dead and departed members stay in the
+        roster.
     :param list_seconds: how often the platform's list is read by the
         first two instances of each zone.
     :param list_timeout_seconds: how long to wait for the platform's list.
-    :param reconnect_seconds: how often to try members that are dead or in
-        a silent zone, and seeds that nobody known answers for.
-    :param contacts: how many unknown instances are approached at once.
+    :param reconnect_seconds: how often to contact dead members, members of
+        silent zones and unknown instances.
+    :param contacts: how many of those to contact at a time.
     :param pause_seconds: a longer time between two ticks means that the
-        process was paused and must hear from others before it is ready.
-    :param alone_seconds: an instance that finds nobody for so long takes
-        itself for the only one.
+        process was paused and has to sync with others before it is ready.
+    :param alone_seconds: an instance that finds no other for so long
+        becomes ready alone.
     """
 
     seeds: tuple[str, ...] = ()
--- a/skylarkfold/membership/_zone_revisions.py
+++ b/skylarkfold/membership/_zone_revisions.py
@@ -1,4 +1,4 @@
-"""Which revision is in force on each member of the own zone."""
+"""Revisions in force on the members of the own zone."""
 
 from __future__ import annotations
 
@@ -11,10 +11,13 @@
 
 
 class ZoneRevisions:
-    """Revisions by name; they only rise, so merging is safe in any order.
+    """Revision in force by member name.
 
-    :param roster: all facts.
-    :param zone: the own zone.
+    Revisions only rise within an incarnation, so they can be merged in any
+    order.
+
+    :param roster: the latest update of each member.
+    :param zone: this instance's zone.
     """
 
     __slots__ = (
@@ -39,7 +42,7 @@
         self.version = 0
 
     def get(self, name: str) -> int:
-        """Find the revision that is in force on a mate, as last heard."""
+        """Return the last known revision of a member, 0 if unknown."""
         update = self._roster.get(name)
         if update is None:
             return 0
@@ -49,7 +52,7 @@
         return max(revision, update.revision)
 
     def note(self, name: str, revision: int) -> bool:
-        """Note a revision that is in force on a member of the zone.
+        """Record the revision in force on a member of the zone.
 
         :param name: the member.
         :param revision: the revision.
@@ -64,10 +67,11 @@
         return True
 
     def merge(self, progress: _messages.Progress) -> bool:
-        """Take what another member of the zone knows.
+        """Merge the revisions known to another member of the zone.
 
-        :param progress: its knowledge; ignored if it counts other members.
-        :returns: whether anything rose.
+        :param progress: the revisions; ignored if they are of a different
+            set of members.
+        :returns: whether any revision rose.
         """
         if progress == self.describe():
             return False
@@ -85,7 +89,7 @@
         return any(changes)
 
     def describe(self) -> _messages.Progress:
-        """Describe the zone for another member of it."""
+        """Return the known revisions as a message for a zone peer."""
         self._refresh()
         if self._summary is None:
             revisions = [self.get(name) for name in self._member_names]
@@ -95,7 +99,7 @@
         return self._summary
 
     def compute_least(self) -> int:
-        """Compute the lowest revision among members that take traffic."""
+        """Compute the lowest revision among the members that take traffic."""
         self._refresh()
         if self._minimum is None:
             updates = self._roster.list_zone_updates(self._zone)
--- a/skylarkfold/membership/_zones.py
+++ b/skylarkfold/membership/_zones.py
@@ -1,4 +1,4 @@
-"""What is known of whole zones."""
+"""State of whole zones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Zones:
-    """When each zone was last heard of, and its lowest revision."""
+    """Last contact and lowest revision in force of each zone."""
 
     __slots__ = ('_zones',)
 
@@ -25,10 +25,10 @@
         self._zones: dict[str, _ZoneRecord] = {}
 
     def record_heard(self, zone: str, heard_at: float) -> None:
-        """Note that an instance of a zone was heard.
+        """Record that an instance of a zone was heard from.
 
         :param zone: the zone.
-        :param heard: when, in seconds.
+        :param heard_at: the time in seconds.
         """
         record = self._zones.setdefault(zone, _ZoneRecord(heard_at))
         record.heard_at = max(record.heard_at, heard_at)
@@ -36,7 +36,7 @@
     def record_minimum_revision(
         self, zone: str, revision: int, now: float
     ) -> None:
-        """Note the lowest revision of the own zone.
+        """Record the lowest revision in force in the own zone.
 
         :param zone: the zone.
         :param revision: the revision.
@@ -47,11 +47,11 @@
         record.reported_at = now
 
     def merge(self, summary: _messages.ZoneSummary, now: float) -> bool:
-        """Take another instance's summary unless a later one is known.
+        """Merge a zone summary unless a newer one is known.
 
         :param summary: the summary.
         :param now: the time in seconds.
-        :returns: whether the zone's lowest revision changed by it.
+        :returns: whether the zone's lowest revision changed.
         """
         reported_at = now - max(0, summary.age_milliseconds) / 1000
         self.record_heard(summary.zone, reported_at)
@@ -66,29 +66,29 @@
         return previous != summary.minimum_revision
 
     def get_minimum_revision(self, zone: str) -> int:
-        """Find a zone's lowest revision, 0 if it is unknown."""
+        """Return a zone's lowest revision, 0 if unknown."""
         record = self._zones.get(zone)
         return 0 if record is None else record.minimum_revision
 
     def compute_silence(self, zone: str, now: float) -> float:
-        """Compute for how long nothing was heard of a zone.
+        """Compute the time since a zone was last heard from.
 
-        A zone that is asked about for the first time counts as heard now.
+        An unknown zone is recorded as heard from now.
 
         :param zone: the zone.
         :param now: the time in seconds.
-        :returns: seconds.
+        :returns: the time in seconds.
         """
         return now - self._zones.setdefault(zone, _ZoneRecord(now)).heard_at
 
     def build_summaries(
         self, zones: Iterable[str], now: float
     ) -> tuple[_messages.ZoneSummary, ...]:
-        """Describe zones for another instance.
+        """Build the summaries of zones for another instance.
 
-        :param zones: which.
+        :param zones: the zones.
         :param now: the time in seconds.
-        :returns: their summaries.
+        :returns: the summaries of those with a reported revision.
         """
         return tuple(
             _summarize(zone, self._zones[zone], now)
@@ -98,7 +98,7 @@
         )
 
     def reset(self, now: float) -> None:
-        """Count every zone as heard now, after a pause of this process.
+        """Mark every zone as heard from now, after a pause of this process.
 
         :param now: the time in seconds.
         """
--- a/skylarkfold/tests/membership/test_core.py
+++ b/skylarkfold/tests/membership/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the membership's core."""
+"""Tests of the membership core."""
 
 import testtools
 
@@ -24,7 +24,7 @@
     )
 
 
-def pass_messages(now, cores, effects, sender):
+def deliver(now, cores, effects, sender):
     queue = [(sender, each) for each in effects]
     while queue:
         source, each = queue.pop(0)
@@ -35,11 +35,11 @@
         queue += [(each.peer, answer) for answer in answers]
 
 
-def build_fleet(*names):
+def build_cores(*names):
     cores = {name: build_core(name) for name in names}
     for name in names[1:]:
         effects = cores[names[0]].handle(0.0, event.PeerConnected(name))
-        pass_messages(0.0, cores, effects, names[0])
+        deliver(0.0, cores, effects, names[0])
     return cores
 
 
@@ -47,14 +47,14 @@
     for step in range(int(begin * 4), int(end * 4)):
         for name, core in cores.items():
             effects = core.handle(step / 4, event.Tick())
-            pass_messages(step / 4, cores, effects, name)
+            deliver(step / 4, cores, effects, name)
 
 
 class MembershipCoreTest(testtools.TestCase):
-    def test_two_instances_find_each_other(self):
+    def test_two_instances_discover_each_other(self):
         cores = {name: build_core(name) for name in ('a1', 'a2')}
         effects = cores['a1'].handle(0.0, event.PeerConnected('a2'))
-        pass_messages(0.0, cores, effects, 'a1')
+        deliver(0.0, cores, effects, 'a1')
         run(cores, 0, 4)
         for core in cores.values():
             states = {
@@ -63,34 +63,34 @@
             }
             self.assertEqual({'a1': State.ALIVE, 'a2': State.ALIVE}, states)
 
-    def test_a_newcomer_is_ready_only_once_others_are_published(self):
-        cores = build_fleet('a1', 'a2')
+    def test_new_instance_is_ready_once_others_are_published(self):
+        cores = build_cores('a1', 'a2')
         run(cores, 0, 4)
         cores['a3'] = build_core('a3')
-        # It is alone in its first publication; the next one may be late.
+        # Its first publication holds only itself, and the next may be delayed.
         cores['a3'].handle(4.0, event.Tick())
         effects = cores['a3'].handle(4.2, event.PeerConnected('a1'))
-        pass_messages(4.2, cores, effects, 'a3')
-        seen = []
+        deliver(4.2, cores, effects, 'a3')
+        member_counts = []
         for step in range(17, 40):
             run(cores, step / 4, (step + 1) / 4)
             if cores['a3'].is_ready:
-                seen.append(len(cores['a3'].membership.members))
-        self.assertEqual({3}, set(seen))
+                member_counts.append(len(cores['a3'].membership.members))
+        self.assertEqual({3}, set(member_counts))
 
-    def test_a_silent_instance_is_suspected_then_dead(self):
-        cores = build_fleet('a1', 'a2', 'a3')
+    def test_silent_instance_becomes_suspect_then_dead(self):
+        cores = build_cores('a1', 'a2', 'a3')
         run(cores, 0, 4)
         del cores['a2']
         run(cores, 4, 9)
-        seen = cores['a1'].membership.members['a2']
-        self.assertEqual(State.SUSPECT, seen.state)
+        silent = cores['a1'].membership.members['a2']
+        self.assertEqual(State.SUSPECT, silent.state)
         run(cores, 9, 15)
-        seen = cores['a1'].membership.members['a2']
-        self.assertEqual(State.DEAD, seen.state)
+        silent = cores['a1'].membership.members['a2']
+        self.assertEqual(State.DEAD, silent.state)
 
-    def test_an_instance_that_hears_nobody_suspects_itself_first(self):
-        cores = build_fleet('a1', 'a2', 'a3')
+    def test_isolated_instance_declares_nobody_dead_at_first(self):
+        cores = build_cores('a1', 'a2', 'a3')
         run(cores, 0, 4)
         del cores['a2'], cores['a3']
         run(cores, 4, 15)
@@ -103,31 +103,31 @@
         members = cores['a1'].membership.members
         self.assertEqual(State.DEAD, members['a2'].state)
 
-    def test_a_leaving_instance_says_so(self):
-        cores = build_fleet('a1', 'a2', 'a3')
+    def test_leaving_instance_announces_its_states(self):
+        cores = build_cores('a1', 'a2', 'a3')
         run(cores, 0, 4)
         effects = cores['a2'].handle(4.0, event.StopRequested())
-        pass_messages(4.0, cores, effects, 'a2')
+        deliver(4.0, cores, effects, 'a2')
         run(cores, 4, 5)
-        seen = cores['a1'].membership.members['a2']
-        self.assertEqual(State.LEAVING, seen.state)
-        pass_messages(5.0, cores, cores['a2'].leave(5.0), 'a2')
+        leaving = cores['a1'].membership.members['a2']
+        self.assertEqual(State.LEAVING, leaving.state)
+        deliver(5.0, cores, cores['a2'].leave(5.0), 'a2')
         run(cores, 5, 6)
-        seen = cores['a1'].membership.members['a2']
-        self.assertEqual(State.LEFT, seen.state)
+        leaving = cores['a1'].membership.members['a2']
+        self.assertEqual(State.LEFT, leaving.state)
 
-    def test_a_paused_instance_hears_from_others_before_it_is_ready(self):
-        cores = build_fleet('a1', 'a2', 'a3')
+    def test_paused_instance_syncs_before_it_is_ready(self):
+        cores = build_cores('a1', 'a2', 'a3')
         run(cores, 0, 4)
-        woken = cores['a2']
-        self.assertTrue(woken.is_ready)
-        woken.handle(34.0, event.Tick())
-        self.assertFalse(woken.is_ready)
+        paused = cores['a2']
+        self.assertTrue(paused.is_ready)
+        paused.handle(34.0, event.Tick())
+        self.assertFalse(paused.is_ready)
         run(cores, 34, 38)
-        self.assertTrue(woken.is_ready)
-        self.assertEqual(2, woken.membership.members['a2'].incarnation)
+        self.assertTrue(paused.is_ready)
+        self.assertEqual(2, paused.membership.members['a2'].incarnation)
 
-    def test_a_seed_is_resolved_by_its_address(self):
+    def test_seed_resolves_to_its_address(self):
         core = build_core('a1', seeds=('127.0.0.1:9001',))
         self.assertEqual(
             endpoint.Endpoint('127.0.0.1', 9001),
--- a/skylarkfold/tests/membership/test_overlay.py
+++ b/skylarkfold/tests/membership/test_overlay.py
@@ -54,7 +54,7 @@
                 self.assertIn(name, links[other])
         self.assertEqual(len(zones), count_reached(links))
 
-    def test_the_degree_does_not_grow_with_the_fleet(self):
+    def test_degree_is_bounded_in_a_large_fleet(self):
         known = build_membership([number % 11 for number in range(600)])
         links = build_links(known)
         degrees = sorted(len(others) for others in links.values())
@@ -62,7 +62,7 @@
         self.assertLessEqual(degrees[-1], 4 + 10)
         self.assertEqual(600, count_reached(links))
 
-    def test_one_that_may_not_own_has_no_duty(self):
+    def test_joining_member_ranks_behind_all_owners(self):
         known = build_membership([0, 0, 0])
         joining = member.MemberState.JOINING
         name, each = known.members.popitem()
--- a/skylarkfold/tests/membership/test_zone_revisions.py
+++ b/skylarkfold/tests/membership/test_zone_revisions.py
@@ -1,4 +1,4 @@
-"""Tests of the revisions in force on mates."""
+"""Tests of the revisions in force on zone members."""
 
 import hypothesis
 from hypothesis import strategies
@@ -15,7 +15,7 @@
 def build_progress(incarnation=1):
     roster = _roster.Roster()
     for name in NAMES:
-        fact = membership.MemberUpdate(
+        update = membership.MemberUpdate(
             name,
             'hall-a',
             'norte',
@@ -25,11 +25,11 @@
             False,
             0,
         )
-        roster.put(fact, 0.0)
+        roster.put(update, 0.0)
     return _zone_revisions.ZoneRevisions(roster, 'hall-a')
 
 
-class ProgressTest(testtools.TestCase):
+class ZoneRevisionsTest(testtools.TestCase):
     @hypothesis.given(
         strategies.lists(
             strategies.tuples(
@@ -57,7 +57,7 @@
         for view in views:
             self.assertLessEqual(view.compute_least(), min(truth.values()))
 
-    def test_one_merge_brings_all(self):
+    def test_one_merge_transfers_all_revisions(self):
         one, other = build_progress(), build_progress()
         for number, name in enumerate(NAMES):
             one.note(name, 500 + number)
@@ -65,7 +65,7 @@
         self.assertEqual(500, other.compute_least())
         self.assertFalse(other.merge(one.describe()))
 
-    def test_who_counts_other_mates_is_not_heard(self):
+    def test_revisions_of_other_members_are_ignored(self):
         one, other = build_progress(1), build_progress(2)
         one.note('a1', 500)
         self.assertFalse(other.merge(one.describe()))
