--- a/skylarkfold/distribution/_core.py
+++ b/skylarkfold/distribution/_core.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterable
 import functools
 
-from skylarkfold.distribution import _comparison
-from skylarkfold.distribution import _feed
+from skylarkfold.distribution import _divergence
+from skylarkfold.distribution import _fetch_server
 from skylarkfold.distribution import _fetcher
 from skylarkfold.distribution import _messages
 from skylarkfold.distribution import _packing
+from skylarkfold.distribution import _platform_watch
 from skylarkfold.distribution import _retained
-from skylarkfold.distribution import _server
 from skylarkfold.distribution import _settings
 from skylarkfold import effect
 from skylarkfold import errors
@@ -48,10 +48,10 @@
         self._instance = instance
         self._settings = settings
         self._cache = object_cache.ObjectCache(settings.tombstones)
-        self._feed = _feed.Feed(settings, seed)
+        self._feed = _platform_watch.Feed(settings, seed)
         self._fetcher = _fetcher.Fetcher(settings)
-        self._comparison = _comparison.Comparison(settings)
-        self._server = _server.Server(settings, self._cache)
+        self._comparison = _divergence.Comparison(settings)
+        self._server = _fetch_server.Server(settings, self._cache)
         self._retained = _retained.RetainedObjects(settings)
         self._neighbours: tuple[str, ...] = ()
         self._membership = member.EMPTY
@@ -219,7 +219,9 @@
             sender, now, self._cache.position
         )
 
-    def _take_news(self, news: _feed.News, now: float) -> list[object]:
+    def _take_news(
+        self, news: _platform_watch.News, now: float
+    ) -> list[object]:
         if news.revision < self._cache.position:
             return [effect.CountMetric(metric.DISTRIBUTION_STALE)]
         effects = self._keep(now, news.objects, is_listed=news.is_listing)
@@ -230,7 +232,9 @@
         self._confirmed = now
         return effects + self._advance(news.revision, now, '')
 
-    def _drop_absent(self, news: _feed.News, now: float) -> list[object]:
+    def _drop_absent(
+        self, news: _platform_watch.News, now: float
+    ) -> list[object]:
         present = (each.path for each in news.objects)
         absent = self._cache.list_absent(news.revision, present)
         self._cache.raise_floor(news.revision)
