--- a/skylarkfold/distribution/_core.py
+++ b/skylarkfold/distribution/_core.py
@@ -24,7 +24,7 @@
 from skylarkfold import platform_api
 from skylarkfold import revision as revisions
 
-_NEVER = -1
+_NEVER_CONFIRMED = -1
 
 
 class DistributionCore:
@@ -48,18 +48,18 @@
         self._instance = instance
         self._settings = settings
         self._cache = object_cache.ObjectCache(settings.tombstones)
-        self._feed = _platform_watch.Feed(settings, seed)
+        self._platform_watch = _platform_watch.PlatformWatch(settings, seed)
         self._fetcher = _fetcher.Fetcher(settings)
-        self._comparison = _divergence.Comparison(settings)
-        self._server = _fetch_server.Server(settings, self._cache)
+        self._divergence = _divergence.DivergenceDetector(settings)
+        self._fetch_server = _fetch_server.FetchServer(settings, self._cache)
         self._retained = _retained.RetainedObjects(settings)
         self._neighbours: tuple[str, ...] = ()
         self._membership = member.EMPTY
-        self._rank = 0
-        self._confirmed: float | None = None
-        self._started: float | None = None
-        self._ticked: float | None = None
-        self._woken: float | None = None
+        self._zone_rank = 0
+        self._confirmed_at: float | None = None
+        self._started_at: float | None = None
+        self._last_tick: float | None = None
+        self._resumed_at: float | None = None
         self._next_announcement = 0.0
         self._is_complete = False
         self._is_stopping = False
@@ -72,7 +72,7 @@
     @property
     def is_ready(self) -> bool:
         """Whether the objects are complete and not those of a sleeper."""
-        return self._is_complete and self._woken is None
+        return self._is_complete and self._resumed_at is None
 
     def compute_age(self, now: float) -> float | None:
         """Compute how old the view of the store may be.
@@ -81,9 +81,9 @@
         :returns: seconds since the platform confirmed it, here or at the
             instance that passed it on; None for never.
         """
-        if self._confirmed is None:
+        if self._confirmed_at is None:
             return None
-        return now - self._confirmed
+        return now - self._confirmed_at
 
     def get(self, path: str) -> platform_api.StoredObject | None:
         """Find an object.
@@ -103,99 +103,105 @@
         :param event_: one of :mod:`skylarkfold.event`.
         :returns: effects in order.
         """
-        return self._take(event_, now)
+        return self._handle_event(event_, now)
 
     @functools.singledispatchmethod
-    def _take(self, event_: object, now: float) -> list[object]:
+    def _handle_event(self, event_: object, now: float) -> list[object]:
         return []
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.Tick, now: float) -> list[object]:
-        effects = self._note_pause(now)
-        effects += self._watch(now)
-        effects += self._fetcher.retry(now, self._cache.position)
-        effects += self._server.serve(now)
-        effects += self._give_up()
+        effects = self._check_pause(now)
+        effects += self._call_platform(now)
+        effects += self._fetcher.check_timeout(now, self._cache.position)
+        effects += self._fetch_server.serve_pending(now)
+        effects += self._release_retained()
         if now >= self._next_announcement:
             effects += self._announce(now)
         return effects
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.MembershipChanged, now: float) -> list[object]:
-        before, self._membership = self._membership, event_.membership
+        previous, self._membership = self._membership, event_.membership
         topology = event_.membership.topology
-        if topology and topology == before.topology:
+        if topology and topology == previous.topology:
             return []
         name = self._instance.name
         self._neighbours = membership_package.list_neighbours(
             event_.membership, name
         )
-        self._rank = membership_package.rank_in_zone(event_.membership, name)
+        self._zone_rank = membership_package.rank_in_zone(
+            event_.membership, name
+        )
         return []
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.PeerConnected, now: float) -> list[object]:
-        return [effect.SendToPeer(event_.peer, self._describe(now))]
+        return [effect.SendToPeer(event_.peer, self._build_position(now))]
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.PeerLost, now: float) -> list[object]:
-        self._server.forget(event_.peer)
-        self._comparison.forget(event_.peer)
-        return self._fetcher.lose(event_.peer, now, self._cache.position)
+        self._fetch_server.drop_peer(event_.peer)
+        self._divergence.clear(event_.peer)
+        return self._fetcher.drop_peer(event_.peer, now, self._cache.position)
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.StopRequested, now: float) -> list[object]:
         self._is_stopping = True
         return []
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.WriteEnded, now: float) -> list[object]:
         if event_.current is None:
             return []
-        return self._keep(now, [event_.current])
+        return self._store(now, [event_.current])
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.PlatformAnswered, now: float) -> list[object]:
-        news = self._feed.take(now, event_.call, event_.answer)
-        if news is None:
+        update = self._platform_watch.take_answer(
+            now, event_.call, event_.answer
+        )
+        if update is None:
             return []
-        return self._take_news(news, now)
+        return self._apply_update(update, now)
 
-    @_take.register
+    @_handle_event.register
     def _(self, event_: event.PeerMessageReceived, now: float) -> list[object]:
-        return self._take_message(event_.message, event_.sender, now)
+        return self._handle_message(event_.message, event_.sender, now)
 
     @functools.singledispatchmethod
-    def _take_message(
+    def _handle_message(
         self, message: object, sender: str, now: float
     ) -> list[object]:
         return []
 
-    @_take_message.register
+    @_handle_message.register
     def _(
         self, message: _messages.Position, sender: str, now: float
     ) -> list[object]:
         position = self._cache.position
-        self._note_age(message, now)
+        self._update_confirmed_at(message, now)
         if message.revision < position:
-            return [effect.SendToPeer(sender, self._describe(now))]
+            return [effect.SendToPeer(sender, self._build_position(now))]
         if message.revision == position:
-            return self._compare(message, sender, now)
-        return self._fetcher.note(sender, message.revision, now, position)
+            return self._compare_digest(message, sender, now)
+        return self._fetcher.record_ahead(
+            sender, message.revision, now, position
+        )
 
-    @_take_message.register
+    @_handle_message.register
     def _(
         self, message: _messages.Fetch, sender: str, now: float
     ) -> list[object]:
-        return self._server.take(sender, message, now)
+        return self._fetch_server.handle_fetch(sender, message, now)
 
-    @_take_message.register
+    @_handle_message.register
     def _(
         self, message: _messages.Busy, sender: str, now: float
     ) -> list[object]:
-        return self._fetcher.lose(sender, now, self._cache.position)
+        return self._fetcher.drop_peer(sender, now, self._cache.position)
 
-    @_take_message.register
+    @_handle_message.register
     def _(
         self, message: _messages.Delta, sender: str, now: float
     ) -> list[object]:
@@ -205,43 +211,47 @@
             objects = _packing.unpack(message.packed)
         except errors.DecodeError:
             malformed = effect.CountMetric(metric.DISTRIBUTION_MALFORMED)
-            lost = self._fetcher.lose(sender, now, self._cache.position)
-            return [malformed, *lost]
-        effects = self._keep(now, objects)
-        absent = self._fetcher.absorb(message, objects, self._cache)
-        effects += self._keep(now, absent, is_absent=True)
+            refetches = self._fetcher.drop_peer(
+                sender, now, self._cache.position
+            )
+            return [malformed, *refetches]
+        effects = self._store(now, objects)
+        absent = self._fetcher.take_page(message, objects, self._cache)
+        effects += self._store(now, absent, is_absent=True)
         if message.is_last:
-            self._wake()
+            self._end_relearning()
             self._is_complete = True
         if message.is_last or not message.is_snapshot:
             effects += self._advance(message.revision, now, sender)
-        return effects + self._fetcher.proceed(
+        return effects + self._fetcher.fetch_next(
             sender, now, self._cache.position
         )
 
-    def _take_news(
-        self, news: _platform_watch.News, now: float
+    def _apply_update(
+        self, update: _platform_watch.PlatformUpdate, now: float
     ) -> list[object]:
-        if news.revision < self._cache.position:
+        if update.revision < self._cache.position:
             return [effect.CountMetric(metric.DISTRIBUTION_STALE)]
-        effects = self._keep(now, news.objects, is_listed=news.is_listing)
-        if news.is_listing:
-            effects += self._drop_absent(news, now)
-        self._wake()
+        effects = self._store(now, update.objects, is_listed=update.is_listing)
+        if update.is_listing:
+            effects += self._delete_absent(update, now)
+        self._end_relearning()
         self._is_complete = True
-        self._confirmed = now
-        return effects + self._advance(news.revision, now, '')
+        self._confirmed_at = now
+        return effects + self._advance(update.revision, now, '')
 
-    def _drop_absent(
-        self, news: _platform_watch.News, now: float
+    def _delete_absent(
+        self, update: _platform_watch.PlatformUpdate, now: float
     ) -> list[object]:
-        present = (each.path for each in news.objects)
-        absent = self._cache.list_absent(news.revision, present)
-        self._cache.raise_floor(news.revision)
-        buried = [_bury(each, news.revision) for each in absent]
-        return self._keep(now, buried, is_absent=True)
+        present = (each.path for each in update.objects)
+        absent = self._cache.list_absent(update.revision, present)
+        self._cache.raise_floor(update.revision)
+        tombstones = [
+            _build_tombstone(each, update.revision) for each in absent
+        ]
+        return self._store(now, tombstones, is_absent=True)
 
-    def _keep(
+    def _store(
         self,
         now: float,
         candidates: Iterable[platform_api.StoredObject],
@@ -255,8 +265,10 @@
             known = self._cache.get(each.path)
             if not self._cache.put(each, is_listed=is_listed):
                 continue
-            is_fresh = self._is_fresh(each)
-            if self._retained.stands(now, known, each, is_absent, is_fresh):
+            is_fresh = self._is_newer_in_current_era(each)
+            if self._retained.must_retain(
+                now, known, each, is_absent, is_fresh
+            ):
                 effects.append(
                     effect.CountMetric(metric.DISTRIBUTION_RETAINED)
                 )
@@ -264,19 +276,21 @@
                 effects.append(effect.PublishObject(each))
         return effects
 
-    def _is_fresh(self, candidate: platform_api.StoredObject) -> bool:
+    def _is_newer_in_current_era(
+        self, candidate: platform_api.StoredObject
+    ) -> bool:
         """Tell whether an object was written since an era is known here."""
         position = self._cache.position
         era = revisions.get_era(candidate.revision)
         is_known_era = revisions.get_era(position) == era
         return is_known_era and candidate.revision > position
 
-    def _give_up(self) -> list[object]:
+    def _release_retained(self) -> list[object]:
         """Publish what the store has had for long enough."""
-        if self._confirmed is None:
+        if self._confirmed_at is None:
             return []
         effects: list[object] = []
-        for path in self._retained.expire(self._confirmed):
+        for path in self._retained.release_expired(self._confirmed_at):
             effects.append(effect.CountMetric(metric.DISTRIBUTION_GIVEN_UP))
             found = self._cache.get(path)
             if found is not None:
@@ -291,75 +305,83 @@
 
     def _announce(self, now: float, source: str = '') -> list[object]:
         self._next_announcement = now + self._settings.announce_seconds
-        described = self._describe(now)
+        position = self._build_position(now)
         return [
-            effect.SendToPeer(peer, described)
+            effect.SendToPeer(peer, position)
             for peer in self._neighbours
             if peer != source
         ]
 
-    def _describe(self, now: float) -> _messages.Position:
+    def _build_position(self, now: float) -> _messages.Position:
         age = self.compute_age(now)
         return _messages.Position(
             revision=self._cache.position,
-            age_milliseconds=_NEVER if age is None else int(age * 1000),
+            age_milliseconds=_NEVER_CONFIRMED
+            if age is None
+            else int(age * 1000),
             digest=self._cache.compute_digest(),
         )
 
-    def _compare(
+    def _compare_digest(
         self, message: _messages.Position, sender: str, now: float
     ) -> list[object]:
-        self._wake()
+        self._end_relearning()
         if message.digest == self._cache.compute_digest():
-            self._comparison.forget(sender)
+            self._divergence.clear(sender)
             return []
         revision = self._cache.position
-        if self._comparison.note_difference(sender, revision, now):
-            self._feed.want_listing()
+        if self._divergence.record_mismatch(sender, revision, now):
+            self._platform_watch.request_listing()
         return [effect.CountMetric(metric.DISTRIBUTION_DIGEST_DIFFERS)]
 
-    def _note_age(self, message: _messages.Position, now: float) -> None:
+    def _update_confirmed_at(
+        self, message: _messages.Position, now: float
+    ) -> None:
         if message.age_milliseconds < 0:
             return
-        confirmed = now - message.age_milliseconds / 1000
-        if self._confirmed is None or confirmed > self._confirmed:
-            self._confirmed = confirmed
+        confirmed_at = now - message.age_milliseconds / 1000
+        if self._confirmed_at is None or confirmed_at > self._confirmed_at:
+            self._confirmed_at = confirmed_at
 
-    def _watch(self, now: float) -> list[object]:
-        must_call = self._feed.must_list or self._must_watch(now)
+    def _call_platform(self, now: float) -> list[object]:
+        must_call = self._platform_watch.must_list or self._is_watcher(now)
         if self._is_stopping or not must_call:
             return []
-        return self._feed.call(now, self._cache.position)
+        return self._platform_watch.call_if_due(now, self._cache.position)
 
-    def _must_watch(self, now: float) -> bool:
+    def _is_watcher(self, now: float) -> bool:
         settings = self._settings
-        if self._rank < settings.watchers:
+        if self._zone_rank < settings.watchers:
             return True
-        if self._rank >= settings.watchers + settings.substitutes:
+        if self._zone_rank >= settings.watchers + settings.substitutes:
             return False
-        since = self._started if self._confirmed is None else self._confirmed
+        since = (
+            self._started_at
+            if self._confirmed_at is None
+            else self._confirmed_at
+        )
         return now - since > settings.silence_seconds
 
-    def _note_pause(self, now: float) -> list[object]:
-        if self._started is None:
-            self._started = now
-        last, self._ticked = self._ticked, now
+    def _check_pause(self, now: float) -> list[object]:
+        if self._started_at is None:
+            self._started_at = now
+        last, self._last_tick = self._last_tick, now
         if last is not None and now - last > self._settings.pause_seconds:
-            self._woken = now
-            self._confirmed = None
-            self._started = now
+            self._resumed_at = now
+            self._confirmed_at = None
+            self._started_at = now
             return [effect.CountMetric(metric.DISTRIBUTION_WOKEN)]
-        if self._woken is None:
+        if self._resumed_at is None:
             return []
-        if now - self._woken > self._settings.relearn_seconds:
-            self._wake()
+        if now - self._resumed_at > self._settings.relearn_seconds:
+            self._end_relearning()
         return []
 
-    def _wake(self) -> None:
-        self._woken = None
+    def _end_relearning(self) -> None:
+        self._resumed_at = None
 
 
-def _bury(
+def _build_tombstone(
     each: platform_api.StoredObject, revision: int
 ) -> platform_api.StoredObject:
     return platform_api.StoredObject(
--- a/skylarkfold/distribution/_divergence.py
+++ b/skylarkfold/distribution/_divergence.py
@@ -5,7 +5,7 @@
 from skylarkfold.distribution import _settings
 
 
-class Comparison:
+class DivergenceDetector:
     """Finds differences that last.
 
     A difference that the next announcement does not repeat was only an
@@ -14,21 +14,21 @@
     :param settings: the distribution's settings.
     """
 
-    __slots__ = ('_differing', '_next_verdict', '_settings')
+    __slots__ = ('_mismatches', '_next_relist', '_settings')
 
     def __init__(self, settings: _settings.DistributionSettings) -> None:
         self._settings = settings
-        self._differing: dict[str, tuple[int, float]] = {}
-        self._next_verdict = 0.0
+        self._mismatches: dict[str, tuple[int, float]] = {}
+        self._next_relist = 0.0
 
-    def forget(self, peer: str) -> None:
+    def clear(self, peer: str) -> None:
         """Forget a peer that agrees, moved on or is gone.
 
         :param peer: the peer.
         """
-        self._differing.pop(peer, None)
+        self._mismatches.pop(peer, None)
 
-    def note_difference(self, peer: str, revision: int, now: float) -> bool:
+    def record_mismatch(self, peer: str, revision: int, now: float) -> bool:
         """Note that a peer's digest at the same position differs.
 
         :param peer: the peer.
@@ -37,15 +37,15 @@
         :returns: whether the difference has lasted and the platform has
             to be asked; at most once in a while.
         """
-        known, since = self._differing.get(peer, (-1, now))
+        known, since = self._mismatches.get(peer, (-1, now))
         if known != revision:
-            self._differing[peer] = (revision, now)
+            self._mismatches[peer] = (revision, now)
             return False
         settings = self._settings
         if now - since < settings.announce_seconds / 2:
             return False
-        if now < self._next_verdict:
+        if now < self._next_relist:
             return False
-        self.forget(peer)
-        self._next_verdict = now + settings.silence_seconds
+        self.clear(peer)
+        self._next_relist = now + settings.silence_seconds
         return True
--- a/skylarkfold/distribution/_fetch_server.py
+++ b/skylarkfold/distribution/_fetch_server.py
@@ -10,10 +10,10 @@
 from skylarkfold import object_cache
 from skylarkfold import platform_api
 
-_ITEM_BYTES = 64
+_ITEM_OVERHEAD_BYTES = 64
 
 
-class Server:
+class FetchServer:
     """At most one waiting fetch a peer, at most one page a fetch.
 
     A slow peer asks slowly, so nothing is queued for it: its next page is
@@ -23,7 +23,13 @@
     :param cache: this instance's objects.
     """
 
-    __slots__ = ('_budget', '_cache', '_refilled', '_settings', '_waiting')
+    __slots__ = (
+        '_byte_budget',
+        '_cache',
+        '_pending',
+        '_refilled_at',
+        '_settings',
+    )
 
     def __init__(
         self,
@@ -32,11 +38,11 @@
     ) -> None:
         self._settings = settings
         self._cache = cache
-        self._waiting: dict[str, tuple[float, _messages.Fetch]] = {}
-        self._budget = float(settings.serve_bytes_per_second)
-        self._refilled = 0.0
+        self._pending: dict[str, tuple[float, _messages.Fetch]] = {}
+        self._byte_budget = float(settings.serve_bytes_per_second)
+        self._refilled_at = 0.0
 
-    def take(
+    def handle_fetch(
         self, peer: str, fetch: _messages.Fetch, now: float
     ) -> list[object]:
         """Take a fetch; a later one of the same peer replaces it.
@@ -46,16 +52,16 @@
         :param now: the time in seconds.
         :returns: the page, or that too many wait, or nothing yet.
         """
-        self._waiting.pop(peer, None)
-        if len(self._waiting) >= self._settings.serve_count:
+        self._pending.pop(peer, None)
+        if len(self._pending) >= self._settings.serve_count:
             return [
                 effect.CountMetric(metric.DISTRIBUTION_BUSY),
                 effect.SendToPeer(peer, _messages.Busy()),
             ]
-        self._waiting[peer] = (now, fetch)
-        return self.serve(now)
+        self._pending[peer] = (now, fetch)
+        return self.serve_pending(now)
 
-    def serve(self, now: float) -> list[object]:
+    def serve_pending(self, now: float) -> list[object]:
         """Answer waiting fetches, oldest first, as the budget allows.
 
         :param now: the time in seconds.
@@ -63,27 +69,29 @@
         """
         self._refill(now)
         effects = []
-        while self._waiting and self._budget > 0:
-            peer = next(iter(self._waiting))
-            since, fetch = self._waiting.pop(peer)
-            if now - since > self._settings.fetch_timeout_seconds:
+        while self._pending and self._byte_budget > 0:
+            peer = next(iter(self._pending))
+            received_at, fetch = self._pending.pop(peer)
+            if now - received_at > self._settings.fetch_timeout_seconds:
                 effects.append(effect.CountMetric(metric.DISTRIBUTION_LATE))
                 continue
             effects.append(self._answer(peer, fetch))
         return effects
 
-    def forget(self, peer: str) -> None:
+    def drop_peer(self, peer: str) -> None:
         """Drop what a lost peer waits for.
 
         :param peer: the peer.
         """
-        self._waiting.pop(peer, None)
+        self._pending.pop(peer, None)
 
     def _refill(self, now: float) -> None:
         rate = self._settings.serve_bytes_per_second
-        gained = (now - self._refilled) * rate
-        self._refilled = now
-        self._budget = min(float(rate), self._budget + max(0.0, gained))
+        refill = (now - self._refilled_at) * rate
+        self._refilled_at = now
+        self._byte_budget = min(
+            float(rate), self._byte_budget + max(0.0, refill)
+        )
 
     def _answer(self, peer: str, fetch: _messages.Fetch) -> object:
         cache = self._cache
@@ -91,7 +99,7 @@
         base = fetch.cursor if is_snapshot else fetch.position
         base = max(base, fetch.cursor)
         found = cache.list_after(base)
-        page = self._cut(found)
+        page = self._build_page(found)
         end = cache.position
         if len(page) < len(found):
             end = min(end, page[-1].revision)
@@ -105,21 +113,21 @@
         )
         return effect.SendToPeer(peer, delta)
 
-    def _cut(
+    def _build_page(
         self, found: list[platform_api.StoredObject]
     ) -> list[platform_api.StoredObject]:
-        page, total = [], 0
+        page, size = [], 0
         for each in found:
-            total += _weigh(each)
-            is_full = total > self._settings.page_bytes
+            size += _estimate_bytes(each)
+            is_full = size > self._settings.page_bytes
             # Objects of one revision must not be torn apart: the next
             # page begins after it.
             if page and is_full and each.revision > page[-1].revision:
                 break
             page.append(each)
-        self._budget -= sum(map(_weigh, page))
+        self._byte_budget -= sum(map(_estimate_bytes, page))
         return page
 
 
-def _weigh(each: platform_api.StoredObject) -> int:
-    return _ITEM_BYTES + len(each.path) + len(each.value or b'')
+def _estimate_bytes(each: platform_api.StoredObject) -> int:
+    return _ITEM_OVERHEAD_BYTES + len(each.path) + len(each.value or b'')
--- a/skylarkfold/distribution/_fetcher.py
+++ b/skylarkfold/distribution/_fetcher.py
@@ -21,20 +21,20 @@
         '_absent',
         '_cursor',
         '_deadline',
-        '_known',
         '_peer',
+        '_peer_positions',
         '_settings',
     )
 
     def __init__(self, settings: _settings.DistributionSettings) -> None:
         self._settings = settings
-        self._known: dict[str, int] = {}
+        self._peer_positions: dict[str, int] = {}
         self._peer: str | None = None
         self._deadline = 0.0
         self._cursor = 0
         self._absent: dict[str, int] = {}
 
-    def note(
+    def record_ahead(
         self, peer: str, revision: int, now: float, position: int
     ) -> list[object]:
         """Note that a peer is further than this instance.
@@ -45,10 +45,12 @@
         :param position: this instance's position.
         :returns: a fetch, unless one is under way.
         """
-        self._known[peer] = max(revision, self._known.get(peer, 0))
+        self._peer_positions[peer] = max(
+            revision, self._peer_positions.get(peer, 0)
+        )
         if self._peer is not None:
             return []
-        return self._begin(peer, now, position)
+        return self._start_fetch(peer, now, position)
 
     def accepts(
         self, sender: str, delta: _messages.Delta, position: int
@@ -66,7 +68,7 @@
             return delta.base <= self._cursor
         return delta.base <= position
 
-    def absorb(
+    def take_page(
         self,
         delta: _messages.Delta,
         objects: Iterable[platform_api.StoredObject],
@@ -79,20 +81,25 @@
         :param cache: this instance's objects.
         :returns: deletions that follow from a finished snapshot.
         """
-        begin, self._cursor = self._cursor, max(self._cursor, delta.revision)
+        previous_cursor, self._cursor = (
+            self._cursor,
+            max(self._cursor, delta.revision),
+        )
         if not delta.is_snapshot:
             return []
         present = {each.path for each in objects}
         end = min(delta.revision, delta.floor)
         for each in cache.list_absent(end, present):
-            if each.revision > begin:
+            if each.revision > previous_cursor:
                 self._absent[each.path] = each.revision
         if not delta.is_last:
             return []
         cache.raise_floor(delta.floor)
-        return self._settle_absent(delta.floor, cache)
+        return self._build_tombstones(delta.floor, cache)
 
-    def proceed(self, sender: str, now: float, position: int) -> list[object]:
+    def fetch_next(
+        self, sender: str, now: float, position: int
+    ) -> list[object]:
         """Ask for the next page, or end.
 
         :param sender: who sent the last page.
@@ -101,13 +108,13 @@
         :returns: the next fetch, if there is more to get.
         """
         peer, self._peer = self._peer, None
-        target = self._known.get(peer, 0)
+        target = self._peer_positions.get(peer, 0)
         if target > position:
-            return self._ask(peer, now, position)
+            return self._send_fetch(peer, now, position)
         self._cursor = 0
-        return self._choose(now, position)
+        return self._fetch_from_best_peer(now, position)
 
-    def retry(self, now: float, position: int) -> list[object]:
+    def check_timeout(self, now: float, position: int) -> list[object]:
         """Pass over a peer that does not answer.
 
         :param now: the time in seconds.
@@ -116,9 +123,9 @@
         """
         if self._peer is None or now < self._deadline:
             return []
-        return self.lose(self._peer, now, position)
+        return self.drop_peer(self._peer, now, position)
 
-    def lose(self, peer: str, now: float, position: int) -> list[object]:
+    def drop_peer(self, peer: str, now: float, position: int) -> list[object]:
         """Note that a peer is gone, slow or busy.
 
         :param peer: the peer.
@@ -126,46 +133,52 @@
         :param position: this instance's position.
         :returns: a fetch from another peer, or nothing.
         """
-        self._known.pop(peer, None)
+        self._peer_positions.pop(peer, None)
         if self._peer != peer:
             return []
         self._peer = None
-        return self._choose(now, position)
+        return self._fetch_from_best_peer(now, position)
 
-    def _choose(self, now: float, position: int) -> list[object]:
-        self._known = {
+    def _fetch_from_best_peer(self, now: float, position: int) -> list[object]:
+        self._peer_positions = {
             peer: revision
-            for peer, revision in self._known.items()
+            for peer, revision in self._peer_positions.items()
             if revision > position
         }
-        if not self._known:
+        if not self._peer_positions:
             return []
-        best = max(sorted(self._known), key=self._known.__getitem__)
-        return self._begin(best, now, position)
+        best = max(
+            sorted(self._peer_positions), key=self._peer_positions.__getitem__
+        )
+        return self._start_fetch(best, now, position)
 
-    def _begin(self, peer: str, now: float, position: int) -> list[object]:
+    def _start_fetch(
+        self, peer: str, now: float, position: int
+    ) -> list[object]:
         self._cursor = 0
         self._absent = {}
-        return self._ask(peer, now, position)
+        return self._send_fetch(peer, now, position)
 
-    def _ask(self, peer: str, now: float, position: int) -> list[object]:
+    def _send_fetch(
+        self, peer: str, now: float, position: int
+    ) -> list[object]:
         self._peer = peer
         self._deadline = now + self._settings.fetch_timeout_seconds
         return [
             effect.SendToPeer(peer, _messages.Fetch(position, self._cursor))
         ]
 
-    def _settle_absent(
+    def _build_tombstones(
         self, floor: int, cache: object_cache.ObjectCache
     ) -> list[platform_api.StoredObject]:
         absent, self._absent = self._absent, {}
-        gone = []
+        tombstones = []
         for path, revision in absent.items():
             known = cache.get(path)
             if known is not None and known.revision == revision:
-                gone.append(
+                tombstones.append(
                     platform_api.StoredObject(
                         path, known.version + 1, floor, None
                     )
                 )
-        return gone
+        return tombstones
--- a/skylarkfold/distribution/_platform_watch.py
+++ b/skylarkfold/distribution/_platform_watch.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class PlatformUpdate:
     """What a call to the platform brought.
 
     :param base: the answer holds every change after this revision; 0
@@ -29,7 +29,7 @@
     is_listing: bool
 
 
-class Feed:
+class PlatformWatch:
     """One call at a time: a listing first, then waiting watches.
 
     :param settings: the distribution's settings.
@@ -37,14 +37,14 @@
     """
 
     __slots__ = (
-        '_backoff',
-        '_call',
-        '_is_listed',
+        '_backoff_seconds',
+        '_has_listed',
         '_must_list',
-        '_next_call',
-        '_next_time',
+        '_next_call_number',
+        '_next_call_time',
+        '_pending_call',
+        '_pending_request',
         '_random',
-        '_request',
         '_settings',
     )
 
@@ -53,12 +53,12 @@
     ) -> None:
         self._settings = settings
         self._random = random.Random(seed)
-        self._next_call = FIRST_CALL_NUMBER
-        self._call: int | None = None
-        self._request: platform_api.PlatformCall | None = None
-        self._next_time = 0.0
-        self._backoff = settings.least_backoff_seconds
-        self._is_listed = False
+        self._next_call_number = FIRST_CALL_NUMBER
+        self._pending_call: int | None = None
+        self._pending_request: platform_api.PlatformCall | None = None
+        self._next_call_time = 0.0
+        self._backoff_seconds = settings.least_backoff_seconds
+        self._has_listed = False
         self._must_list = False
 
     @property
@@ -66,30 +66,34 @@
         """Whether everything has to be listed again."""
         return self._must_list
 
-    def want_listing(self) -> None:
+    def request_listing(self) -> None:
         """List everything with the next call."""
         self._must_list = True
 
-    def call(self, now: float, position: int) -> list[object]:
+    def call_if_due(self, now: float, position: int) -> list[object]:
         """Begin the next call if none is under way.
 
         :param now: the time in seconds.
         :param position: the position on this instance.
         :returns: at most one call.
         """
-        if self._call is not None or now < self._next_time:
+        if self._pending_call is not None or now < self._next_call_time:
             return []
-        self._request = self._choose_request(position)
-        self._call = self._next_call
-        self._next_call += 1
+        self._pending_request = self._build_request(position)
+        self._pending_call = self._next_call_number
+        self._next_call_number += 1
         timeout = self._settings.call_timeout_seconds
-        if isinstance(self._request, platform_api.WatchObjects):
-            timeout += self._request.wait_seconds
-        return [effect.CallPlatform(self._call, self._request, timeout)]
-
-    def take(
+        if isinstance(self._pending_request, platform_api.WatchObjects):
+            timeout += self._pending_request.wait_seconds
+        return [
+            effect.CallPlatform(
+                self._pending_call, self._pending_request, timeout
+            )
+        ]
+
+    def take_answer(
         self, now: float, call: int, answer: platform_api.PlatformAnswer
-    ) -> News | None:
+    ) -> PlatformUpdate | None:
         """Take the answer to a call.
 
         :param now: the time in seconds.
@@ -98,48 +102,54 @@
         :returns: what it brought, or None if it failed, was older than
             what was asked for or belongs to no call under way.
         """
-        if call != self._call:
+        if call != self._pending_call:
             return None
-        request, self._call = self._request, None
+        request, self._pending_call = self._pending_request, None
         if answer.status is not platform_api.PlatformStatus.OK:
-            refused = answer.status is platform_api.PlatformStatus.REFUSED
-            self._must_list |= refused
-            self._pause(now)
+            is_refused = answer.status is platform_api.PlatformStatus.REFUSED
+            self._must_list |= is_refused
+            self._back_off(now)
             return None
         if isinstance(request, platform_api.WatchObjects):
-            return self._take_watch(now, request, answer)
-        return self._take_listing(now, answer)
+            return self._handle_watch_answer(now, request, answer)
+        return self._handle_listing_answer(now, answer)
 
-    def _choose_request(self, position: int) -> platform_api.PlatformCall:
+    def _build_request(self, position: int) -> platform_api.PlatformCall:
         settings = self._settings
-        is_new = position == 0 and not self._is_listed
-        if is_new or self._must_list:
+        is_first = position == 0 and not self._has_listed
+        if is_first or self._must_list:
             return platform_api.ListObjects(settings.prefix)
         return platform_api.WatchObjects(
             settings.prefix, position, settings.wait_seconds
         )
 
-    def _take_watch(
+    def _handle_watch_answer(
         self,
         now: float,
         request: platform_api.WatchObjects,
         answer: platform_api.PlatformAnswer,
-    ) -> News | None:
+    ) -> PlatformUpdate | None:
         if answer.revision < request.revision:
-            self._pause(now)
+            self._back_off(now)
             return None
-        self._backoff = self._settings.least_backoff_seconds
-        return News(request.revision, answer.revision, answer.objects, False)
+        self._backoff_seconds = self._settings.least_backoff_seconds
+        return PlatformUpdate(
+            request.revision, answer.revision, answer.objects, False
+        )
 
-    def _take_listing(
+    def _handle_listing_answer(
         self, now: float, answer: platform_api.PlatformAnswer
-    ) -> News | None:
-        self._is_listed = True
+    ) -> PlatformUpdate | None:
+        self._has_listed = True
         self._must_list = False
-        self._backoff = self._settings.least_backoff_seconds
-        return News(0, answer.revision, answer.objects, True)
+        self._backoff_seconds = self._settings.least_backoff_seconds
+        return PlatformUpdate(0, answer.revision, answer.objects, True)
 
-    def _pause(self, now: float) -> None:
+    def _back_off(self, now: float) -> None:
         settings = self._settings
-        self._next_time = now + self._backoff * self._random.uniform(0.5, 1.5)
-        self._backoff = min(self._backoff * 2, settings.most_backoff_seconds)
+        self._next_call_time = (
+            now + self._backoff_seconds * self._random.uniform(0.5, 1.5)
+        )
+        self._backoff_seconds = min(
+            self._backoff_seconds * 2, settings.most_backoff_seconds
+        )
--- a/skylarkfold/distribution/_retained.py
+++ b/skylarkfold/distribution/_retained.py
@@ -22,13 +22,13 @@
     :param settings: what is retained, and how long.
     """
 
-    __slots__ = ('_forms', '_settings')
+    __slots__ = ('_retained', '_settings')
 
     def __init__(self, settings: _settings.DistributionSettings) -> None:
         self._settings = settings
-        self._forms: dict[str, tuple[platform_api.StoredObject, float]] = {}
+        self._retained: dict[str, tuple[platform_api.StoredObject, float]] = {}
 
-    def stands(
+    def must_retain(
         self,
         now: float,
         known: platform_api.StoredObject | None,
@@ -50,44 +50,48 @@
         path = candidate.path
         if not path.startswith(self._settings.retained_prefixes):
             return False
-        held = self._forms.get(path)
-        if held is None and known is not None and _is_former(known, candidate):
-            held = (known, now + self._settings.retain_seconds)
-        is_over = is_fresh or held is None
-        if is_over or not _is_later(held[0], candidate, is_absent):
-            self._forms.pop(path, None)
+        retained = self._retained.get(path)
+        if (
+            retained is None
+            and known is not None
+            and _is_of_earlier_era(known, candidate)
+        ):
+            retained = (known, now + self._settings.retain_seconds)
+        is_released = is_fresh or retained is None
+        if is_released or not _is_newer(retained[0], candidate, is_absent):
+            self._retained.pop(path, None)
             return False
-        self._forms[path] = held
+        self._retained[path] = retained
         return True
 
-    def expire(self, confirmed_at: float) -> list[str]:
+    def release_expired(self, confirmed_at: float) -> list[str]:
         """Let the store's forms count that it has had for long enough.
 
         :param confirmed_at: when the store was last heard.
         :returns: their paths.
         """
-        over = [
+        expired = [
             path
-            for path, (_, until) in self._forms.items()
-            if confirmed_at > until
+            for path, (_, deadline) in self._retained.items()
+            if confirmed_at > deadline
         ]
-        for path in over:
-            del self._forms[path]
-        return over
+        for path in expired:
+            del self._retained[path]
+        return expired
 
 
-def _is_former(
+def _is_of_earlier_era(
     known: platform_api.StoredObject, candidate: platform_api.StoredObject
 ) -> bool:
     era = revisions.get_era(known.revision)
     return era < revisions.get_era(candidate.revision)
 
 
-def _is_later(
-    held: platform_api.StoredObject,
+def _is_newer(
+    retained: platform_api.StoredObject,
     candidate: platform_api.StoredObject,
     is_absent: bool,
 ) -> bool:
     if candidate.value is None:
-        return is_absent and held.value is not None
-    return candidate.version < held.version
+        return is_absent and retained.value is not None
+    return candidate.version < retained.version
