--- a/skylarkfold/distribution/__init__.py
+++ b/skylarkfold/distribution/__init__.py
@@ -1,4 +1,4 @@
-"""Brings the platform's objects to every instance, oldest never last."""
+"""Distribution of the platform's objects to all instances."""
 
 from skylarkfold.distribution._core import DistributionCore
 from skylarkfold.distribution._messages import Busy
--- a/skylarkfold/distribution/_core.py
+++ b/skylarkfold/distribution/_core.py
@@ -1,4 +1,4 @@
-"""The decisions of the distribution."""
+"""Core of the distribution subsystem."""
 
 from __future__ import annotations
 
@@ -28,15 +28,15 @@
 
 
 class DistributionCore:
-    """Keeps this instance's objects at the platform's newest.
+    """Keeps this instance's objects up to date with the platform's store.
 
-    A few instances of each zone watch the platform; all instances tell
-    their neighbours how far they are, and fetch what they lack from a
-    neighbour that is further.
+    A few instances of each zone watch the platform. All instances
+    announce their position to their neighbours and fetch missing objects
+    from a neighbour that is ahead.
 
-    :param instance: this instance's identity.
+    :param instance: this instance's settings.
     :param settings: the distribution's settings.
-    :param seed: spreads this instance's timers against the others'.
+    :param seed: seed of the random jitter of this instance's timers.
     """
 
     def __init__(
@@ -66,30 +66,34 @@
 
     @property
     def revision(self) -> int:
-        """The position: all changes up to this revision are known."""
+        """The position: all changes up to this revision are applied."""
         return self._cache.position
 
     @property
     def is_ready(self) -> bool:
-        """Whether the objects are complete and not those of a sleeper."""
+        """Whether the objects are complete and current.
+
+        False until the first complete set of objects, and after a pause of
+        the process until they are confirmed again.
+        """
         return self._is_complete and self._resumed_at is None
 
     def compute_age(self, now: float) -> float | None:
-        """Compute how old the view of the store may be.
+        """Compute the age of the objects.
 
         :param now: the time in seconds.
-        :returns: seconds since the platform confirmed it, here or at the
-            instance that passed it on; None for never.
+        :returns: seconds since the platform last confirmed them, to this
+            instance or to one that announced it; None if never.
         """
         if self._confirmed_at is None:
             return None
         return now - self._confirmed_at
 
     def get(self, path: str) -> platform_api.StoredObject | None:
-        """Find an object.
+        """Return an object.
 
         :param path: its path.
-        :returns: its newest known form, None if unknown or deleted.
+        :returns: its newest known version, None if unknown or deleted.
         """
         found = self._cache.get(path)
         if found is None or found.value is None:
@@ -97,7 +101,7 @@
         return found
 
     def handle(self, now: float, event_: object) -> list[object]:
-        """Take one event.
+        """Handle one event.
 
         :param now: the time in seconds of a monotonic clock.
         :param event_: one of :mod:`skylarkfold.event`.
@@ -141,7 +145,7 @@
 
     @_handle_event.register
     def _(self, event_: event.PeerLost, now: float) -> list[object]:
-        self._fetch_server.drop_peer(event_.peer)
+        self._fetch_server.cancel_fetch(event_.peer)
         self._divergence.clear(event_.peer)
         return self._fetcher.drop_peer(event_.peer, now, self._cache.position)
 
@@ -265,9 +269,9 @@
             known = self._cache.get(each.path)
             if not self._cache.put(each, is_listed=is_listed):
                 continue
-            is_fresh = self._is_newer_in_current_era(each)
+            is_after_restore = self._is_written_after_restore(each)
             if self._retained.must_retain(
-                now, known, each, is_absent, is_fresh
+                now, known, each, is_absent, is_after_restore
             ):
                 effects.append(
                     effect.CountMetric(metric.DISTRIBUTION_RETAINED)
@@ -276,17 +280,20 @@
                 effects.append(effect.PublishObject(each))
         return effects
 
-    def _is_newer_in_current_era(
+    def _is_written_after_restore(
         self, candidate: platform_api.StoredObject
     ) -> bool:
-        """Tell whether an object was written since an era is known here."""
+        """Return whether an object was certainly written in the current era.
+
+        An era begins when the store is restored from an older copy.
+        """
         position = self._cache.position
         era = revisions.get_era(candidate.revision)
         is_known_era = revisions.get_era(position) == era
         return is_known_era and candidate.revision > position
 
     def _release_retained(self) -> list[object]:
-        """Publish what the store has had for long enough."""
+        """Publish the store's version of objects no longer retained."""
         if self._confirmed_at is None:
             return []
         effects: list[object] = []
@@ -355,12 +362,12 @@
             return True
         if self._zone_rank >= settings.watchers + settings.substitutes:
             return False
-        since = (
+        silent_since = (
             self._started_at
             if self._confirmed_at is None
             else self._confirmed_at
         )
-        return now - since > settings.silence_seconds
+        return now - silent_since > settings.silence_seconds
 
     def _check_pause(self, now: float) -> list[object]:
         if self._started_at is None:
--- a/skylarkfold/distribution/_divergence.py
+++ b/skylarkfold/distribution/_divergence.py
@@ -1,4 +1,4 @@
-"""Compares the objects with those of peers at the same position."""
+"""Detection of lasting differences from peers at the same position."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class DivergenceDetector:
-    """Finds differences that last.
+    """Detects peers whose digest differs in two successive announcements.
 
-    A difference that the next announcement does not repeat was only an
-    object that one of the two had ahead of its position.
+    A single mismatch only means that one of the two already had an object
+    beyond its position.
 
     :param settings: the distribution's settings.
     """
@@ -22,20 +22,20 @@
         self._next_relist = 0.0
 
     def clear(self, peer: str) -> None:
-        """Forget a peer that agrees, moved on or is gone.
+        """Clear the mismatch of a peer that agrees or is lost.
 
         :param peer: the peer.
         """
         self._mismatches.pop(peer, None)
 
     def record_mismatch(self, peer: str, revision: int, now: float) -> bool:
-        """Note that a peer's digest at the same position differs.
+        """Record that the digest of a peer at the same position differs.
 
         :param peer: the peer.
-        :param revision: the position of both.
+        :param revision: the common position.
         :param now: the time in seconds.
-        :returns: whether the difference has lasted and the platform has
-            to be asked; at most once in a while.
+        :returns: whether the mismatch has lasted and all objects are to be
+            listed again; rate limited.
         """
         known, since = self._mismatches.get(peer, (-1, now))
         if known != revision:
--- a/skylarkfold/distribution/_fetch_server.py
+++ b/skylarkfold/distribution/_fetch_server.py
@@ -1,4 +1,4 @@
-"""Answers the fetches of neighbours within a budget."""
+"""Server of the neighbours' fetches, within a bandwidth budget."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class FetchServer:
-    """At most one waiting fetch a peer, at most one page a fetch.
+    """Answers each fetch with one page; each peer has one pending fetch.
 
-    A slow peer asks slowly, so nothing is queued for it: its next page is
-    made of the newest objects when it asks.
+    No pages are queued for slow peers: a page is built of the newest
+    objects when the fetch is answered.
 
     :param settings: the distribution's settings.
     :param cache: this instance's objects.
@@ -45,12 +45,13 @@
     def handle_fetch(
         self, peer: str, fetch: _messages.Fetch, now: float
     ) -> list[object]:
-        """Take a fetch; a later one of the same peer replaces it.
+        """Handle a fetch, which replaces an earlier one of the same peer.
 
-        :param peer: who asks.
-        :param fetch: what it asks for.
+        :param peer: the peer.
+        :param fetch: the fetch.
         :param now: the time in seconds.
-        :returns: the page, or that too many wait, or nothing yet.
+        :returns: pages for pending fetches, or a Busy message if too many
+            are pending.
         """
         self._pending.pop(peer, None)
         if len(self._pending) >= self._settings.serve_count:
@@ -62,7 +63,7 @@
         return self.serve_pending(now)
 
     def serve_pending(self, now: float) -> list[object]:
-        """Answer waiting fetches, oldest first, as the budget allows.
+        """Answer pending fetches, oldest first, as the budget allows.
 
         :param now: the time in seconds.
         :returns: pages.
@@ -78,8 +79,8 @@
             effects.append(self._answer(peer, fetch))
         return effects
 
-    def drop_peer(self, peer: str) -> None:
-        """Drop what a lost peer waits for.
+    def cancel_fetch(self, peer: str) -> None:
+        """Cancel the pending fetch of a lost peer.
 
         :param peer: the peer.
         """
@@ -120,8 +121,8 @@
         for each in found:
             size += _estimate_bytes(each)
             is_full = size > self._settings.page_bytes
-            # Objects of one revision must not be torn apart: the next
-            # page begins after it.
+            # Objects of one revision must be in one page: the next page
+            # begins after that revision.
             if page and is_full and each.revision > page[-1].revision:
                 break
             page.append(each)
--- a/skylarkfold/distribution/_fetcher.py
+++ b/skylarkfold/distribution/_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches what this instance lacks from a neighbour that has it."""
+"""Fetching of missing objects from neighbours."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class Fetcher:
-    """At most one fetch under way, retried at another peer.
+    """Sends one fetch at a time; after a failure, to another peer.
 
     :param settings: the distribution's settings.
     """
 
     __slots__ = (
         '_absent',
+        '_current_peer',
         '_cursor',
         '_deadline',
-        '_peer',
         '_peer_positions',
         '_settings',
     )
@@ -29,7 +29,7 @@
     def __init__(self, settings: _settings.DistributionSettings) -> None:
         self._settings = settings
         self._peer_positions: dict[str, int] = {}
-        self._peer: str | None = None
+        self._current_peer: str | None = None
         self._deadline = 0.0
         self._cursor = 0
         self._absent: dict[str, int] = {}
@@ -37,32 +37,32 @@
     def record_ahead(
         self, peer: str, revision: int, now: float, position: int
     ) -> list[object]:
-        """Note that a peer is further than this instance.
+        """Record that a peer is ahead of this instance.
 
         :param peer: the peer.
         :param revision: the peer's position.
         :param now: the time in seconds.
         :param position: this instance's position.
-        :returns: a fetch, unless one is under way.
+        :returns: a fetch, unless one is pending.
         """
         self._peer_positions[peer] = max(
             revision, self._peer_positions.get(peer, 0)
         )
-        if self._peer is not None:
+        if self._current_peer is not None:
             return []
         return self._start_fetch(peer, now, position)
 
     def accepts(
         self, sender: str, delta: _messages.Delta, position: int
     ) -> bool:
-        """Tell whether a page continues what is known here.
+        """Return whether a page may be applied at the current position.
 
-        :param sender: who sent it.
+        :param sender: the peer that sent it.
         :param delta: the page.
         :param position: this instance's position.
-        :returns: False for a page that leaves a gap or was not asked for.
+        :returns: False for a page that leaves a gap or was not requested.
         """
-        if sender != self._peer:
+        if sender != self._current_peer:
             return False
         if delta.is_snapshot:
             return delta.base <= self._cursor
@@ -74,12 +74,13 @@
         objects: Iterable[platform_api.StoredObject],
         cache: object_cache.ObjectCache,
     ) -> list[platform_api.StoredObject]:
-        """Advance the cursor and find objects that a snapshot lacks.
+        """Advance the cursor and find the objects that a snapshot lacks.
 
         :param delta: an accepted page.
-        :param objects: its objects, which are kept already.
+        :param objects: its objects, which are stored already.
         :param cache: this instance's objects.
-        :returns: deletions that follow from a finished snapshot.
+        :returns: tombstones of the absent objects, once the snapshot is
+            complete.
         """
         previous_cursor, self._cursor = (
             self._cursor,
@@ -100,14 +101,14 @@
     def fetch_next(
         self, sender: str, now: float, position: int
     ) -> list[object]:
-        """Ask for the next page, or end.
+        """Fetch the next page, or from the next peer that is ahead.
 
-        :param sender: who sent the last page.
+        :param sender: the peer that sent the last page.
         :param now: the time in seconds.
         :param position: this instance's position.
-        :returns: the next fetch, if there is more to get.
+        :returns: the next fetch, or nothing if no peer is ahead.
         """
-        peer, self._peer = self._peer, None
+        peer, self._current_peer = self._current_peer, None
         target = self._peer_positions.get(peer, 0)
         if target > position:
             return self._send_fetch(peer, now, position)
@@ -115,18 +116,18 @@
         return self._fetch_from_best_peer(now, position)
 
     def check_timeout(self, now: float, position: int) -> list[object]:
-        """Pass over a peer that does not answer.
+        """Drop the current peer if its answer is overdue.
 
         :param now: the time in seconds.
         :param position: this instance's position.
         :returns: a fetch from another peer, or nothing.
         """
-        if self._peer is None or now < self._deadline:
+        if self._current_peer is None or now < self._deadline:
             return []
-        return self.drop_peer(self._peer, now, position)
+        return self.drop_peer(self._current_peer, now, position)
 
     def drop_peer(self, peer: str, now: float, position: int) -> list[object]:
-        """Note that a peer is gone, slow or busy.
+        """Drop a peer that is lost, too slow or busy.
 
         :param peer: the peer.
         :param now: the time in seconds.
@@ -134,9 +135,9 @@
         :returns: a fetch from another peer, or nothing.
         """
         self._peer_positions.pop(peer, None)
-        if self._peer != peer:
+        if self._current_peer != peer:
             return []
-        self._peer = None
+        self._current_peer = None
         return self._fetch_from_best_peer(now, position)
 
     def _fetch_from_best_peer(self, now: float, position: int) -> list[object]:
@@ -162,7 +163,7 @@
     def _send_fetch(
         self, peer: str, now: float, position: int
     ) -> list[object]:
-        self._peer = peer
+        self._current_peer = peer
         self._deadline = now + self._settings.fetch_timeout_seconds
         return [
             effect.SendToPeer(peer, _messages.Fetch(position, self._cursor))
--- a/skylarkfold/distribution/_messages.py
+++ b/skylarkfold/distribution/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the distribution between instances."""
+"""Messages of the distribution protocol."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """An object of the store; the value is None once it is deleted."""
+    """Object of the store; the value is None if it is deleted."""
 
     path: str
     version: message.Count
@@ -17,12 +17,12 @@
 
 
 class Position(message.PeerMessage, tag=40):
-    """How far the sender's objects are complete.
+    """Announcement of the sender's position.
 
-    :param revision: all changes up to this revision are known there.
-    :param age_milliseconds: how long ago the platform confirmed that, as
-        far as the sender knows; -1 for never.
-    :param digest: a digest of the objects at that revision.
+    :param revision: all changes up to this revision are applied there.
+    :param age_milliseconds: how long ago the platform confirmed it, as
+        far as the sender knows; -1 if never.
+    :param digest: digest of the objects at that revision.
     """
 
     revision: message.Count
@@ -31,10 +31,10 @@
 
 
 class Fetch(message.PeerMessage, tag=41):
-    """Asks for what the sender lacks.
+    """Request for the objects that the sender lacks.
 
-    :param position: the sender's own position.
-    :param cursor: the end of the last page, for a snapshot in pages.
+    :param position: the sender's position.
+    :param cursor: the end of the last page, 0 if there was none.
     """
 
     position: message.Count
@@ -42,18 +42,19 @@
 
 
 class Delta(message.PeerMessage, tag=42):
-    """A page of objects.
+    """Page of objects, the answer to a fetch.
 
-    It holds every object whose revision is above ``base`` and not above
-    ``revision``, in the newest form that the sender knows.
+    It holds the newest version, as known to the sender, of every object
+    whose revision is above ``base`` and at most ``revision``.
 
-    :param base: where the page begins.
-    :param revision: where it ends.
-    :param is_snapshot: whether deletions before the sender's memory may
-        be missing, so that absent objects must be dropped at the end.
+    :param base: the revision after which the page begins.
+    :param revision: the last revision of the page.
+    :param is_snapshot: whether tombstones up to ``floor`` may be missing,
+        so that the receiver must delete absent objects after the last page.
     :param is_last: whether the page reaches the sender's position.
-    :param floor: deletions up to this revision are not remembered.
-    :param packed: the objects by rising revision, as :class:`Item`, packed.
+    :param floor: tombstones up to this revision may have been dropped.
+    :param packed: the objects as compressed :class:`Item` values, sorted by
+        revision.
     """
 
     base: message.Count
@@ -65,7 +66,7 @@
 
 
 class Busy(message.PeerMessage, tag=43):
-    """The fetch is not answered: too many others wait."""
+    """Refusal of a fetch because too many others are pending."""
 
 
 MESSAGES = Position | Fetch | Delta | Busy
--- a/skylarkfold/distribution/_packing.py
+++ b/skylarkfold/distribution/_packing.py
@@ -1,8 +1,4 @@
-"""Objects in the compressed form in which they travel.
-
-Settings are text that repeats itself: packed, they take a fraction of
-the control budget.
-"""
+"""Compressed encoding of objects in messages."""
 
 from __future__ import annotations
 
@@ -22,10 +18,10 @@
 
 
 def pack(objects: Iterable[platform_api.StoredObject]) -> bytes:
-    """Pack objects.
+    """Encode and compress objects.
 
     :param objects: the objects.
-    :returns: their bytes.
+    :returns: the compressed bytes.
     """
     items = tuple(
         _messages.Item(each.path, each.version, each.revision, each.value)
@@ -35,12 +31,12 @@
 
 
 def unpack(packed: bytes) -> tuple[platform_api.StoredObject, ...]:
-    """Unpack objects.
+    """Decompress and decode objects.
 
-    :param packed: their bytes.
+    :param packed: the compressed bytes.
     :returns: the objects.
-    :raises DecodeError: if the bytes are malformed, or hold more than a
-        message may.
+    :raises DecodeError: if the bytes are malformed, or decompress to more
+        than a message may hold.
     """
     try:
         items = _decoder.decode(_decompress(packed))
--- a/skylarkfold/distribution/_platform_watch.py
+++ b/skylarkfold/distribution/_platform_watch.py
@@ -1,4 +1,4 @@
-"""The stream of changes from the platform to a watcher."""
+"""Watch of the platform's store."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformUpdate:
-    """What a call to the platform brought.
+    """Objects returned by a call to the platform.
 
-    :param base: the answer holds every change after this revision; 0
-        for a listing, which holds everything.
-    :param revision: the store's revision at the answer.
+    :param base: the revision whose later changes are included; 0 for a
+        listing, which includes everything.
+    :param revision: the store's revision at the time of the answer.
     :param objects: the objects.
-    :param is_listing: whether absent objects are deleted.
+    :param is_listing: whether this is a complete listing, so that absent
+        objects are deleted ones.
     """
 
     base: int
@@ -30,10 +31,12 @@
 
 
 class PlatformWatch:
-    """One call at a time: a listing first, then waiting watches.
+    """Lists all objects once, then watches for changes by long polling.
+
+    At most one call is pending at a time.
 
     :param settings: the distribution's settings.
-    :param seed: spreads the pauses of this instance against the others'.
+    :param seed: seed of the random jitter of the backoff.
     """
 
     __slots__ = (
@@ -63,18 +66,18 @@
 
     @property
     def must_list(self) -> bool:
-        """Whether everything has to be listed again."""
+        """Whether the next call must list all objects."""
         return self._must_list
 
     def request_listing(self) -> None:
-        """List everything with the next call."""
+        """Make the next call list all objects."""
         self._must_list = True
 
     def call_if_due(self, now: float, position: int) -> list[object]:
-        """Begin the next call if none is under way.
+        """Make the next call if none is pending and no backoff is running.
 
         :param now: the time in seconds.
-        :param position: the position on this instance.
+        :param position: this instance's position.
         :returns: at most one call.
         """
         if self._pending_call is not None or now < self._next_call_time:
@@ -94,13 +97,13 @@
     def take_answer(
         self, now: float, call: int, answer: platform_api.PlatformAnswer
     ) -> PlatformUpdate | None:
-        """Take the answer to a call.
+        """Handle the answer to a platform call.
 
         :param now: the time in seconds.
         :param call: the call's number.
-        :param answer: its outcome.
-        :returns: what it brought, or None if it failed, was older than
-            what was asked for or belongs to no call under way.
+        :param answer: the answer.
+        :returns: the returned objects, or None if the call failed, is not
+            the pending one or returned an older revision than requested.
         """
         if call != self._pending_call:
             return None
--- a/skylarkfold/distribution/_retained.py
+++ b/skylarkfold/distribution/_retained.py
@@ -1,7 +1,7 @@
-"""Operators' objects that the platform's store has lost for now.
+"""Objects that stay in force after the store lost their latest version.
 
-When it comes back from an older copy, what was written since is gone until
-its operators write it again. What was in force stays so meanwhile.
+A store that is restored from an older copy lacks later writes until the
+operators repeat them.
 """
 
 from __future__ import annotations
@@ -12,14 +12,13 @@
 
 
 class RetainedObjects:
-    """Objects in a form of a former era that stand for the store's.
+    """Objects of an earlier era that are used in place of the store's.
 
-    Of a known form and the copy's the one of the higher version is the later
-    one: the store counts an object's versions, and the copy is older. What
-    is written after its return counts at once: its versions are counted
-    from the copy's, so that they may be lower than those that were lost.
+    An object is retained while its version is higher than the one in the
+    restored store. An object written after the restore replaces it at once,
+    even with a lower version, as versions are counted on from the copy's.
 
-    :param settings: what is retained, and how long.
+    :param settings: the distribution's settings.
     """
 
     __slots__ = ('_retained', '_settings')
@@ -34,18 +33,18 @@
         known: platform_api.StoredObject | None,
         candidate: platform_api.StoredObject,
         is_absent: bool,
-        is_fresh: bool,
+        is_after_restore: bool,
     ) -> bool:
-        """Tell whether a known form stands for what the store has.
-
-        :param now: the time.
-        :param known: the form that was known; None for none.
-        :param candidate: the store's.
-        :param is_absent: whether the store only lacks the object: that it was
-            deleted is another matter.
-        :param is_fresh: whether that became so after the store's return, for
-            certain.
-        :returns: whether the store's form is to be kept back.
+        """Return whether to use a known object in place of the store's.
+
+        :param now: the time in seconds.
+        :param known: the known object, None if there is none.
+        :param candidate: the store's object or tombstone.
+        :param is_absent: whether the tombstone only means that a listing
+            lacks the object, not that it was deleted.
+        :param is_after_restore: whether the candidate was certainly written
+            after the restore.
+        :returns: whether the candidate must not be published yet.
         """
         path = candidate.path
         if not path.startswith(self._settings.retained_prefixes):
@@ -57,7 +56,7 @@
             and _is_of_earlier_era(known, candidate)
         ):
             retained = (known, now + self._settings.retain_seconds)
-        is_released = is_fresh or retained is None
+        is_released = is_after_restore or retained is None
         if is_released or not _is_newer(retained[0], candidate, is_absent):
             self._retained.pop(path, None)
             return False
@@ -65,10 +64,10 @@
         return True
 
     def release_expired(self, confirmed_at: float) -> list[str]:
-        """Let the store's forms count that it has had for long enough.
+        """Stop retaining objects whose retention time has passed.
 
-        :param confirmed_at: when the store was last heard.
-        :returns: their paths.
+        :param confirmed_at: when the platform last confirmed the objects.
+        :returns: the paths of the released objects.
         """
         expired = [
             path
--- a/skylarkfold/distribution/_settings.py
+++ b/skylarkfold/distribution/_settings.py
@@ -7,34 +7,39 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DistributionSettings:
-    """How objects reach every instance.
+    """Settings of the watch, the fetches and the retained objects.
 
-    :param prefix: what is watched at the platform, as one stream.
-    :param kept_prefixes: objects elsewhere are dropped on arrival.
-    :param retained_prefixes: objects that operators write: one that the
-        store, back from an older copy, lacks or has in an older form stays as
-        it was until it is written again.
-    :param retain_seconds: or until the store has said after so long that it
-        still isn't: within 13 s a change is in force everywhere.
+    :param prefix: the path prefix watched at the platform.
+    :param kept_prefixes: objects outside these prefixes are dropped.
+    :param retained_prefixes: prefixes of objects that operators write. If
+        a store restored from an older copy lacks such an object or has an
+        older version, the known version stays in force until the object
+        is written again.
+    :param retain_seconds: how long it stays in force at most, while the
+        platform confirms the restored state.
     :param watchers: how many instances of a zone watch the platform.
-    :param substitutes: how many more may watch while no news comes.
-    :param wait_seconds: how long the platform may hold a watch.
-    :param call_timeout_seconds: how long to wait beyond that.
+    :param substitutes: how many more watch it while the last confirmation
+        is older than ``silence_seconds``.
+    :param wait_seconds: how long the platform may hold a watch open.
+    :param call_timeout_seconds: how long to wait for an answer, in addition
+        to that.
     :param least_backoff_seconds: the first pause after a failed call.
     :param most_backoff_seconds: the longest pause between failed calls.
-    :param silence_seconds: without any news of the platform for so long,
-        substitutes begin to watch.
-    :param announce_seconds: how often neighbours are told the position.
-    :param fetch_timeout_seconds: a peer that does not answer a fetch for
-        so long is passed over.
-    :param page_bytes: how much one answer to a fetch may carry; a single
-        larger object still goes whole.
-    :param serve_bytes_per_second: what is spent on answering fetches.
-    :param serve_count: how many fetches may wait to be answered.
-    :param tombstones: how many deletions are remembered.
+    :param silence_seconds: time without confirmation by the platform after
+        which substitutes watch; also the minimum time between listings
+        that mismatches with peers cause.
+    :param announce_seconds: how often to announce the position to the
+        neighbours.
+    :param fetch_timeout_seconds: how long to wait for a page before trying
+        another peer.
+    :param page_bytes: maximum size of a page, unless the objects of a
+        single revision are larger.
+    :param serve_bytes_per_second: bandwidth for answering fetches.
+    :param serve_count: maximum number of pending fetches.
+    :param tombstones: maximum number of deletions to remember.
     :param pause_seconds: a longer time between two ticks means that the
-        process was paused and must hear from others before it is ready.
-    :param relearn_seconds: how long it waits for that.
+        process was paused and has to sync with others before it is ready.
+    :param relearn_seconds: how long it waits for that at most.
     """
 
     prefix: str = '/'
--- a/skylarkfold/tests/distribution/test_convergence.py
+++ b/skylarkfold/tests/distribution/test_convergence.py
@@ -1,8 +1,8 @@
-"""Several instances and a platform under faults, against an oracle.
+"""Convergence of several instances under faults of network and platform.
 
-The oracle: no instance ever publishes an older form of an object; once
-all faults are mended, every instance agrees with the platform and knows
-every running instance as alive within a bound.
+No instance may ever publish an older version of an object. Within a bound
+after all faults are repaired, every instance must agree with the platform
+and see every running instance as alive.
 """
 
 import hypothesis
@@ -199,7 +199,7 @@
         )
         stateful.run_state_machine_as_test(FleetMachine, settings=settings)
 
-    def test_an_instance_that_was_cut_off_comes_back(self):
+    def test_partitioned_instance_rejoins(self):
         machine = FleetMachine()
         machine.cut_host('entry-0')
         machine.wait(30)
@@ -207,13 +207,13 @@
         self.assertIs(member.MemberState.DEAD, members['entry-0'].state)
         machine.teardown()
 
-    def test_a_paused_instance_comes_back(self):
+    def test_paused_instance_rejoins(self):
         machine = FleetMachine()
         machine.pause('entry-0', True)
         machine.wait(30)
         machine.teardown()
 
-    def test_a_broken_path_between_two_mates_kills_nobody(self):
+    def test_broken_path_between_zone_peers_declares_nobody_dead(self):
         machine = FleetMachine()
         pair = frozenset(('entry-0', 'entry-3'))
         machine.fleet.cut_pairs.add(pair)
@@ -225,8 +225,8 @@
                 self.assertEqual({member.MemberState.ALIVE}, states)
         machine.teardown()
 
-    def test_a_mate_that_ended_unseen_is_declared_dead(self):
-        """Found by the machine: its only mate was cut off meanwhile."""
+    def test_zone_peer_killed_during_a_partition_is_declared_dead(self):
+        """Its only zone peer is partitioned at the time of the kill."""
         machine = FleetMachine()
         machine.cut_host('entry-0')
         machine.kill('entry-3', is_told=False)
--- a/skylarkfold/tests/distribution/test_messages.py
+++ b/skylarkfold/tests/distribution/test_messages.py
@@ -1,4 +1,4 @@
-"""Malformed and senseless messages of peers never stop a core."""
+"""Malformed and inconsistent messages from peers never stop a core."""
 
 import enum
 import typing
@@ -88,8 +88,8 @@
                 self.feed(cores, now, taken)
                 self.feed(cores, now, event.Tick())
 
-    def test_the_highest_incarnation_is_refuted_or_malformed(self):
-        fact = membership.MemberUpdate(
+    def test_highest_incarnation_is_refuted_or_malformed(self):
+        update = membership.MemberUpdate(
             name='a1',
             zone='hall-a',
             region='norte',
@@ -101,18 +101,20 @@
         )
         decoder = codec.StreamDecoder(MESSAGES)
         for incarnation in (1 << 62, (1 << 64) - 1):
-            told = msgspec.structs.replace(fact, incarnation=incarnation)
-            data = codec.encode(membership.Hello(told, True))
+            received_update = msgspec.structs.replace(
+                update, incarnation=incarnation
+            )
+            data = codec.encode(membership.Hello(received_update, True))
             try:
                 (message,) = decoder.feed(data)
             except errors.DecodeError:
                 continue
-            rumor = membership.Gossip((message.fact,))
-            received = event.PeerMessageReceived('a2', rumor)
+            gossip = membership.Gossip((message.fact,))
+            received = event.PeerMessageReceived('a2', gossip)
             cores = build_cores()
             self.feed(cores, 0.0, received)
-            greeting = event.PeerConnected('a2')
-            self.feed(cores, 0.3, greeting)
+            connected = event.PeerConnected('a2')
+            self.feed(cores, 0.3, connected)
 
     def feed(self, cores, now, received):
         for core in cores:
--- a/skylarkfold/tests/distribution/test_packing.py
+++ b/skylarkfold/tests/distribution/test_packing.py
@@ -1,4 +1,4 @@
-"""Tests of the packed form of objects."""
+"""Tests of the compressed encoding of objects."""
 
 import zlib
 
@@ -37,6 +37,6 @@
             except errors.DecodeError as error:
                 self.assertEqual('message-malformed', error.code)
 
-    def test_a_bomb_is_refused(self):
+    def test_decompression_bomb_is_refused(self):
         bomb = zlib.compress(bytes(codec.MAXIMUM_MESSAGE_BYTES + 1))
         self.assertRaises(errors.DecodeError, _packing.unpack, bomb)
