--- a/skylarkfold/membership/_readiness.py
+++ b/skylarkfold/membership/_readiness.py
@@ -1,4 +1,4 @@
-"""Whether this instance may rely on its view yet."""
+"""Readiness of this instance after a start or a pause."""
 
 from __future__ import annotations
 
@@ -8,79 +8,87 @@
 
 
 class Readiness:
-    """A new or woken instance hears from others before it is ready.
+    """Tracks whether a started or resumed instance has synced with others.
 
-    It needs a peer's whole roster and, in force here, the revision that
-    was in force on the members it met. Who finds nobody is alone.
+    It needs a peer's complete roster, and the highest revision reported
+    by the members that it met has to be in force here. An instance that
+    finds no other becomes ready after a timeout.
 
     :param settings: the membership's settings.
     """
 
     __slots__ = (
         '_is_synced',
-        '_revision',
+        '_last_tick',
+        '_required_revision',
         '_settings',
-        '_since',
-        '_ticked',
-        'is_learning',
+        '_syncing_since',
+        'is_syncing',
     )
 
     def __init__(self, settings: _settings.MembershipSettings) -> None:
         self._settings = settings
-        self._ticked: float | None = None
-        self._since = 0.0
-        self._revision = 0
+        self._last_tick: float | None = None
+        self._syncing_since = 0.0
+        self._required_revision = 0
         self._is_synced = False
-        self.is_learning = True
+        self.is_syncing = True
 
-    def note_tick(self, now: float) -> bool:
-        """Note a tick.
+    def record_tick(self, now: float) -> bool:
+        """Record a tick, and start to sync again after a pause.
 
         :param now: the time in seconds.
-        :returns: whether the process was paused before it; learning has
-            begun again then.
+        :returns: whether the process was paused before this tick.
         """
-        last, self._ticked = self._ticked, now
+        last, self._last_tick = self._last_tick, now
         if last is None:
-            self._since = now
+            self._syncing_since = now
             return False
         if now - last <= self._settings.pause_seconds:
             return False
-        self._since = now
-        self._revision = 0
+        self._syncing_since = now
+        self._required_revision = 0
         self._is_synced = False
-        self.is_learning = True
+        self.is_syncing = True
         return True
 
-    def note_met(self, fact: _messages.MemberUpdate) -> bool:
-        """Note the introduction of a member.
+    def record_hello(self, update: _messages.MemberUpdate) -> bool:
+        """Record the Hello message of a member.
 
-        :param fact: its own fact.
-        :returns: whether to ask it for its roster.
+        :param update: the member's own update.
+        :returns: whether to request its roster.
         """
-        if not self.is_learning:
+        if not self.is_syncing:
             return False
-        if fact.state is member.MemberState.ALIVE:
-            self._revision = max(self._revision, fact.revision)
+        if update.state is member.MemberState.ALIVE:
+            self._required_revision = max(
+                self._required_revision, update.revision
+            )
         return not self._is_synced
 
-    def note_synced(self) -> None:
-        """Note that a peer's whole roster was taken."""
+    def record_roster(self) -> None:
+        """Record that a peer's complete roster was received."""
         self._is_synced = True
 
-    def settle(self, now: float, revision: int, is_alone: bool) -> bool:
-        """Be ready if enough is known.
+    def try_finish_sync(
+        self, now: float, revision: int, is_isolated: bool
+    ) -> bool:
+        """End the sync if its conditions are met.
 
         :param now: the time in seconds.
         :param revision: the revision in force here.
-        :param is_alone: whether nobody was heard of late.
-        :returns: whether it has become ready just now.
+        :param is_isolated: whether no instance was heard from recently.
+        :returns: whether this call ended the sync.
         """
-        if not self.is_learning:
+        if not self.is_syncing:
             return False
-        if is_alone:
-            is_over = now - self._since >= self._settings.alone_seconds
+        if is_isolated:
+            is_finished = (
+                now - self._syncing_since >= self._settings.alone_seconds
+            )
         else:
-            is_over = self._is_synced and revision >= self._revision
-        self.is_learning = not is_over
-        return is_over
+            is_finished = (
+                self._is_synced and revision >= self._required_revision
+            )
+        self.is_syncing = not is_finished
+        return is_finished
