--- a/skylarkfold/_commands.py
+++ b/skylarkfold/_commands.py
@@ -1,4 +1,4 @@
-"""The commands of the command line; each imports what it needs."""
+"""The commands of the command line; modules are imported on demand."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     return importlib.import_module(f'skylarkfold.{name}')
 
 
-def _name_team(file: str, identity: str, team: str) -> str:
+def _choose_team(file: str, identity: str, team: str) -> str:
     if team or identity:
         return str(team)
     return pathlib.Path(str(file)).stem
 
 
-def _read_logs(paths: tuple[str, ...]) -> list[object]:
+def _read_log_lines(paths: tuple[str, ...]) -> list[object]:
     if not paths:
-        raise errors.UsageError('no log file is named')
+        raise errors.UsageError('no log file was given')
     lines: list[object] = []
     for path in paths:
         text = files.read_bytes(str(path))
@@ -33,7 +33,7 @@
     return lines
 
 
-def _identify(
+def _resolve_identity(
     identity: str, platform: str, team: str, operator: str
 ) -> object:
     return _load('_operators').read_identity(
@@ -51,9 +51,9 @@
                               platform-standin, upstream-standin
 
     Exit status: 0 done; 1 failed or a promise was not kept; 2 wrong
-    usage; 3 settings invalid; 4 another operator was first; 5 the
-    platform did not answer; 6 an address is in use; 7 a name or address
-    is another team's; 8 no right to it.
+    usage; 3 invalid settings; 4 conflict with another operator's change;
+    5 the platform did not answer; 6 address in use; 7 a name or address
+    belongs to another team; 8 no permission.
     """
 
     def entry(self, settings: str) -> None:
@@ -66,14 +66,14 @@
         uvloop.run(_load('daemon').serve(read))
 
     def check(self, file: str, team: str = '', kind: str = '') -> None:
-        """Check a settings file without using it.
-
-        :param file: the file.
-        :param team: the team whose subtree the file is; without it, the
-            file is an instance's.
-        :param kind: what else it is: own, the settings that instances on
-            the users' platform take from us; platform, those that the
-            platform gives them; deploy, the deploy file.
+        """Check a settings file without applying it.
+
+        :param file: the settings file.
+        :param team: the team whose settings the file contains; without it,
+            the file is an instance's settings file.
+        :param kind: another kind of file: own, the settings that we ship
+            to instances on the users' platform; platform, the settings
+            that the platform gives them; deploy, the deploy file.
         """
         settings = _load('settings')
         path = str(file)
@@ -96,7 +96,7 @@
         team: str = '',
         operator: str = '',
     ) -> None:
-        """Tell what a settings file would change.
+        """Show what a settings file would change.
 
         :param file: the team's settings file.
         :param identity: the operator's identity file, instead of the rest.
@@ -104,9 +104,11 @@
         :param team: the operator's team; the file's name if not given.
         :param operator: who asks; the login's name if not given.
         """
-        team = _name_team(file, identity, team)
-        who = _identify(identity, platform, team, operator)
-        _load('_operators').preview(who, str(file))
+        team = _choose_team(file, identity, team)
+        operator_identity = _resolve_identity(
+            identity, platform, team, operator
+        )
+        _load('_operators').preview(operator_identity, str(file))
 
     def apply(
         self,
@@ -117,28 +119,30 @@
         version: int | None = None,
         operator: str = '',
     ) -> None:
-        """Put a team's settings file in force.
+        """Apply a team's settings file.
 
         :param file: the team's settings file.
         :param identity: the operator's identity file, instead of platform,
             team and operator.
         :param platform: the URL of the platform's object API.
         :param team: the operator's team; the file's name if not given.
-        :param version: the version that must be in force, as `preview`
-            shows it; whichever is, if not given.
+        :param version: the version that is expected to be in force, as
+            `preview` shows it; any version if not given.
         :param operator: who asks; the login's name if not given.
         """
-        team = _name_team(file, identity, team)
-        who = _identify(identity, platform, team, operator)
-        _load('_operators').apply(who, str(file), version)
+        team = _choose_team(file, identity, team)
+        operator_identity = _resolve_identity(
+            identity, platform, team, operator
+        )
+        _load('_operators').apply(operator_identity, str(file), version)
 
     def show(self, team: str, platform: str) -> None:
-        """Show a team's settings as the store has them.
+        """Show a team's settings as they are stored.
 
         :param team: the team.
         :param platform: the URL of the platform's object API.
         """
-        _load('_operators').show(_identify('', platform, team, ''))
+        _load('_operators').show(_resolve_identity('', platform, team, ''))
 
     def status(self, platform: str, instance: str) -> None:
         """Show which version is in force where, and which instances lag.
@@ -146,8 +150,8 @@
         :param platform: the URL of the platform's object API.
         :param instance: the admin address of any instance, `host:port`.
         """
-        who = _identify('', platform, '', '')
-        _load('_operators').show_status(who, str(instance))
+        operator_identity = _resolve_identity('', platform, '', '')
+        _load('_operators').show_status(operator_identity, str(instance))
 
     def drain(
         self,
@@ -158,7 +162,7 @@
         platform: str = '',
         operator: str = '',
     ) -> None:
-        """Give an upstream no new work; it finishes what it has.
+        """Stop giving new work to an upstream; it finishes what it has.
 
         :param service: the service.
         :param upstream: the upstream.
@@ -167,8 +171,12 @@
         :param platform: the URL of the platform's object API.
         :param operator: who asks; the login's name if not given.
         """
-        who = _identify(identity, platform, team, operator)
-        _load('_operators').drain(who, str(service), str(upstream))
+        operator_identity = _resolve_identity(
+            identity, platform, team, operator
+        )
+        _load('_operators').drain(
+            operator_identity, str(service), str(upstream)
+        )
 
     def undrain(
         self,
@@ -179,7 +187,7 @@
         platform: str = '',
         operator: str = '',
     ) -> None:
-        """Give a drained upstream new work again.
+        """Give new work to a drained upstream again.
 
         :param service: the service.
         :param upstream: the upstream.
@@ -188,11 +196,15 @@
         :param platform: the URL of the platform's object API.
         :param operator: who asks; the login's name if not given.
         """
-        who = _identify(identity, platform, team, operator)
-        _load('_operators').undrain(who, str(service), str(upstream))
+        operator_identity = _resolve_identity(
+            identity, platform, team, operator
+        )
+        _load('_operators').undrain(
+            operator_identity, str(service), str(upstream)
+        )
 
     def demo(self, json: bool = False) -> None:
-        """Show the whole system at work on this machine within 45 s.
+        """Run a demonstration of the whole system on this machine in 45 s.
 
         :param json: print one JSON object as the last line.
         """
@@ -209,12 +221,17 @@
         """Run real processes under load and faults on this machine.
 
         :param file: the scenario, in JSON with comments.
-        :param faults: names of the file's faults, with commas between.
-        :param combine: run without faults, with each and with all pairs.
+        :param faults: names of faults in the file, separated by commas.
+        :param combine: run without faults, with each fault and with each
+            pair of faults.
         :param json: print one JSON object for each run.
         """
-        named = ','.join(faults) if isinstance(faults, tuple) else str(faults)
-        if _load('load').run(str(file), named, bool(combine), bool(json)):
+        fault_names = (
+            ','.join(faults) if isinstance(faults, tuple) else str(faults)
+        )
+        if _load('load').run(
+            str(file), fault_names, bool(combine), bool(json)
+        ):
             raise errors.PromiseError('a promise was not kept')
 
     def report(self, before: str, after: str, sizes: bool = False) -> None:
@@ -222,9 +239,9 @@
 
         :param before: the earlier results, of `make measure` or of the
             users' bench.
-        :param after: the later ones, of the same sort.
-        :param sizes: tell how each figure grows from a run of a site with
-            few instances to one with many.
+        :param after: the later results, of the same kind.
+        :param sizes: show how each figure grows from a site with few
+            instances to a site with many.
         """
         report = _load('report')
         if sizes:
@@ -247,15 +264,15 @@
     ) -> None:
         """Run a measure and print its results.
 
-        :param name: which; without it, the names are listed.
-        :param json: print one JSON object a line instead of a table.
-        :param seed: the seed of all that is drawn at random.
+        :param name: the measure; without it, all names are listed.
+        :param json: print one JSON object per line instead of a table.
+        :param seed: the seed of the random numbers.
         :param options: the measure's own options, by name.
         """
         measure = _load('measure')
         if not name:
-            listed = pkgutil.iter_modules(measure.__path__)
-            for each in listed:
+            modules = pkgutil.iter_modules(measure.__path__)
+            for each in modules:
                 if not each.name.startswith('_'):
                     print(each.name.replace('_', '-'))
             return
@@ -263,7 +280,7 @@
         try:
             chosen = _load(f'measure.{module}')
         except ModuleNotFoundError as error:
-            raise errors.UsageError(f'no measure {name!r}') from error
+            raise errors.UsageError(f'no measure is named {name!r}') from error
         known = inspect.signature(chosen.measure).parameters
         unknown = sorted(set(options) - set(known))
         if unknown:
@@ -272,38 +289,38 @@
         _load('table').print_results(results, bool(json))
 
     def explain(self, flow: str, *logs: str) -> int:
-        """Tell the story of one flow from the logs of several instances.
+        """Show the history of one flow from the logs of several instances.
 
         :param flow: CALLER:PORT>ADDRESS:PORT, or its part before the >.
-        :param logs: the log files; the lines of several instances may be
-            in one.
+        :param logs: the log files; one file may contain lines of several
+            instances.
         :returns: 1 if no line names the flow.
         """
         explain = _load('explain')
-        history = explain.build_history(str(flow), _read_logs(logs))
+        history = explain.build_history(str(flow), _read_log_lines(logs))
         print(explain.format_history(history), end='')
         return 0 if history.events else 1
 
     def timeline(self, *logs: str) -> int:
-        """Tell what happened to a fleet from the logs of its instances.
+        """Show the events of a fleet from the logs of its instances.
 
-        What many instances found out at the same time is one line. Times
-        count from the first one.
+        An event that several instances logged at the same time is shown
+        once. Times are relative to the first event.
 
-        :param logs: the log files; the lines of several instances may be
-            in one.
-        :returns: 1 if nothing but ordinary work was logged.
+        :param logs: the log files; one file may contain lines of several
+            instances.
+        :returns: 1 if the logs contain no such event.
         """
         explain = _load('explain')
-        entries = explain.list_entries(_read_logs(logs))
+        entries = explain.list_entries(_read_log_lines(logs))
         print(explain.format_entries(entries), end='')
         return 0 if entries else 1
 
     def platform_standin(self, host: str = '127.0.0.1', port: int = 0) -> None:
-        """Stand in for the platform's object API, for tests and benches.
+        """Serve a stand-in for the platform's API, for tests and benches.
 
-        :param host: where to listen.
-        :param port: the port; 0 for any free one.
+        :param host: the address to listen on.
+        :param port: the port to listen on; 0 for any free one.
         """
         _load('standin').run_platform_standin(host, port)
 
@@ -316,15 +333,16 @@
         host: str = '127.0.0.1',
         port: int = 0,
     ) -> None:
-        """Stand in for upstreams, for tests and benches.
+        """Run stand-ins for upstreams, for tests and benches.
 
-        :param settings: a file in the form of a team's settings; without
-            it, the next three say what to run on free ports.
+        :param settings: a team's settings file that lists the upstreams;
+            without it, service, count and slots describe upstreams to run
+            on free ports.
         :param service: the service's name.
-        :param count: how many upstreams.
-        :param slots: the slots of each.
-        :param host: where to listen for steering.
-        :param port: the port for steering; 0 for any free one.
+        :param count: the number of upstreams.
+        :param slots: the slots of each upstream.
+        :param host: the address of the control API.
+        :param port: the port of the control API; 0 for any free one.
         """
         _load('standin').run_upstream_standin(
             settings, service, count, slots, host, port
--- a/skylarkfold/_cores.py
+++ b/skylarkfold/_cores.py
@@ -45,7 +45,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the instance may be given traffic."""
+        """Whether the instance is ready to receive traffic."""
         return all(
             getattr(getattr(self, field.name), 'is_ready', True)
             for field in dataclasses.fields(self)
@@ -55,11 +55,11 @@
 def build_cores(
     settings: settings_module.EntrySettings, incarnation: int
 ) -> Cores:
-    """Make all cores of an instance.
+    """Build all cores of an instance.
 
     :param settings: the instance's settings.
-    :param incarnation: higher than that of any earlier process under the
-        same name; also the seed of jitter.
+    :param incarnation: a number that is higher than that of any earlier
+        process of the same name; also the seed for jitter.
     :returns: the cores.
     """
     instance = settings.instance
@@ -85,27 +85,27 @@
     :param cores: the cores.
     :returns: the node.
     """
-    listed = node_module.list_message_types
+    list_types = node_module.list_message_types
     return node_module.Node(
         [
             node_module.CoreBinding(
                 cores.membership,
-                listed(membership.MESSAGES),
+                list_types(membership.MESSAGES),
                 membership.FIRST_CALL_NUMBER,
             ),
             node_module.CoreBinding(
                 cores.distribution,
-                listed(distribution.MESSAGES),
+                list_types(distribution.MESSAGES),
                 distribution.FIRST_CALL_NUMBER,
             ),
             node_module.CoreBinding(cores.store, first_call_number=0),
             node_module.CoreBinding(cores.assembly),
             node_module.CoreBinding(
-                cores.flows, listed(flows.MESSAGES), events=_FLOW_EVENTS
+                cores.flows, list_types(flows.MESSAGES), events=_FLOW_EVENTS
             ),
             node_module.CoreBinding(
                 cores.requests,
-                listed(requests.MESSAGES),
+                list_types(requests.MESSAGES),
                 events=_REQUEST_EVENTS,
             ),
         ]
--- a/skylarkfold/_effect_executor.py
+++ b/skylarkfold/_effect_executor.py
@@ -1,4 +1,4 @@
-"""Executes the effects of a node with its sockets."""
+"""Performs the effects of a node on its sockets."""
 
 from __future__ import annotations
 
@@ -17,33 +17,32 @@
 
 
 class EffectExecutor:
-    """Executes effects by their type.
+    """Dispatches effects to handlers by type.
 
-    Effects that concern the life of the process are registered by the
-    daemon.
+    The daemon registers the handlers of effects on the process itself.
 
-    :param sockets: the sockets.
+    :param sockets: the I/O components that perform the effects.
     """
 
     def __init__(self, sockets: _sockets.Sockets) -> None:
         self._sockets = sockets
         self._counters = sockets.runtime.counters
         self._decisions = sockets.runtime.decisions
-        # One dispatcher for each instance: a singledispatchmethod makes a
-        # new closure at each call, which costs more than most effects.
-        self.execute = functools.singledispatch(self._report_unknown)
-        for kind, execute in self._list_performers():
-            self.register(kind, execute)
+        # One dispatcher per object: singledispatchmethod creates a closure
+        # at each call, which costs more than performing most effects.
+        self.execute = functools.singledispatch(self._log_unknown)
+        for kind, handler in self._list_handlers():
+            self.register(kind, handler)
 
-    def register(self, kind: type, execute: Callable[..., None]) -> None:
-        """Name what performs a type of effect.
+    def register(self, kind: type, handler: Callable[..., None]) -> None:
+        """Register the handler for a type of effect.
 
-        :param kind: the type.
-        :param perform: takes an effect of that type.
+        :param kind: the type of effect.
+        :param handler: a function that performs an effect of that type.
         """
-        self.execute.register(kind, execute)
+        self.execute.register(kind, handler)
 
-    def _list_performers(
+    def _list_handlers(
         self,
     ) -> tuple[tuple[type, Callable[..., None]], ...]:
         sockets = self._sockets
@@ -61,43 +60,43 @@
             (effect.RecordDecision, self._decisions.record),
         )
 
-    def _report_unknown(self, wanted: object) -> None:
-        _logger.error('no way to perform %s', type(wanted).__name__)
+    def _log_unknown(self, produced: object) -> None:
+        _logger.error('no handler for effect %s', type(produced).__name__)
 
-    def _forward(self, wanted: effect.ForwardDatagram) -> None:
-        service = wanted.service
+    def _forward(self, produced: effect.ForwardDatagram) -> None:
+        service = produced.service
         self._counters.add(metric.DATAGRAMS_FORWARDED)
         self._sockets.upstream_socket.send(
-            wanted.payload,
-            wanted.caller,
+            produced.payload,
+            produced.caller,
             service.address,
-            wanted.upstream.address,
+            produced.upstream.address,
         )
         if self._sockets.runtime.log_packets:
             self._decisions.append(
                 _DATAGRAM,
                 service.name,
-                wanted.caller,
-                wanted.upstream.name,
-                wanted.reason,
+                produced.caller,
+                produced.upstream.name,
+                produced.reason,
             )
 
-    def _drop(self, wanted: effect.DropDatagram) -> None:
-        self._counters.add(f'{metric.DATAGRAMS_DROPPED}.{wanted.reason}')
+    def _drop(self, produced: effect.DropDatagram) -> None:
+        self._counters.add(f'{metric.DATAGRAMS_DROPPED}.{produced.reason}')
         if self._sockets.runtime.log_packets:
             self._decisions.append(
                 _DATAGRAM,
-                str(wanted.address),
-                wanted.caller,
+                str(produced.address),
+                produced.caller,
                 '',
-                wanted.reason,
+                produced.reason,
             )
 
-    def _cancel(self, wanted: effect.CancelAttempt) -> None:
-        self._sockets.attempts.cancel(wanted.attempt)
+    def _cancel(self, produced: effect.CancelAttempt) -> None:
+        self._sockets.attempts.cancel(produced.attempt)
 
-    def _answer(self, wanted: effect.SendAnswer) -> None:
-        self._sockets.requests.send(wanted.request, wanted.answer)
+    def _answer(self, produced: effect.SendAnswer) -> None:
+        self._sockets.requests.send(produced.request, produced.answer)
 
-    def _count(self, wanted: effect.CountMetric) -> None:
-        self._counters.add(wanted.name, wanted.amount)
+    def _count(self, produced: effect.CountMetric) -> None:
+        self._counters.add(produced.name, produced.amount)
--- a/skylarkfold/_operators.py
+++ b/skylarkfold/_operators.py
@@ -1,4 +1,4 @@
-"""The operators' commands, performed against a real platform."""
+"""The implementation of the operators' commands."""
 
 from __future__ import annotations
 
@@ -30,12 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Who an operator is, as its identity file says.
+    """The identity of an operator, as read from an identity file.
 
     :param name: the operator's name.
-    :param team: the team that it belongs to.
+    :param team: the operator's team.
     :param platform: the URL of the platform's object API.
-    :param token: what the platform knows the operator by; empty for none.
+    :param token: the operator's access token for the platform; empty for
+        none.
     """
 
     name: str
@@ -45,24 +46,24 @@
 
     @property
     def operator(self) -> teams.Operator:
-        """The operator as its changes name it."""
+        """The operator's name and team, which are stored with changes."""
         return teams.Operator(self.name, self.team)
 
 
 def read_identity(
     path: str, platform: str = '', team: str = '', name: str = ''
 ) -> Identity:
-    """Tell who gives a command.
+    """Return the identity of the operator who runs a command.
 
     :param path: the identity file, in JSON with comments; empty for none.
-    :param platform: the platform's URL, where there is no file.
-    :param team: the team; must be the file's where there is one.
-    :param name: the operator's name, where there is no file; empty for
-        the name of the login.
+    :param platform: the platform's URL, used if there is no file.
+    :param team: the team; must match the identity file if there is one.
+    :param name: the operator's name, used if there is no file; empty for
+        the login name.
     :returns: the identity.
-    :raises SettingsError: if the file can't be used.
-    :raises RightError: if the file is another team's.
-    :raises UsageError: if neither says where the platform is.
+    :raises SettingsError: if the file can't be read or is invalid.
+    :raises RightError: if the file belongs to another team.
+    :raises UsageError: if the platform's URL is missing.
     """
     if not path:
         identity = Identity(name or getpass.getuser(), team, platform)
@@ -82,10 +83,10 @@
     identity: Identity,
     work: Callable[[edge.PlatformClient], Awaitable[_Result]],
 ) -> _Result:
-    """Run work that needs the platform.
+    """Run a coroutine function with a client of the platform.
 
-    :param identity: who asks, and where the platform is.
-    :param work: what to run.
+    :param identity: the operator and the platform's URL.
+    :param work: the coroutine function, which takes the client.
     :returns: its result.
     """
 
@@ -103,58 +104,59 @@
 def preview(identity: Identity, path: str) -> None:
     """Print what a settings file would change.
 
-    :param identity: who asks.
-    :param path: the file.
+    :param identity: the operator.
+    :param path: the settings file.
     """
     text = files.read_bytes(path)
-    found = run_on_platform(
+    result = run_on_platform(
         identity,
         lambda client: teams.preview_change(
             client, identity.operator, text, path
         ),
     )
-    for change in found.changes:
+    for change in result.changes:
         print(change)
-    for warning in found.warnings:
+    for warning in result.warnings:
         print(f'warning: {warning}')
-    print(f'{len(found.changes)} changes to version {found.version}')
+    print(f'{len(result.changes)} changes to version {result.version}')
 
 
 def apply(identity: Identity, path: str, version: int | None) -> None:
-    """Put a settings file in force and print what it changed.
+    """Apply a settings file and print what it changed.
 
-    :param identity: who asks.
-    :param path: the file.
-    :param version: the version that must be in force; None for any.
+    :param identity: the operator.
+    :param path: the settings file.
+    :param version: the version that is expected to be in force; None for
+        any.
     """
     text = files.read_bytes(path)
-    write = uuid.uuid4().hex
+    write_id = uuid.uuid4().hex
     applied = run_on_platform(
         identity,
         lambda client: teams.apply_settings(
-            client, identity.operator, text, path, write, version
+            client, identity.operator, text, path, write_id, version
         ),
     )
     _print_applied(applied)
 
 
 def drain(identity: Identity, service_name: str, upstream_name: str) -> None:
-    """Give an upstream no new work.
+    """Stop giving new work to an upstream.
 
-    :param identity: who asks.
+    :param identity: the operator.
     :param service_name: the service.
-    :param upstream_name: its upstream.
+    :param upstream_name: the upstream of the service.
     """
     state = service.UpstreamState.DRAINING
     _set_state(identity, service_name, upstream_name, state)
 
 
 def undrain(identity: Identity, service_name: str, upstream_name: str) -> None:
-    """Give a drained upstream new work again.
+    """Give new work to a drained upstream again.
 
-    :param identity: who asks.
+    :param identity: the operator.
     :param service_name: the service.
-    :param upstream_name: its upstream.
+    :param upstream_name: the upstream of the service.
     """
     state = service.UpstreamState.ACTIVE
     _set_state(identity, service_name, upstream_name, state)
@@ -166,7 +168,7 @@
     upstream_name: str,
     state: service.UpstreamState,
 ) -> None:
-    write = uuid.uuid4().hex
+    write_id = uuid.uuid4().hex
     applied = run_on_platform(
         identity,
         lambda client: teams.set_upstream_state(
@@ -175,7 +177,7 @@
             service_name,
             upstream_name,
             state,
-            write,
+            write_id,
         ),
     )
     _print_applied(applied)
@@ -190,24 +192,24 @@
 
 
 def show(identity: Identity) -> None:
-    """Print the settings of a team that are in the store.
+    """Print the settings of a team as they are stored.
 
-    :param identity: who asks.
+    :param identity: the operator.
     """
-    found = run_on_platform(
+    result = run_on_platform(
         identity, lambda client: teams.read_settings(client, identity.team)
     )
-    print(f'// version {found.version} by {found.operator or "nobody"}')
-    text = msgspec.json.encode({'services': found.services})
+    print(f'// version {result.version} by {result.operator or "nobody"}')
+    text = msgspec.json.encode({'services': result.services})
     print(msgspec.json.format(text, indent=2).decode())
 
 
 def show_status(identity: Identity, instance: str) -> None:
-    """Print which version of each subtree is in force where.
+    """Print the version of each subtree that is in force per instance.
 
-    :param identity: who asks.
+    :param identity: the operator.
     :param instance: the admin address of any instance.
-    :raises UsageError: if that is no address.
+    :raises UsageError: if the admin address is invalid.
     """
     try:
         address = endpoint.parse_endpoint(instance)
@@ -236,9 +238,9 @@
         async with aiohttp.ClientSession(timeout=timeout) as session:
             async with session.get(f'http://{address}/status') as response:
                 body = await response.read()
-        seen = msgspec.json.decode(body, type=edge.InstanceStatus)
+        status = msgspec.json.decode(body, type=edge.InstanceStatus)
     except (aiohttp.ClientError, OSError, msgspec.MsgspecError) as error:
-        reason = f'{address} gives no status: {error}'
+        reason = f'failed to read the status of {address}: {error}'
         raise errors.PlatformError(reason) from error
     return [
         member.Member(
@@ -249,5 +251,5 @@
             state=member.MemberState(each.state),
             revision=each.revision,
         )
-        for each in seen.members
+        for each in status.members
     ]
--- a/skylarkfold/_sockets.py
+++ b/skylarkfold/_sockets.py
@@ -1,4 +1,4 @@
-"""The sockets of one instance."""
+"""The I/O components of one instance."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 class Sockets:
     """All components that do I/O for one instance.
 
-    :param runtime: what the others share.
-    :param upstream_socket: datagrams to and from upstreams.
-    :param streams: relayed streams.
-    :param requests: callers' requests.
-    :param attempts: exchanges with upstreams.
-    :param prober: polls of upstreams.
-    :param platform: the platform's object API.
-    :param caller: calls of the node to the platform.
-    :param listeners: the sockets towards callers.
-    :param peers: streams from and to other instances.
+    :param runtime: the clock, counters and tasks that the others share.
+    :param upstream_socket: sends and receives upstreams' datagrams.
+    :param streams: relays callers' TCP streams.
+    :param requests: receives callers' requests and sends the answers.
+    :param attempts: sends requests to upstreams.
+    :param prober: polls the health and load of upstreams.
+    :param platform: the client of the platform's object API.
+    :param caller: performs the node's calls to the platform.
+    :param listeners: the sockets that accept callers' traffic.
+    :param peers: the streams to and from other instances.
     """
 
     runtime: edge.Runtime
@@ -42,13 +42,13 @@
     runtime: edge.Runtime,
     cores: _cores.Cores,
 ) -> Sockets:
-    """Make all sockets of an instance; none is open yet.
+    """Build all I/O components of an instance without opening them.
 
     :param settings: the instance's settings.
-    :param runtime: what they share.
+    :param runtime: the state that the components share.
     :param cores: the instance's cores.
-    :returns: the sockets.
-    :raises SettingsError: if its certificates can't be used.
+    :returns: the components.
+    :raises SettingsError: if its certificates are invalid.
     """
     upstream_socket = edge.UpstreamSocket(runtime)
     streams = edge.StreamRelay(runtime, settings.edge)
--- a/skylarkfold/assembly.py
+++ b/skylarkfold/assembly.py
@@ -1,4 +1,4 @@
-"""The configuration in force, put together from the teams' objects."""
+"""The active configuration, built from the teams' objects in the store."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ConfigurationCore:
-    """Builds a configuration at each revision that changes one.
+    """Builds the configuration at each revision that changes it.
 
-    A subtree that can't be used is passed over whole: the last good
-    version of it stays in force.
+    An invalid subtree is ignored as a whole: its last valid version stays in
+    force.
     """
 
     def __init__(self) -> None:
@@ -25,27 +25,29 @@
         self._changed = False
 
     def handle(self, now: float, received: object) -> list[object]:
-        """Take one event.
+        """Handle one event.
 
-        :param now: unused: nothing here depends on time.
-        :param received: an event.
-        :returns: effects.
+        :param now: unused.
+        :param received: an event of :mod:`skylarkfold.event`.
+        :returns: the effects to perform.
         """
         if isinstance(received, event.ObjectChanged):
-            return self._take(received.stored)
+            return self._apply_object(received.stored)
         if isinstance(received, event.RevisionReached) and self._changed:
             return self._publish(received.revision)
         return []
 
-    def _take(self, changed: platform_api.StoredObject) -> list[object]:
+    def _apply_object(
+        self, changed: platform_api.StoredObject
+    ) -> list[object]:
         team = teams.parse_team(changed.path)
         if team is not None:
-            return self._take_subtree(team, changed)
+            return self._apply_subtree(team, changed)
         if changed.path.startswith(CLAIMS_PREFIX):
-            self._take_claim(changed)
+            self._apply_claim(changed)
         return []
 
-    def _take_subtree(
+    def _apply_subtree(
         self, team: str, changed: platform_api.StoredObject
     ) -> list[object]:
         self._changed = True
@@ -65,20 +67,20 @@
             ]
         return []
 
-    def _take_claim(self, changed: platform_api.StoredObject) -> None:
+    def _apply_claim(self, changed: platform_api.StoredObject) -> None:
         self._changed = True
         if changed.value is None:
             self._claims.pop(changed.path, None)
             return
-        # One that can't be read changes nothing: without it, what it
-        # holds would fall to another team.
+        # Ignore an unreadable claim: dropping the previous one would give
+        # the claimed name or address to another team.
         claim = teams.read_claim(changed.path, changed.value)
         if claim is not None:
             self._claims[changed.path] = claim
 
     def _publish(self, revision: int) -> list[object]:
         self._changed = False
-        built = teams.build_configuration(
+        configuration = teams.build_configuration(
             revision, self._subtrees, self._claims
         )
-        return [effect.PublishConfiguration(built)]
+        return [effect.PublishConfiguration(configuration)]
--- a/skylarkfold/backoff.py
+++ b/skylarkfold/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses that grow with each failure, with jitter."""
+"""Exponential backoff with jitter."""
 
 from __future__ import annotations
 
@@ -9,44 +9,47 @@
 
 
 class Jitter(light_imports.Protocol):
-    """A source of pauses that differ, for example ``random.Random``."""
+    """A source of random numbers, for example ``random.Random``."""
 
-    def uniform(self, least: float, most: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         """Draw a number from a range."""
 
 
 class HashJitter:
-    """Jitter from a hash; importing ``random`` takes 10 ms of start.
+    """Jitter from a hash, since importing ``random`` takes 10 ms.
 
-    :param seed: differs between instances.
+    :param seed: the seed; must differ between instances.
     """
 
-    __slots__ = ('_count', '_seed')
+    __slots__ = ('_draws', '_seed')
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
-        self._count = 0
+        self._draws = 0
 
-    def uniform(self, least: float, most: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         """Draw a number from a range.
 
-        :param least: the lowest one.
-        :param most: the highest one.
+        :param low: the lower bound.
+        :param high: the upper bound.
         :returns: the number.
         """
-        self._count += 1
+        self._draws += 1
         drawn = xxhash.xxh32_intdigest(
-            self._count.to_bytes(8, 'big'), seed=self._seed & 0xFFFFFFFF
+            self._draws.to_bytes(8, 'big'), seed=self._seed & 0xFFFFFFFF
         )
-        return least + (most - least) * drawn / 0xFFFFFFFF
+        return low + (high - low) * drawn / 0xFFFFFFFF
 
 
 class Backoff:
-    """Tells when to try again after failures.
-
-    :param first_seconds: the pause after the first failure.
-    :param maximum_seconds: the longest pause.
-    :param generator: the source of the jitter, seeded by the caller.
+    """Computes when to retry after failures.
+
+    :param first_seconds: the delay after the first failure, before jitter.
+    :param maximum_seconds: the upper bound of the delay.
+    :param generator: the source of the jitter.
+    :ivar failures: the number of failures since the last success.
+    :ivar retry_at: the time at which to retry; negative infinity if no
+        failure was recorded since the last success.
     """
 
     __slots__ = (
@@ -70,7 +73,7 @@
         self.retry_at = float('-inf')
 
     def record_failure(self, now: float) -> None:
-        """Lengthen the pause.
+        """Record a failure and schedule the next retry.
 
         :param now: the time in seconds of a monotonic clock.
         """
@@ -80,6 +83,6 @@
         self.retry_at = now + pause * self._generator.uniform(0.5, 1.0)
 
     def record_success(self) -> None:
-        """End the pause."""
+        """Record a success and reset the delay."""
         self.failures = 0
         self.retry_at = float('-inf')
--- a/skylarkfold/bundle.py
+++ b/skylarkfold/bundle.py
@@ -1,12 +1,14 @@
-"""The byte code of a start in one file.
+"""A single file with the byte code of all modules loaded at startup.
 
-Looking up and reading a hundred modules one by one takes a quarter of the
-processor time until an instance is ready. A build writes the code of all
-that a start loads into one file beside this module (``deploy/bundle.py``);
-``deploy/start.py`` puts it in front of the usual import. What the file lacks
-is imported as ever, and so is everything where there is no file.
+Finding and reading a hundred module files takes a quarter of the processor
+time until an instance is ready. ``deploy/bundle.py`` writes the byte code of
+these modules into one file beside this module at build time;
+``deploy/start.py`` installs a finder that searches it first. Modules that
+are not in the file are imported in the usual way, as are all modules if the
+file is missing or unusable.
 
-Imports nothing: it is read before the file is.
+This module imports no other module of the package, since it is loaded before
+the bundle.
 """
 
 from __future__ import annotations
@@ -16,10 +18,10 @@
 
 _FOLDER = __file__.rpartition('/')[0]
 _PATH = f'{_FOLDER}/start.bundle'
-# Where this package and its dependencies are. A build may be moved: what is
-# there is named from here on.
+# The folder that contains this package and its dependencies. Paths below it
+# are stored relative to it, so that a build can be moved.
 _ROOT = _FOLDER.rpartition('/')[0] + '/'
-# Code without docstrings: a sixth less to read. Nothing here asks for them.
+# Omits docstrings and assertions, which makes the file a sixth smaller.
 _OPTIMIZE = 2
 _SOURCE = '.py'
 
@@ -27,25 +29,25 @@
 class Finder:
     """Finds modules in a bundle, for :data:`sys.meta_path`.
 
-    :param codes: origin and byte code by module; what is loaded is taken
-        out, since it isn't needed twice.
+    :param codes: origin and byte code by module name; entries are removed
+        when the module is loaded.
     """
 
     __slots__ = ('_codes', '_make_spec')
 
     def __init__(self, codes: dict[str, tuple[str, bytes]]) -> None:
         self._codes = codes
-        # As importlib.machinery names it, without loading that.
+        # importlib.machinery.ModuleSpec, without importing that module.
         self._make_spec = type(sys.__spec__)
 
     def find_spec(
         self, name: str, _path: object = None, _target: object = None
     ) -> object | None:
         """Find a module; called by the import system."""
-        found = self._codes.get(name)
-        if found is None:
+        entry = self._codes.get(name)
+        if entry is None:
             return None
-        origin = _locate(found[0])
+        origin = _resolve_origin(entry[0])
         spec = self._make_spec(name, self, origin=origin)
         folder, _, file = origin.rpartition('/')
         if file == '__init__.py':
@@ -53,24 +55,24 @@
         return spec
 
     def create_module(self, _spec: object) -> None:
-        """Leave the making to the import system, which calls this."""
+        """Return None, so that the import system creates the module."""
 
     def exec_module(self, module: object) -> None:
-        """Run a module's code; called by the import system."""
+        """Execute a module's code; called by the import system."""
         origin, code = self._codes.pop(module.__name__)
-        module.__file__ = _locate(origin)
+        module.__file__ = _resolve_origin(origin)
         exec(marshal.loads(code), module.__dict__)
 
 
-def _locate(origin: str) -> str:
+def _resolve_origin(origin: str) -> str:
     return origin if origin.startswith('/') else _ROOT + origin
 
 
 def write(path: str = _PATH) -> int:
-    """Write the code of all modules that are loaded now.
+    """Write the byte code of all currently loaded modules.
 
-    :param path: the file.
-    :returns: how many modules it holds.
+    :param path: the path of the file.
+    :returns: the number of modules written.
     """
     codes = {}
     for name, module in list(sys.modules.items()):
@@ -90,16 +92,16 @@
 
 
 def install(path: str = _PATH) -> bool:
-    """Have modules found in a bundle first.
+    """Search a bundle first when modules are imported.
 
-    :param path: the file.
-    :returns: whether there is one that this interpreter wrote.
+    :param path: the path of the file.
+    :returns: whether the file exists and this Python version wrote it.
     """
     try:
         with open(path, 'rb', 0) as file:
             version, codes = marshal.loads(file.read())
     except (OSError, EOFError, TypeError, ValueError):
-        # None was written, or not all of it.
+        # The file is missing or truncated.
         return False
     if version != sys.version:
         return False
--- a/skylarkfold/cli.py
+++ b/skylarkfold/cli.py
@@ -1,9 +1,9 @@
 """The command line: ``skylarkfold COMMAND``.
 
 Exit status: 0 done; 1 failed or a promise was not kept; 2 wrong usage;
-3 settings invalid; 4 another operator was first; 5 the platform did not
-answer; 6 an address is in use; 7 a name or address is another team's;
-8 the operator has no right to it.
+3 invalid settings; 4 conflict with another operator's change; 5 the platform
+did not answer; 6 address in use; 7 a name or address belongs to another
+team; 8 the operator has no permission.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from skylarkfold import errors
 
 EXIT_FAILED = 1
-_EXITS: tuple[tuple[type[errors.SkylarkfoldError], int], ...] = (
+_EXIT_STATUSES: tuple[tuple[type[errors.SkylarkfoldError], int], ...] = (
     (errors.SettingsError, 3),
     (errors.ConflictError, 4),
     (errors.PlatformError, 5),
@@ -29,19 +29,19 @@
 
 
 def find_exit_status(error: errors.SkylarkfoldError) -> int:
-    """Find the exit status of an error.
+    """Return the exit status for an error.
 
     :param error: the error.
-    :returns: the status as the module's documentation lists it.
+    :returns: the exit status, as listed in the module's docstring.
     """
-    for kind, status in _EXITS:
+    for kind, status in _EXIT_STATUSES:
         if isinstance(error, kind):
             return status
     return EXIT_FAILED
 
 
 def _hide_status(result: object) -> object:
-    """Keep a command's exit status from being printed."""
+    """Return None for an exit status, so that Fire does not print it."""
     return None if isinstance(result, int) else result
 
 
@@ -57,8 +57,8 @@
     except KeyboardInterrupt:
         sys.exit(EXIT_FAILED)
     except BrokenPipeError:
-        # Who reads, ``head`` say, has enough; nothing is left to be flushed
-        # at the end.
+        # The reader, for example ``head``, closed the pipe. Redirect the
+        # output, so that the flush at exit does not fail as well.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         sys.exit(0)
     sys.exit(status if isinstance(status, int) else 0)
--- a/skylarkfold/codec.py
+++ b/skylarkfold/codec.py
@@ -1,7 +1,7 @@
-"""Messages between instances as MessagePack.
+"""MessagePack encoding of the messages between instances.
 
-The stream is a sequence of MessagePack objects, each an array that
-begins with the message's tag.
+A stream is a sequence of MessagePack arrays, each of which begins with the
+message's tag.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
     """Encode one message.
 
     :param peer_message: the message.
-    :returns: its bytes, ready for the stream.
+    :returns: the encoded message.
     """
     return _encoder.encode(peer_message)
 
 
 class StreamDecoder:
-    """Takes a peer's bytes in any portions and yields whole messages.
+    """Decodes messages from a stream that arrives in arbitrary chunks.
 
-    :param messages: the union of message types that are expected.
+    :param messages: the union of the expected message types.
     """
 
     __slots__ = ('_messages', '_unpacker')
@@ -43,12 +43,12 @@
         )
 
     def feed(self, data: bytes) -> Iterator[message.PeerMessage]:
-        """Take bytes and yield the messages that they complete.
+        """Add bytes and yield the messages that are now complete.
 
         :param data: the next bytes of the stream.
-        :returns: decoded messages in order.
-        :raises DecodeError: if the bytes are malformed, too large or no
-            known message. The stream can't be used after that.
+        :returns: the decoded messages in order.
+        :raises DecodeError: if a message is malformed, too large or of an
+            unknown type. The decoder can't be used after that.
         """
         try:
             self._unpacker.feed(data)
--- a/skylarkfold/configuration.py
+++ b/skylarkfold/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force on an instance."""
+"""The active configuration of an instance."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """All services, built from every team's last good subtree.
+    """All services, built from the last valid subtree of each team.
 
-    :param revision: the platform's revision up to which all objects are
-        applied; it only rises.
-    :param services: by name.
+    :param revision: the store's revision up to which all objects are
+        applied; it never decreases.
+    :param services: the services by name.
     """
 
     revision: int
--- a/skylarkfold/core.py
+++ b/skylarkfold/core.py
@@ -1,4 +1,4 @@
-"""The interface of every subsystem's decision core."""
+"""The interface of decision cores."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 class Core(Protocol):
     """A state machine whose only inputs are events and the time.
 
-    A core does no I/O, reads no clock and draws no random number: what
-    varies between instances comes from its settings.
+    A core does no I/O, reads no clock and uses no global source of
+    randomness; differences between instances come from its settings.
     """
 
     def handle(self, now: float, event: object) -> list[object]:
-        """Take one event.
+        """Handle one event.
 
         :param now: the time in seconds of a monotonic clock.
-        :param event: one of :mod:`skylarkfold.event`; events that the core
-            does not know are ignored.
+        :param event: an event of :mod:`skylarkfold.event`; types that the
+            core does not handle are ignored.
         :returns: effects of :mod:`skylarkfold.effect`, in order.
         """
--- a/skylarkfold/daemon.py
+++ b/skylarkfold/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon: one node with its sockets."""
+"""The entry daemon: runs one node and its sockets."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 _FLUSH_SECONDS = 0.05
 _METRICS_SECONDS = 1.0
-_LISTEN_AGAIN_SECONDS = 1.0
-# How long the last messages may take to leave the process.
-_GOODBYE_SECONDS = 0.2
+_LISTEN_RETRY_SECONDS = 1.0
+# Time for the final messages to be sent before the process ends.
+_LEAVE_FLUSH_SECONDS = 0.2
 
 _logger = logging.getLogger(log.LOGGER_NAME)
 
 
 class Daemon:
-    """Feeds a node from its sockets and performs what it decides.
+    """Passes events from the sockets to a node and performs its effects.
 
     :param settings: the instance's settings.
     """
@@ -45,9 +45,9 @@
         self._node = _cores.build_node(self._cores)
         self._configuration = configuration_module.EMPTY
         self._stopped = asyncio.Event()
-        self._was_ready = False
+        self._has_been_ready = False
         self._is_listening = False
-        self._handed_on = False
+        self._has_handed_over = False
         self._has_left = False
         self._admin: web.AppRunner | None = None
         self._runtime = edge.Runtime(
@@ -61,14 +61,16 @@
             settings, self._runtime, self._cores
         )
         self._executor = _effect_executor.EffectExecutor(self._sockets)
-        self._executor.register(effect.StopFinished, self._end_hand_on)
+        self._executor.register(effect.StopFinished, self._finish_handover)
         self._executor.register(
-            effect.PublishMembership, self._note_membership
+            effect.PublishMembership, self._ignore_membership
+        )
+        self._executor.register(
+            effect.PublishConfiguration, self._apply_configuration
         )
-        self._executor.register(effect.PublishConfiguration, self._configure)
 
     async def run(self) -> None:
-        """Serve until a planned stop is finished.
+        """Serve until a planned stop has finished.
 
         :raises AddressInUseError: if the instance's own address can't be
             bound.
@@ -85,12 +87,12 @@
         await self._sockets.attempts.open()
         await self._sockets.platform.open()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
-        self._runtime.start(self._tick())
-        self._runtime.start(self._flush())
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
+        self._runtime.start(self._run_ticks())
+        self._runtime.start(self._run_flushes())
         self._runtime.start(self._sockets.prober.run())
-        self._runtime.start(self._listen_again())
+        self._runtime.start(self._retry_listeners())
 
     async def _listen(self) -> None:
         loop = asyncio.get_running_loop()
@@ -123,7 +125,7 @@
         _logger.info('stopped %s', self._settings.instance.name)
 
     def stop(self) -> None:
-        """Begin a planned stop; :meth:`run` returns once it is done."""
+        """Begin a planned stop; :meth:`run` returns when it has finished."""
         _logger.info('stopping %s', self._settings.instance.name)
         self._runtime.start(self._sockets.listeners.stop_accepting())
         loop = asyncio.get_running_loop()
@@ -131,32 +133,34 @@
         self.handle(event.StopRequested())
 
     def handle(self, received: object) -> None:
-        """Feed one event to the node and perform its effects.
+        """Pass one event to the node and perform its effects.
 
-        A failure is logged and counted: one event that can't be handled
-        must not end the daemon.
+        Exceptions are logged and counted, so that a single failing event
+        does not stop the daemon.
 
         :param received: the event.
         """
         try:
-            for wanted in self._node.handle(self._runtime.clock(), received):
-                self._executor.execute(wanted)
+            for produced in self._node.handle(self._runtime.clock(), received):
+                self._executor.execute(produced)
         except Exception:
             self._counters.add(metric.NODE_FAILURES)
-            _logger.exception('an event failed: %s', type(received).__name__)
+            _logger.exception('failed to handle %s', type(received).__name__)
 
-    def _end_hand_on(self, wanted: effect.StopFinished) -> None:
-        self._handed_on = True
+    def _finish_handover(self, produced: effect.StopFinished) -> None:
+        self._has_handed_over = True
         self._check_stopped()
 
-    def _note_membership(self, wanted: effect.PublishMembership) -> None:
-        """The peers' addresses are asked for when they are needed."""
+    def _ignore_membership(self, produced: effect.PublishMembership) -> None:
+        """Do nothing: peers' addresses are looked up when needed."""
 
-    def _configure(self, wanted: effect.PublishConfiguration) -> None:
-        self._configuration = wanted.configuration
-        self._sockets.prober.configure(wanted.configuration)
-        self._sockets.streams.configure(wanted.configuration)
-        if self._was_ready:
+    def _apply_configuration(
+        self, produced: effect.PublishConfiguration
+    ) -> None:
+        self._configuration = produced.configuration
+        self._sockets.prober.configure(produced.configuration)
+        self._sockets.streams.configure(produced.configuration)
+        if self._has_been_ready:
             self._start_listeners()
 
     def _start_listeners(self) -> None:
@@ -164,7 +168,7 @@
             self._sockets.listeners.configure(self._configuration)
         )
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self.handle(event.Tick())
             self._check_ready()
@@ -172,10 +176,10 @@
             await asyncio.sleep(self._settings.edge.tick_seconds)
 
     def _check_stopped(self) -> None:
-        # Streams can't be handed on: they may end by themselves until the
-        # stop's limit.
+        # Streams can't be handed over: wait until they end or the time limit
+        # of the stop expires.
         if (
-            not self._handed_on
+            not self._has_handed_over
             or self._sockets.streams
             or self._sockets.requests
         ):
@@ -183,42 +187,42 @@
         self._leave()
 
     def _leave(self) -> None:
-        """Say goodbye to the other instances, as the last thing."""
+        """Announce to the other instances that this one leaves, then end."""
         if self._has_left:
             return
         self._has_left = True
-        for wanted in self._cores.membership.leave(self._runtime.clock()):
-            self._executor.execute(wanted)
+        for produced in self._cores.membership.leave(self._runtime.clock()):
+            self._executor.execute(produced)
         loop = asyncio.get_running_loop()
-        loop.call_later(_GOODBYE_SECONDS, self._stopped.set)
+        loop.call_later(_LEAVE_FLUSH_SECONDS, self._stopped.set)
 
     def _check_ready(self) -> None:
-        if self._was_ready or not self._cores.is_ready:
+        if self._has_been_ready or not self._cores.is_ready:
             return
-        self._was_ready = True
-        self._runtime.start(self._begin_to_serve())
+        self._has_been_ready = True
+        self._runtime.start(self._start_serving())
 
-    async def _begin_to_serve(self) -> None:
+    async def _start_serving(self) -> None:
         await self._sockets.listeners.configure(self._configuration)
         self._is_listening = True
         _logger.info('ready %s', self._settings.instance.name)
         print(f'ready {self._settings.instance.name}', flush=True)
 
-    async def _listen_again(self) -> None:
+    async def _retry_listeners(self) -> None:
         while True:
-            await asyncio.sleep(_LISTEN_AGAIN_SECONDS)
-            if self._was_ready and self._sockets.listeners.has_failed:
+            await asyncio.sleep(_LISTEN_RETRY_SECONDS)
+            if self._has_been_ready and self._sockets.listeners.has_failed:
                 await self._sockets.listeners.configure(self._configuration)
 
-    async def _flush(self) -> None:
+    async def _run_flushes(self) -> None:
         last_metrics = 0.0
         dropped = 0
         while True:
             await asyncio.sleep(_FLUSH_SECONDS)
             self._decisions.flush()
             if self._decisions.dropped > dropped:
-                lost = self._decisions.dropped - dropped
-                self._counters.add(metric.LOG_LINES_DROPPED, lost)
+                newly_dropped = self._decisions.dropped - dropped
+                self._counters.add(metric.LOG_LINES_DROPPED, newly_dropped)
                 dropped = self._decisions.dropped
             if self._runtime.clock() - last_metrics >= _METRICS_SECONDS:
                 last_metrics = self._runtime.clock()
@@ -231,7 +235,7 @@
         return self._cores.is_ready
 
     def describe(self) -> edge.InstanceStatus:
-        """Tell the present status for operators.
+        """Return the current status for operators.
 
         :returns: the status.
         """
@@ -252,11 +256,11 @@
 
 
 async def serve(settings: settings_module.EntrySettings) -> None:
-    """Run one instance until its planned stop is finished.
+    """Run one instance until its planned stop has finished.
 
     :param settings: the instance's settings.
     :raises AddressInUseError: if the instance's own address can't be bound.
-    :raises SettingsError: if its certificates can't be used.
+    :raises SettingsError: if its certificates are invalid.
     """
     log.configure(settings.instance.name, settings.log)
     await Daemon(settings).run()
--- a/skylarkfold/datagram.py
+++ b/skylarkfold/datagram.py
@@ -4,16 +4,16 @@
 
 from skylarkfold import light_imports
 
-# What may wait in the kernel while the process has no processor or still
-# loads its modules: at 4 KB a packet there, 250 packets.
+# Buffers packets while the process is not scheduled or still imports its
+# modules. The kernel counts 4 KB per packet, so this holds 250 packets.
 _RECEIVE_BYTES = 1024 * 1024
 
 
 def bind(address: tuple[str, int]) -> light_imports.Socket:
-    """Bind a socket for datagrams.
+    """Open a datagram socket and bind it.
 
-    :param address: host and port.
-    :returns: the socket, which never blocks.
+    :param address: the host and port to bind.
+    :returns: the socket, in non-blocking mode.
     :raises OSError: if the address can't be bound.
     """
     bound = light_imports.Socket(
--- a/skylarkfold/deferred_log.py
+++ b/skylarkfold/deferred_log.py
@@ -1,9 +1,9 @@
-"""The log of instances, which defers loading ``logging``.
+"""A logger that defers importing ``logging``.
 
-Loading ``logging`` takes a sixth of an instance's start (33 of 200 million
-instructions), and after a restart of everything callers wait for each tenth
-of a second of it. So lines may be held until the first callers are served,
-with the times at which they were said, and are then handed over in order.
+Importing ``logging`` takes a sixth of the startup time (33 of 200 million
+instructions), and callers wait for instances to start after a restart of the
+whole deployment. Lines can therefore be buffered with their timestamps until
+the first callers are served, and are then passed to ``logging`` in order.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import time
 
 NAME = 'skylarkfold'
-# The levels of the standard library.
+# The same values as in :mod:`logging`.
 DEBUG = 10
 INFO = 20
 WARNING = 30
@@ -21,13 +21,15 @@
 
 
 class LogLine:
-    """One line with when it was said.
+    """One log line with its timestamps.
 
     :ivar created: the time of day.
     :ivar at: the time of a monotonic clock.
-    :ivar fields: what decided it, by name.
-    :ivar is_budgeted: whether it is about one flow of many.
-    :ivar exception_info: an exception with its traceback, None for none.
+    :ivar fields: structured fields by name.
+    :ivar is_budgeted: whether it concerns a single flow and is subject to
+        the rate limit for such lines.
+    :ivar exception_info: an exception with its traceback; None if there is
+        none.
     """
 
     __slots__ = (
@@ -61,33 +63,34 @@
 
 
 class DeferredLogger:
-    """Hands lines to the standard library's logger, at once or later.
+    """Passes lines to :mod:`logging`, immediately or after buffering.
 
-    :ivar dropped: lines that did not fit into the buffer.
+    :ivar dropped: the number of lines that did not fit into the buffer.
     """
 
-    __slots__ = ('_held', '_limit', '_logger', 'dropped')
+    __slots__ = ('_buffer', '_buffer_limit', '_logger', 'dropped')
 
     def __init__(self) -> None:
-        self._held: collections.deque[LogLine] | None = None
-        self._limit = 0
+        self._buffer: collections.deque[LogLine] | None = None
+        self._buffer_limit = 0
         self._logger: object = None
         self.dropped = 0
 
     def hold(self, limit: int) -> None:
-        """Have lines wait from now on.
+        """Buffer lines from now on.
 
-        :param limit: lines that wait at most; more are left out.
+        :param limit: the maximum number of buffered lines; further ones are
+            dropped and counted.
         """
-        if self._held is None:
-            self._held = collections.deque()
-        self._limit = limit
+        if self._buffer is None:
+            self._buffer = collections.deque()
+        self._buffer_limit = limit
 
     def release(self) -> None:
-        """Hand over what waits, and all that comes later at once."""
-        held, self._held = self._held, None
-        for line in held or ():
-            self._hand_over(line)
+        """Pass on the buffered lines and stop buffering."""
+        buffered, self._buffer = self._buffer, None
+        for line in buffered or ():
+            self._emit(line)
 
     def log(
         self,
@@ -98,13 +101,14 @@
         is_budgeted: bool = False,
         exception_info: tuple | None = None,
     ) -> None:
-        """Say a line.
-
-        :param level: one of this module's.
-        :param message: what happened, with places for the arguments.
-        :param arguments: what to put there.
-        :param fields: what decided it, by name.
-        :param is_budgeted: whether it is about one flow of many.
+        """Log a line.
+
+        :param level: one of this module's levels.
+        :param message: the message, with ``%`` placeholders.
+        :param arguments: the values of the placeholders.
+        :param fields: structured fields by name.
+        :param is_budgeted: whether it concerns a single flow and is subject
+            to the rate limit for such lines.
         :param exception_info: an exception with its traceback.
         """
         line = LogLine(
@@ -115,15 +119,15 @@
             is_budgeted,
             exception_info,
         )
-        if self._held is None:
-            self._hand_over(line)
-        elif len(self._held) < self._limit:
-            self._held.append(line)
+        if self._buffer is None:
+            self._emit(line)
+        elif len(self._buffer) < self._buffer_limit:
+            self._buffer.append(line)
         else:
             self.dropped += 1
 
     def debug(self, message: str, *arguments: object) -> None:
-        """Say a line that only developers need."""
+        """Log a line at level ``DEBUG``."""
         self.log(DEBUG, message, *arguments)
 
     def warning(
@@ -132,14 +136,14 @@
         *arguments: object,
         fields: dict[str, object] | None = None,
     ) -> None:
-        """Say a line about something that is not as it should be."""
+        """Log a line at level ``WARNING``."""
         self.log(WARNING, message, *arguments, fields=fields)
 
     def exception(self, message: str) -> None:
-        """Say a line about the exception that is being handled."""
+        """Log the exception that is being handled, at level ``ERROR``."""
         self.log(ERROR, message, exception_info=sys.exc_info())
 
-    def _hand_over(self, line: LogLine) -> None:
+    def _emit(self, line: LogLine) -> None:
         import logging
 
         if self._logger is None:
--- a/skylarkfold/effect.py
+++ b/skylarkfold/effect.py
@@ -1,4 +1,4 @@
-"""What a node can ask its surroundings to do: its only outputs."""
+"""Effects, the only outputs of a node."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a routing or placement decision fell as it did."""
+    """The reason for a routing or placement decision."""
 
     CLOSED_BUCKET = 'closed-bucket'
     PINNED = 'pinned'
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class DropDatagram:
-    """Drop a caller's datagram, counted by its reason."""
+    """Drop a caller's datagram and count it by reason."""
 
     address: endpoint.Endpoint
     caller: endpoint.Endpoint
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RefuseStream:
-    """Close a stream that can't be placed."""
+    """Close a stream that can't be assigned to an upstream."""
 
     stream: int
     reason: Reason
@@ -74,12 +74,13 @@
 class DispatchAttempt:
     """Send a request to an upstream.
 
-    :param attempt: a number that comes back with the attempt's end.
+    :param attempt: a number that identifies the attempt in
+        :class:`skylarkfold.event.AttemptEnded`.
     :param request: the request.
     :param service: its service.
-    :param upstream: where to send it.
-    :param timeout_seconds: how long to wait; it is told to the upstream
-        as the deadline, after which it must not begin to run.
+    :param upstream: the upstream that is to run it.
+    :param timeout_seconds: how long to wait for the answer; also sent to
+        the upstream, which must not start the request after that time.
     """
 
     attempt: int
@@ -91,7 +92,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CancelAttempt:
-    """Give up an attempt and close its connection."""
+    """Cancel an attempt and close its connection."""
 
     attempt: int
 
@@ -110,7 +111,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SendToPeer:
-    """Send a message to another instance, or drop it if it is gone."""
+    """Send a message to another instance; drop it if that is unreachable."""
 
     peer: str
     message: message_module.PeerMessage
@@ -120,9 +121,10 @@
 class CallPlatform:
     """Call the platform.
 
-    :param call: a number that comes back with the answer.
-    :param request: what to ask.
-    :param timeout_seconds: when to give up waiting.
+    :param call: a number that identifies the call in
+        :class:`skylarkfold.event.PlatformAnswered`.
+    :param request: the call's type and arguments.
+    :param timeout_seconds: how long to wait for the answer.
     """
 
     call: int
@@ -132,10 +134,10 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestWrite:
-    """Ask the platform client for a conditional write.
+    """Ask the store core for a conditional write.
 
-    The client settles lost answers; its outcome comes back to the other
-    subsystems as :class:`skylarkfold.event.WriteEnded`.
+    The store core determines the outcome even if an answer is lost, and
+    reports it to the other cores as :class:`skylarkfold.event.WriteEnded`.
     """
 
     write: platform_api.WriteObject
@@ -143,42 +145,42 @@
 
 @dataclasses.dataclass(slots=True)
 class PublishWriteEnded:
-    """Tell the other subsystems how a requested write ended."""
+    """Tell the other cores how a requested write ended."""
 
     ended: event_module.WriteEnded
 
 
 @dataclasses.dataclass(slots=True)
 class PublishConfiguration:
-    """Put a newer configuration in force on this instance."""
+    """Activate a newer configuration on this instance."""
 
     configuration: configuration_module.Configuration
 
 
 @dataclasses.dataclass(slots=True)
 class PublishObject:
-    """Tell the other subsystems of a newer object."""
+    """Tell the other cores of a newer object."""
 
     stored: platform_api.StoredObject
 
 
 @dataclasses.dataclass(slots=True)
 class PublishRevision:
-    """Tell the other subsystems that a revision is in force here."""
+    """Tell the other cores that all objects up to a revision are known."""
 
     revision: int
 
 
 @dataclasses.dataclass(slots=True)
 class PublishMembership:
-    """Tell the other subsystems of a changed membership."""
+    """Tell the other cores of a changed membership."""
 
     membership: member.Membership
 
 
 @dataclasses.dataclass(slots=True)
 class CountMetric:
-    """Add to a counter; its name is listed in ``metric``."""
+    """Add to a counter of :mod:`skylarkfold.metric`."""
 
     name: str
     amount: int = 1
@@ -188,11 +190,11 @@
 class RecordDecision:
     """Write one structured log line for a decision.
 
-    :param kind: what was decided, for example ``placement``.
-    :param service: the service's name, empty where there is none.
+    :param kind: the type of decision, for example ``placement``.
+    :param service: the service's name; empty if there is none.
     :param subject: the flow, request, bucket or member concerned.
-    :param upstream: the upstream chosen, empty where there is none.
-    :param reason: why.
+    :param upstream: the chosen upstream; empty if there is none.
+    :param reason: the reason for the decision.
     """
 
     kind: str
@@ -204,4 +206,4 @@
 
 @dataclasses.dataclass(slots=True)
 class StopFinished:
-    """Nothing is left to finish or hand on; the process may end."""
+    """All work is finished or handed over; the process may exit."""
--- a/skylarkfold/endpoint.py
+++ b/skylarkfold/endpoint.py
@@ -8,8 +8,8 @@
 class Endpoint(NamedTuple):
     """An IP address and a port.
 
-    A named tuple, so that it can be handed to the socket interface as it
-    is and is cheap to make for each datagram.
+    A named tuple can be passed to the socket API directly and is cheap to
+    create for each datagram.
     """
 
     host: str
@@ -20,16 +20,16 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Read an endpoint from the form ``host:port``.
+    """Parse an endpoint of the form ``host:port``.
 
     :param text: the address and port, for example ``127.0.0.1:8080``.
     :returns: the endpoint.
-    :raises ValueError: if the text has no port or the port is no number
+    :raises ValueError: if the text has no port or the port is not a number
         from 0 to 65535.
     """
     host, separator, port = text.rpartition(':')
     if not separator or not host or not port.isdecimal():
         raise ValueError(f'{text!r} is not of the form host:port')
     if int(port) > 65535:
-        raise ValueError(f'{port} is not a port')
+        raise ValueError(f'port {port} is out of range')
     return Endpoint(host, int(port))
--- a/skylarkfold/errors.py
+++ b/skylarkfold/errors.py
@@ -1,6 +1,6 @@
-"""Exceptions with stable codes.
+"""Exceptions with stable error codes.
 
-Every error that a person or a program may see carries a code, which is
+Every error that operators or programs may see has a code, which is
 documented in ``docs/operators/errors.md`` and never changes its meaning.
 """
 
@@ -8,9 +8,9 @@
 
 
 class SkylarkfoldError(Exception):
-    """The base of all errors that this package raises on purpose.
+    """The base class of all exceptions of this package.
 
-    :param reason: what went wrong, in one sentence for a person.
+    :param reason: a one-sentence description of the error.
     """
 
     code = 'internal'
@@ -24,11 +24,12 @@
 
 
 class SettingsError(SkylarkfoldError):
-    """A settings file or object that can't be used.
+    """An error in a settings file or stored settings object.
 
-    :param reason: what is wrong.
-    :param source: the file or object path that was read.
-    :param path: where in it, for example ``$.services.archebu.port``.
+    :param reason: a description of the error.
+    :param source: the path of the file or stored object.
+    :param path: the location of the error, for example
+        ``$.services.archebu.port``.
     """
 
     code = 'settings-invalid'
@@ -43,25 +44,25 @@
 
 
 class DecodeError(SkylarkfoldError):
-    """Bytes from a peer, a caller or an upstream that can't be decoded."""
+    """Malformed data from a peer, a caller, an upstream or the store."""
 
     code = 'message-malformed'
 
 
 class PlatformError(SkylarkfoldError):
-    """The platform did not answer, or answered with a failure."""
+    """A call to which the platform gave no answer or a failure."""
 
     code = 'platform-unavailable'
 
 
 class ConflictError(SkylarkfoldError):
-    """A conditional write lost against another writer."""
+    """A conditional write that conflicted with another writer."""
 
     code = 'write-conflict'
 
 
 class ClaimError(SkylarkfoldError):
-    """A name or an address that another team already holds."""
+    """A claim of a name or address that another team already holds."""
 
     code = 'claim-held'
 
@@ -73,55 +74,55 @@
 
 
 class SettingsUnreadableError(SettingsError):
-    """A settings file that can't be read, or whose bytes are no text."""
+    """A settings file that can't be read or is not valid text."""
 
     code = 'settings-unreadable'
 
 
 class SettingsSyntaxError(SettingsError):
-    """Text that is no JSON with comments."""
+    """Settings that are not valid JSON with comments."""
 
     code = 'settings-syntax'
 
 
 class SettingsTooLargeError(SettingsError):
-    """A text longer than settings may be, or nested too deeply."""
+    """Settings that are too long or too deeply nested."""
 
     code = 'settings-too-large'
 
 
 class UnknownFieldError(SettingsError):
-    """A field that no settings have, most often misspelt."""
+    """An unknown settings field, usually a misspelt one."""
 
     code = 'settings-unknown-field'
 
 
 class MissingFieldError(SettingsError):
-    """A field without a default that is not there."""
+    """A required field that is missing."""
 
     code = 'settings-missing-field'
 
 
 class DuplicateError(SettingsError):
-    """A key, an address or a name that stands twice."""
+    """A key, an address or a name that occurs twice."""
 
     code = 'settings-duplicate'
 
 
 class PromiseError(SkylarkfoldError):
-    """A run ended with a promise that was not kept."""
+    """A run that broke one of the promised properties."""
 
     code = 'promise-broken'
 
 
 class UsageError(SkylarkfoldError):
-    """A command was called with arguments that name nothing."""
+    """A command call with missing or invalid arguments."""
 
     code = 'usage'
 
 
 class RightError(SkylarkfoldError):
-    """A change of a subtree that is another team's."""
+    """An operator's attempt to change the subtree of another team."""
 
     code = 'right-missing'
 
--- a/skylarkfold/event.py
+++ b/skylarkfold/event.py
@@ -1,4 +1,4 @@
-"""What a node can be told: its only inputs besides the time."""
+"""Events, the only inputs of a node besides the time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Tick:
-    """Time has passed; sent a few times a second."""
+    """The timer fired, several times a second."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -22,10 +22,10 @@
     """A caller's datagram arrived at a service's address.
 
     :param address: the service's address that it was sent to.
-    :param caller: who sent it.
-    :param payload: its bytes.
-    :param is_first: whether it carries a mark that its flow begins;
-        None where the protocol has no such mark.
+    :param caller: the address of the sender.
+    :param payload: the content.
+    :param is_first: whether it is marked as the first datagram of its flow;
+        None if the protocol has no such mark.
     """
 
     address: endpoint.Endpoint
@@ -57,14 +57,14 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestReceived:
-    """A caller's request arrived whole."""
+    """A caller's request arrived completely."""
 
     request: request_module.Request
 
 
 @dataclasses.dataclass(slots=True)
 class RequestCancelled:
-    """The caller went away before its answer.
+    """The caller disconnected before its request was answered.
 
     :param request: the request's number.
     """
@@ -74,11 +74,12 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptEnded:
-    """An attempt at an upstream ended.
+    """An attempt to run a request on an upstream ended.
 
-    :param attempt: the number given with its dispatch.
+    :param attempt: the number given with
+        :class:`skylarkfold.effect.DispatchAttempt`.
     :param outcome: how it ended.
-    :param answer: the upstream's whole answer, for outcomes that have one.
+    :param answer: the upstream's complete answer, for outcomes that have one.
     """
 
     attempt: int
@@ -88,15 +89,17 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadReported:
-    """An upstream's health and load endpoints answered; both may lie.
+    """The result of probing an upstream's health and load endpoints.
+
+    The upstream's own figures may be wrong.
 
     :param service: the service's name.
     :param upstream: the upstream's name.
-    :param healthy: what its health endpoint said.
-    :param running: requests it says that it is running.
-    :param flows: flows it says that it holds.
-    :param reachable: whether it answered at all. One that answers is not
-        dead, whatever it says.
+    :param healthy: the state that its health endpoint reported.
+    :param running: the number of running requests that it reported.
+    :param flows: the number of flows that it reported.
+    :param reachable: whether it answered at all. An upstream that answers
+        is not considered dead, whatever it reports.
     """
 
     service: str
@@ -111,7 +114,7 @@
 class PeerMessageReceived:
     """A peer's message arrived.
 
-    :param sender: the peer's name, proved by its certificate.
+    :param sender: the peer's name, as authenticated by its certificate.
     :param message: the decoded message.
     """
 
@@ -121,7 +124,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerConnected:
-    """A stream to a peer is up."""
+    """A stream to a peer was established."""
 
     peer: str
 
@@ -137,8 +140,9 @@
 class PlatformAnswered:
     """A platform call ended.
 
-    :param call: the number given with the call's effect.
-    :param answer: its outcome.
+    :param call: the number given with
+        :class:`skylarkfold.effect.CallPlatform`.
+    :param answer: the platform's answer.
     """
 
     call: int
@@ -147,47 +151,48 @@
 
 @dataclasses.dataclass(slots=True)
 class ConfigurationChanged:
-    """A newer configuration is in force on this instance."""
+    """A newer configuration took effect on this instance."""
 
     configuration: configuration_module.Configuration
 
 
 @dataclasses.dataclass(slots=True)
 class ObjectChanged:
-    """A newer version of an object of the system's own is known here."""
+    """This instance learned of a newer version of a stored object."""
 
     stored: platform_api.StoredObject
 
 
 @dataclasses.dataclass(slots=True)
 class RevisionReached:
-    """All objects up to a revision of the store are in force here."""
+    """All objects up to a revision of the store are known here."""
 
     revision: int
 
 
 @dataclasses.dataclass(slots=True)
 class WriteRequested:
-    """Another core of this instance wants a conditional write."""
+    """Another core of this instance requested a conditional write."""
 
     write: platform_api.WriteObject
 
 
 @dataclasses.dataclass(slots=True)
 class WriteEnded:
-    """A write that a subsystem asked for has a settled outcome.
+    """A write that a core requested has a final outcome.
 
-    Lost answers are settled before this event: the status is never
-    ``UNKNOWN`` unless the platform stayed away. ``REFUSED`` says that
-    it provably did not happen and was no conflict.
+    If the answer to a write is lost, its outcome is determined before this
+    event is sent: the status is ``UNKNOWN`` only if the platform remained
+    unavailable. ``REFUSED`` means that the write did not take effect and
+    that there was no conflict.
 
-    :param path: the object.
+    :param path: the path of the object.
     :param status: how the write ended.
-    :param current: what stands there now; None for nothing, and where it
-        was not read: a plain conflict costs no read, the object itself
-        comes with the next :class:`ObjectChanged`.
+    :param current: the object that is now stored; None if there is none or
+        it was not read. After a conflict it usually is not read; the next
+        :class:`ObjectChanged` contains it.
     :param may_have_stood: for ``CONFLICT``, whether the written value may
-        have stood before another writer replaced it.
+        have been stored before another writer replaced it.
     """
 
     path: str
@@ -198,11 +203,11 @@
 
 @dataclasses.dataclass(slots=True)
 class MembershipChanged:
-    """The set of members or the state of one changed."""
+    """A member was added or removed, or the state of one changed."""
 
     membership: member.Membership
 
 
 @dataclasses.dataclass(slots=True)
 class StopRequested:
-    """The instance is asked to stop: finish, hand on, leave."""
+    """The instance is to finish or hand over its work, then leave."""
--- a/skylarkfold/flow.py
+++ b/skylarkfold/flow.py
@@ -10,7 +10,7 @@
 
 
 class FlowKey(NamedTuple):
-    """A flow: one caller's traffic to one service.
+    """The identity of a flow: the traffic of one caller to one service.
 
     :param service: the name of the service.
     :param caller: the caller's address and port.
@@ -21,9 +21,10 @@
 
 
 def hash_caller(service: str, caller: tuple[str, int]) -> int:
-    """Hash a flow to 64 bits, alike on every instance.
+    """Hash a flow to 64 bits, with the same result on every instance.
 
-    It takes the parts, so that the data path makes no key for a datagram.
+    Takes the parts of the key, so that the data path need not build a key
+    for each datagram.
 
     :param service: the name of the service.
     :param caller: the caller's address and port.
@@ -34,9 +35,9 @@
 
 
 def hash_flow(key: FlowKey) -> int:
-    """Hash a flow key to 64 bits, alike on every instance.
+    """Hash a flow key to 64 bits, with the same result on every instance.
 
-    :param key: the flow.
+    :param key: the key of the flow.
     :returns: a number from 0 to 2**64 - 1.
     """
     return hash_caller(key.service, key.caller)
--- a/skylarkfold/histogram.py
+++ b/skylarkfold/histogram.py
@@ -1,11 +1,11 @@
-"""Counts of durations in buckets."""
+"""A histogram of durations with fixed buckets."""
 
 from __future__ import annotations
 
 import bisect
 
-# Upper bounds in seconds: from one event-loop turn to a caller's patience,
-# each about double the one before.
+# Upper bounds in seconds, roughly doubling, from one iteration of the event
+# loop to the longest time that callers wait.
 BOUNDS = (
     0.001,
     0.002,
@@ -23,9 +23,10 @@
 
 
 class Histogram:
-    """How many durations were at most so long.
+    """A histogram of durations.
 
-    :ivar counts: for each of :data:`BOUNDS`, and beyond the last one.
+    :ivar counts: the number of durations in each bucket of
+        :data:`BOUNDS`, and above the last bound.
     :ivar total: the sum of all durations, in seconds.
     """
 
@@ -36,7 +37,7 @@
         self.total = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count a duration.
+        """Record a duration.
 
         :param seconds: the duration.
         """
@@ -45,5 +46,5 @@
 
     @property
     def count(self) -> int:
-        """How many durations were counted."""
+        """The number of recorded durations."""
         return sum(self.counts)
--- a/skylarkfold/instance.py
+++ b/skylarkfold/instance.py
@@ -1,4 +1,4 @@
-"""What an instance is told about itself by its settings."""
+"""The settings that identify an instance."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
     :param name: unique among instances that run at the same time.
     :param zone: its availability zone.
     :param region: its region.
-    :param peer_address: where it takes peers' streams.
-    :param bind_host: where it takes callers' traffic; empty to bind each
-        service's own address.
+    :param peer_address: the address that accepts streams from peers.
+    :param bind_host: the address to bind for callers' traffic; empty to
+        bind each service's own address.
     """
 
     name: str
--- a/skylarkfold/light_imports.py
+++ b/skylarkfold/light_imports.py
@@ -1,13 +1,13 @@
-"""Parts of large libraries, without importing the rest.
-
-After a restart of everything callers wait for each millisecond of
-processor time that an instance takes until it is ready. ``socket``,
-``signal``, ``json`` and ``httptools`` are loaded for little that is written
-in C, and bring ``enum``, ``re``, ``selectors`` and ``typing`` with them: 53
-of the 169 million instructions of all imports. What an instance needs until
-it is ready comes from here in their place; this is the one module that
-knows how they are made up inside. What is needed only later is imported
-where it is used, and loaded then.
+"""Parts of large libraries, imported without the rest of the library.
+
+Callers wait for instances to start after a restart of the whole deployment,
+so startup time matters. Of ``socket``, ``signal``, ``json`` and
+``httptools`` an instance needs only their C extensions, but importing them
+also loads ``enum``, ``re``, ``selectors`` and ``typing``: 53 of the 169
+million instructions of all imports. Modules that run before an instance is
+ready import those extensions from here; only this module depends on the
+libraries' internals. Modules that are needed later are imported where they
+are used.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 import sys
 import types
 
-# Type checkers take it for true.
+# Type checkers assume that it is true.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from typing import Protocol
 else:
-    # Nothing here asks at run time whether an object fits.
+    # Protocols are not checked at run time.
     Protocol = object
 
-# What ``socket`` names as members of enumerations, as bare numbers.
+# Plain integers; ``socket`` wraps them in enumerations.
 AF_INET = _socket.AF_INET
 IPPROTO_TCP = _socket.IPPROTO_TCP
 SO_ERROR = _socket.SO_ERROR
@@ -44,29 +44,29 @@
 inet_ntoa = _socket.inet_ntoa
 inet_pton = _socket.inet_pton
 
-# The same of ``signal``.
+# Likewise for ``signal``.
 SIGHUP = _signal.SIGHUP
 SIGINT = _signal.SIGINT
 SIGTERM = _signal.SIGTERM
 set_signal_handler = _signal.signal
 set_wakeup_fd = _signal.set_wakeup_fd
 
-_BLANKS = ' \t\n\r'
+_WHITESPACE = ' \t\n\r'
 
 
 def accept(listener: Socket) -> Socket:
     """Accept a connection.
 
-    :param listener: a TCP socket that listens and never blocks.
-    :returns: the connection; whether it blocks is to be set.
-    :raises OSError: if there is none.
+    :param listener: a non-blocking TCP socket that listens.
+    :returns: the connection; the caller sets whether it blocks.
+    :raises OSError: if no connection is waiting.
     """
-    number, _ = listener._accept()
-    return Socket(AF_INET, SOCK_STREAM, 0, number)
+    descriptor, _ = listener._accept()
+    return Socket(AF_INET, SOCK_STREAM, 0, descriptor)
 
 
-class _Scanning:
-    """How the standard library's scanner is to read JSON: as it does."""
+class _ScannerOptions:
+    """The options of ``json.JSONDecoder``, at their defaults."""
 
     strict = True
     object_hook = None
@@ -76,81 +76,82 @@
     parse_constant = float
 
 
-_scan = _json.make_scanner(_Scanning)
+_scan = _json.make_scanner(_ScannerOptions)
 
 
 def parse_json(data: str | bytes) -> object:
-    """Read JSON, as ``json.loads`` does.
+    """Parse JSON with the same results as ``json.loads``.
 
-    :param data: a text or its bytes.
-    :returns: what it holds.
-    :raises ValueError: if it is no JSON.
+    :param data: the JSON document, as text or bytes.
+    :returns: the parsed value.
+    :raises ValueError: if the document is not valid JSON.
     :raises RecursionError: if it is nested too deeply.
     """
     try:
         text = data if isinstance(data, str) else data.decode()
-        text = text.strip(_BLANKS)
+        text = text.strip(_WHITESPACE)
         value, end = _scan(text, 0)
         if end == len(text):
             return value
     except (StopIteration, SystemError, ValueError):
-        # What is odd is for the library itself to read or to complain of;
-        # while that is not loaded, the scanner fails without saying how.
+        # Let the library parse unusual input and report errors: the C
+        # scanner raises SystemError while ``json`` is not loaded.
         pass
     import json
 
     return json.loads(data)
 
 
-def _load_http() -> types.ModuleType:
-    """Load the parser of ``httptools`` without what only describes it.
+def _load_http_parser() -> types.ModuleType:
+    """Load the parser of ``httptools`` without importing ``typing``.
 
-    Its packages import ``typing`` for a class that describes callbacks, the
-    parser itself for annotations: a tenth of a start, for nothing.
+    ``httptools`` uses ``typing`` only for a protocol class and annotations;
+    importing it would take a tenth of the startup time.
     """
     if 'typing' in sys.modules:
         import httptools
 
         return httptools
-    found = None
-    packages = ('httptools', 'httptools.parser')
-    for name in packages:
-        found = _find_package(name, found)
+    search_path = None
+    package_names = ('httptools', 'httptools.parser')
+    for name in package_names:
+        search_path = _find_package_path(name, search_path)
         sys.modules[name] = types.ModuleType(name)
-        sys.modules[name].__path__ = found
+        sys.modules[name].__path__ = search_path
     sys.modules['typing'] = types.SimpleNamespace(Optional=None)
     try:
         from httptools.parser import parser
     finally:
-        # Whoever imports these later gets all of them.
-        for name in (*packages, 'typing'):
+        # Later imports load the complete modules.
+        for name in (*package_names, 'typing'):
             del sys.modules[name]
     return parser
 
 
-def _find_package(name: str, inside: list[str] | None) -> list[str]:
-    """Find where a package's modules are.
+def _find_package_path(name: str, parent_path: list[str] | None) -> list[str]:
+    """Find the search path for the modules of a package.
 
     :param name: the package.
-    :param inside: where the modules of the one around it are.
-    :returns: the places.
-    :raises ModuleNotFoundError: if it is not there.
+    :param parent_path: the search path of its parent package; None for a
+        top-level package.
+    :returns: the folders to search.
+    :raises ModuleNotFoundError: if there is no such package.
     """
     for finder in sys.meta_path:
-        spec = finder.find_spec(name, inside)
+        spec = finder.find_spec(name, parent_path)
         if spec is not None:
             return spec.submodule_search_locations
     raise ModuleNotFoundError(f'no module named {name}', name=name)
 
 
-http_parser = _load_http()
+http_parser = _load_http_parser()
 
 
 def _load_msgpack() -> types.ModuleType:
-    """Load ``msgpack`` without all of ``datetime``.
+    """Load ``msgpack`` with ``_datetime`` in place of ``datetime``.
 
-    That defines its classes in Python and then takes those written in C,
-    which are all that is asked of it here.
+    ``datetime`` defines its classes in Python before it replaces them by
+    those of ``_datetime``; ``msgpack`` needs only the latter.
     """
     if 'datetime' in sys.modules:
         import msgpack
@@ -160,7 +161,7 @@
     try:
         import msgpack
     finally:
-        # Whoever imports it later gets all of it.
+        # Later imports load the complete module.
         del sys.modules['datetime']
     return msgpack
 
--- a/skylarkfold/log.py
+++ b/skylarkfold/log.py
@@ -1,4 +1,4 @@
-"""Structured logging: one line for each decision, in JSON or as text."""
+"""Structured logging, with one line per decision, in JSON or as text."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class LogForm(enum.StrEnum):
-    """How lines are written."""
+    """The format of log lines."""
 
     JSON = 'json'
     TEXT = 'text'
@@ -29,15 +29,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogSettings:
-    """What is logged and how.
+    """The settings of the log.
 
-    :param form: JSON objects or ``name=value`` text, one a line.
-    :param level: the lowest level written, a name of :mod:`logging`.
+    :param form: JSON objects or ``name=value`` text, one per line.
+    :param level: the lowest level to write, a level name of
+        :mod:`logging`.
     :param path: the file to append to; empty for standard error.
-    :param packets: whether each forwarded datagram gets a line, or only
-        each placement.
-    :param queue_lines: decision lines waiting to be written at most; more
-        are dropped and counted.
+    :param packets: whether to log each forwarded datagram as well as each
+        placement.
+    :param queue_lines: the maximum number of decision lines that wait to
+        be written; further ones are dropped and counted.
     """
 
     form: LogForm = LogForm.JSON
@@ -48,9 +49,9 @@
 
 
 class LineFormatter(logging.Formatter):
-    """Formats one record as one structured line.
+    """Formats a record as one structured line.
 
-    :param instance: the name of this instance, part of each line.
+    :param instance: the name of this instance, included in each line.
     :param form: JSON or text.
     """
 
@@ -60,7 +61,7 @@
         self._form = form
 
     def format(self, record: logging.LogRecord) -> str:
-        """Write the record's fields in a fixed order."""
+        """Format the record's fields in a fixed order."""
         if record.name == DECISIONS_NAME:
             return record.getMessage()
         fields = {
@@ -75,11 +76,11 @@
 
 
 def format_fields(fields: dict[str, object], form: LogForm) -> str:
-    """Write named fields as one line.
+    """Format named fields as one line.
 
-    :param fields: the fields in the order in which they are written.
+    :param fields: the fields in output order.
     :param form: JSON or text.
-    :returns: the line without its end.
+    :returns: the line without a line break.
     """
     if form is LogForm.JSON:
         return msgspec.json.encode(fields).decode()
@@ -90,7 +91,7 @@
     """Set up the loggers of this process.
 
     :param instance: the name of this instance.
-    :param settings: what is logged and how.
+    :param settings: the settings of the log.
     :returns: the package's logger.
     """
     logger = logging.getLogger(LOGGER_NAME)
@@ -105,10 +106,11 @@
 
 
 class DecisionLog:
-    """Collects decisions without blocking and writes them in batches.
+    """Queues decisions without blocking and writes them in batches.
 
-    :param instance: the name of this instance, part of each line.
-    :param settings: the bound on waiting lines and the form.
+    :param instance: the name of this instance, included in each line.
+    :param settings: the settings of the log.
+    :ivar dropped: the number of lines dropped because the queue was full.
     """
 
     def __init__(self, instance: str, settings: LogSettings) -> None:
@@ -116,29 +118,29 @@
         self._form = settings.form
         self._logger = logging.getLogger(DECISIONS_NAME)
         self._lines: collections.deque[tuple[str, ...]] = collections.deque()
-        self._maximum = settings.queue_lines
+        self._queue_limit = settings.queue_lines
         self.dropped = 0
 
     def append(
         self, kind: str, service: str, subject: object, upstream: str, why: str
     ) -> None:
-        """Add one decision from its parts.
+        """Queue one decision given by its parts.
 
-        :param kind: what was decided.
+        :param kind: the type of decision.
         :param service: the service's name.
         :param subject: the flow, request, bucket or member concerned.
-        :param upstream: the upstream chosen, empty where there is none.
-        :param why: the reason.
+        :param upstream: the chosen upstream; empty if there is none.
+        :param why: the reason for the decision.
         """
-        if len(self._lines) >= self._maximum:
+        if len(self._lines) >= self._queue_limit:
             self.dropped += 1
             return
         self._lines.append((kind, service, subject, upstream, why))
 
     def record(self, decision: effect.RecordDecision) -> None:
-        """Add one decision.
+        """Queue one decision.
 
-        :param decision: the decision as a core reported it.
+        :param decision: the decision that a core reported.
         """
         self.append(
             decision.kind,
@@ -149,11 +151,11 @@
         )
 
     def flush(self) -> int:
-        """Write waiting lines as one record.
+        """Write queued lines as one record.
 
-        Their number is bounded: formatting holds up the packets.
+        The batch size is limited because formatting blocks the event loop.
 
-        :returns: how many lines were written; 0 when none wait.
+        :returns: the number of lines written; 0 if the queue is empty.
         """
         count = min(len(self._lines), _BATCH_LINES)
         if not count:
--- a/skylarkfold/machine.py
+++ b/skylarkfold/machine.py
@@ -1,9 +1,10 @@
-"""What an instance is told of its machine, in a settings file.
+"""The settings file that describes an instance's machine.
 
-A platform fills the file in from ``deploy/settings.template``, which
-translates its names. JSON, since reading TOML takes a tenth of each start.
-Imports little: the packet socket is bound from it before the rest of the
-program is loaded.
+The platform generates the file from ``deploy/settings.template``, which maps
+the platform's names to those used here. The format is JSON because parsing
+TOML would take a tenth of the startup time. This module imports little: the
+packet socket is bound from these settings before the rest of the program is
+loaded.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from skylarkfold import light_imports
 
 _MAXIMUM_PORT = 65535
-# For files that leave them out: what the platform's example has.
-_GRACE_SECONDS = 6.0
-_FLOW_SECONDS = 60.0
-_CHANGE_SECONDS = 3.0
-_DISTURBED_SECONDS = 12.0
-# A machine's capacity is counted in these.
-_CORES_STEP = 0.1
-_LINK_STEP_MBPS = 10.0
-_MOST_CAPACITY = 20
+# Defaults for fields that a file omits, as in the platform's example file.
+_DEFAULT_GRACE_SECONDS = 6.0
+_DEFAULT_FLOW_SECONDS = 60.0
+_DEFAULT_CHANGE_SECONDS = 3.0
+_DEFAULT_DISTURBED_SECONDS = 12.0
+# Processor time and bandwidth that make up one unit of capacity.
+_CORES_PER_UNIT = 0.1
+_MBPS_PER_UNIT = 10.0
+_MAXIMUM_CAPACITY = 20
 _BYTES_PER_MBIT = 1e6 / 8
 
 
@@ -32,27 +33,30 @@
 
     :param name: the instance's name.
     :param zone: its availability zone.
-    :param packet_address: where it takes callers' packets; every caller
-        takes packets at the same port.
-    :param ready_address: where its readiness is asked for.
-    :param peer_address: where it takes the messages of other instances.
-    :param seeds: hosts where other instances may be found.
-    :param store_address: the platform's store.
-    :param cores: the processor time that it may use.
+    :param packet_address: the address that receives callers' packets; every
+        caller receives packets at the same port.
+    :param ready_address: the address of the readiness endpoint.
+    :param peer_address: the address that receives messages from other
+        instances.
+    :param seeds: hosts on which to look for other instances.
+    :param store_address: the address of the platform's store.
+    :param cores: the processor time that it may use, in cores.
     :param link_mbps: the bandwidth of its link, in Mbit/s.
     :param grace_seconds: how long a planned stop may take.
-    :param flow_seconds: the longest life of a flow.
+    :param flow_seconds: the maximum lifetime of a flow.
     :param zones: all availability zones.
-    :param evacuation_seconds: how soon an evacuation of one must be in force;
-        None where zones are not evacuated.
-    :param warm_up_factor: by how much requests to an upstream that warms up
-        may exceed what its service is said to bear, in any second.
-    :param warm_up_slack: and how many more they may be; None where they are
-        not bounded.
-    :param change_seconds: how soon a change of the routes must be in force.
-    :param disturbed_seconds: how much later it may be after the store was
+    :param evacuation_seconds: the time within which the evacuation of a zone
+        must be in force; None if zones are not evacuated.
+    :param warm_up_factor: the multiple of its service's rated load that an
+        upstream may be sent in any second while it warms up.
+    :param warm_up_slack: the number of requests that it may be sent on top
+        of that; None if there is no limit.
+    :param change_seconds: the time within which a change of the routes must
+        be in force.
+    :param disturbed_seconds: the additional time allowed after the store was
         disturbed.
-    :param terms: what else the deployment asks for, in the platform's words.
+    :param terms: other requirements of the deployment, in the platform's
+        terms.
     """
 
     __slots__ = (
@@ -93,8 +97,8 @@
         evacuation_seconds: float | None = None,
         warm_up_factor: float = 1.0,
         warm_up_slack: float | None = None,
-        change_seconds: float = _CHANGE_SECONDS,
-        disturbed_seconds: float = _DISTURBED_SECONDS,
+        change_seconds: float = _DEFAULT_CHANGE_SECONDS,
+        disturbed_seconds: float = _DEFAULT_DISTURBED_SECONDS,
         terms: tuple[str, ...] = (),
     ) -> None:
         self.name = name
@@ -118,23 +122,23 @@
 
     @property
     def capacity(self) -> int:
-        """What the machine has to spare for duties.
+        """The capacity that the machine has for duties.
 
-        By whichever it has less of: a watcher takes each whole
-        configuration from the store, 400 KB on a large day, a third of a
-        second on the smallest links.
+        The scarcer resource decides. Bandwidth counts because an instance
+        that watches the store downloads whole configurations: 400 KB take a
+        third of a second on the smallest links.
         """
-        tenths = self.cores / _CORES_STEP
-        links = self.link_mbps / _LINK_STEP_MBPS
-        return int(min(tenths, links, _MOST_CAPACITY))
+        core_units = self.cores / _CORES_PER_UNIT
+        link_units = self.link_mbps / _MBPS_PER_UNIT
+        return int(min(core_units, link_units, _MAXIMUM_CAPACITY))
 
     @property
     def link_bytes_per_second(self) -> float:
-        """The bandwidth of its link, in bytes a second."""
+        """The bandwidth of the link, in bytes per second."""
         return self.link_mbps * _BYTES_PER_MBIT
 
     def list_addresses(self) -> tuple[tuple[str, int], ...]:
-        """List what sockets are bound to or opened towards."""
+        """List the addresses that sockets bind or connect to."""
         return (
             self.packet_address,
             self.ready_address,
@@ -144,53 +148,53 @@
 
 
 class SettingsFile:
-    """A settings file that may change, with or without a signal.
+    """A settings file that is read again when it changes.
 
-    :param path: the file.
+    :param path: the path of the file.
     """
 
-    __slots__ = ('_path', '_read_as')
+    __slots__ = ('_last_stat', '_path')
 
     def __init__(self, path: str) -> None:
         self._path = path
-        self._read_as: tuple[int, ...] = ()
+        self._last_stat: tuple[int, ...] = ()
 
     def read(self) -> MachineSettings:
         """Read the file.
 
         :returns: the settings.
-        :raises SettingsError: if it can't be read or used.
+        :raises SettingsError: if the file can't be read or is invalid.
         """
-        self._read_as = self._identify()
+        self._last_stat = self._get_stat_key()
         return read_settings(self._path)
 
     def reread(self, is_forced: bool) -> MachineSettings | None:
         """Read the file again if it has changed.
 
-        :param is_forced: whether to read it in any case.
-        :returns: the settings, None if nothing has changed.
-        :raises SettingsError: if it can't be read or used.
+        :param is_forced: whether to read it even if it has not changed.
+        :returns: the settings; None if the file was not read.
+        :raises SettingsError: if the file can't be read or is invalid.
         """
-        if self._identify() == self._read_as and not is_forced:
+        if self._get_stat_key() == self._last_stat and not is_forced:
             return None
         return self.read()
 
-    def _identify(self) -> tuple[int, ...]:
-        """Tell the file from what it was before."""
+    def _get_stat_key(self) -> tuple[int, ...]:
+        """Return values that differ once the file has changed."""
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return ()
-        return (found.st_mtime_ns, found.st_size, found.st_ino)
+        return (status.st_mtime_ns, status.st_size, status.st_ino)
 
 
 def read_settings(path: str) -> MachineSettings:
-    """Read the settings file.
+    """Read a settings file.
 
-    :param path: the file, in JSON.
+    :param path: the path of the file, which is in JSON.
     :returns: the settings.
-    :raises SettingsError: with the place and the reason, if it can't be
-        read or used.
+    :raises SettingsError: if the file can't be read or is invalid; names
+        the field and the reason.
     """
     try:
         fields = light_imports.parse_json(files.read_bytes(path))
@@ -200,44 +204,49 @@
 
 
 def convert_settings(fields: object, source: str) -> MachineSettings:
-    """Check settings.
+    """Validate and convert the fields of a settings file.
 
-    :param fields: what the file holds.
-    :param source: the file, for messages.
+    :param fields: the parsed content of the file.
+    :param source: the path of the file, for error messages.
     :returns: the settings.
-    :raises SettingsError: with the place and the reason.
+    :raises SettingsError: if a field is invalid; names the field and the
+        reason.
     """
     if not isinstance(fields, dict):
-        raise errors.SettingsError('an object is wanted', source)
-    section = _Section(fields, source)
-    host = section.get_text('host')
-    share = section.get_number('core_share', 1.0)
+        raise errors.SettingsError('must be a JSON object', source)
+    reader = _FieldReader(fields, source)
+    host = reader.get_string('host')
+    core_share = reader.get_number('core_share', 1.0)
     return MachineSettings(
-        name=section.get_text('name'),
-        zone=section.get_text('zone'),
-        packet_address=section.get_address('packet_address'),
-        ready_address=section.get_address('ready_address'),
-        peer_address=(host, section.get_port('peer_ports')),
-        seeds=section.get_hosts('seeds'),
-        store_address=section.get_address('store_address'),
-        cores=share * section.get_number('core_speed', 1.0),
-        link_mbps=section.get_number('link_mbps', 0.0),
-        grace_seconds=section.get_number('grace_seconds', _GRACE_SECONDS),
-        flow_seconds=section.get_number('flow_seconds', _FLOW_SECONDS),
-        zones=section.get_texts('zones'),
-        evacuation_seconds=section.get_seconds('evacuation_ms'),
-        warm_up_factor=section.get_number('warm_up_factor', 1.0),
-        warm_up_slack=section.find_number('warm_up_slack'),
-        change_seconds=section.get_seconds('change_ms', _CHANGE_SECONDS),
-        disturbed_seconds=section.get_seconds(
-            'disturbed_ms', _DISTURBED_SECONDS
+        name=reader.get_string('name'),
+        zone=reader.get_string('zone'),
+        packet_address=reader.get_address('packet_address'),
+        ready_address=reader.get_address('ready_address'),
+        peer_address=(host, reader.get_port('peer_ports')),
+        seeds=reader.get_hosts('seeds'),
+        store_address=reader.get_address('store_address'),
+        cores=core_share * reader.get_number('core_speed', 1.0),
+        link_mbps=reader.get_number('link_mbps', 0.0),
+        grace_seconds=reader.get_number(
+            'grace_seconds', _DEFAULT_GRACE_SECONDS
         ),
-        terms=section.get_texts('terms'),
+        flow_seconds=reader.get_number('flow_seconds', _DEFAULT_FLOW_SECONDS),
+        zones=reader.get_strings('zones'),
+        evacuation_seconds=reader.get_seconds('evacuation_ms'),
+        warm_up_factor=reader.get_number('warm_up_factor', 1.0),
+        warm_up_slack=reader.get_optional_number('warm_up_slack'),
+        change_seconds=reader.get_seconds(
+            'change_ms', _DEFAULT_CHANGE_SECONDS
+        ),
+        disturbed_seconds=reader.get_seconds(
+            'disturbed_ms', _DEFAULT_DISTURBED_SECONDS
+        ),
+        terms=reader.get_strings('terms'),
     )
 
 
-class _Section:
-    """The fields of the file, with its name for messages."""
+class _FieldReader:
+    """Reads typed fields of a settings file."""
 
     __slots__ = ('_fields', '_source')
 
@@ -245,22 +254,22 @@
         self._fields = fields
         self._source = source
 
-    def get_text(self, name: str) -> str:
+    def get_string(self, name: str) -> str:
         value = self._fields.get(name)
         if not isinstance(value, str) or not value:
-            raise self._complain(name, 'a text is wanted')
+            raise self._build_error(name, 'must be a non-empty string')
         return value
 
     def get_number(self, name: str, default: float) -> float:
         value = self._fields.get(name, default)
         if isinstance(value, bool) or not isinstance(value, (int, float)):
-            raise self._complain(name, 'a number is wanted')
+            raise self._build_error(name, 'must be a number')
         if not 0 <= value < 1e9:
-            raise self._complain(name, f'{value} is out of range')
+            raise self._build_error(name, f'{value} is out of range')
         return float(value)
 
-    def find_number(self, name: str) -> float | None:
-        """Read a number; None where there is none."""
+    def get_optional_number(self, name: str) -> float | None:
+        """Read a number; None if the field is missing."""
         if name not in self._fields:
             return None
         return self.get_number(name, 0.0)
@@ -268,39 +277,39 @@
     def get_seconds(
         self, name: str, default: float | None = None
     ) -> float | None:
-        """Read a number of milliseconds; the default where there is none."""
-        milliseconds = self.find_number(name)
+        """Convert milliseconds to seconds; the default if missing."""
+        milliseconds = self.get_optional_number(name)
         return default if milliseconds is None else milliseconds / 1000
 
-    def get_texts(self, name: str) -> tuple[str, ...]:
+    def get_strings(self, name: str) -> tuple[str, ...]:
         values = self._fields.get(name, [])
         is_list = isinstance(values, list)
         if not is_list or not all(isinstance(each, str) for each in values):
-            raise self._complain(name, 'a list of texts is wanted')
+            raise self._build_error(name, 'must be a list of strings')
         return tuple(values)
 
     def get_address(self, name: str) -> tuple[str, int]:
-        host, _, port = self.get_text(name).rpartition(':')
+        host, _, port = self.get_string(name).rpartition(':')
         if not host or not port.isdecimal() or int(port) > _MAXIMUM_PORT:
-            raise self._complain(name, 'host:port is wanted')
+            raise self._build_error(name, 'must have the form host:port')
         return (host, int(port))
 
     def get_port(self, name: str) -> int:
-        """Read the first one of a range of ports."""
+        """Read a range of ports and return the first one."""
         ports = self._fields.get(name)
         is_range = isinstance(ports, list) and len(ports) == 2
         if not is_range or not all(type(each) is int for each in ports):
-            raise self._complain(name, 'two ports are wanted')
+            raise self._build_error(name, 'must be a list of two port numbers')
         if not 0 < ports[0] <= ports[1] <= _MAXIMUM_PORT:
-            raise self._complain(name, 'out of range')
+            raise self._build_error(name, 'the port range is out of range')
         return ports[0]
 
     def get_hosts(self, name: str) -> tuple[str, ...]:
-        """Read a list of addresses, of which only the hosts count."""
+        """Read a list of addresses and return their hosts."""
         values = self._fields.get(name, [])
         if not isinstance(values, list):
-            raise self._complain(name, 'a list is wanted')
+            raise self._build_error(name, 'must be a list')
         return tuple(str(each).rpartition(':')[0] for each in values)
 
-    def _complain(self, name: str, reason: str) -> errors.SettingsError:
+    def _build_error(self, name: str, reason: str) -> errors.SettingsError:
         return errors.SettingsError(reason, self._source, f'$.{name}')
--- a/skylarkfold/member.py
+++ b/skylarkfold/member.py
@@ -1,4 +1,4 @@
-"""Instances of the system as one of them sees the others."""
+"""An instance's view of the members of the system."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class MemberState(enum.StrEnum):
-    """How an instance is seen.
+    """The state of a member as another instance sees it.
 
-    ``SUSPECT`` members still own what they owned: only ``DEAD`` and
-    ``LEFT`` ones lose it.
+    ``SUSPECT`` members keep the state that they own; only ``DEAD`` and
+    ``LEFT`` members lose it.
     """
 
     JOINING = 'joining'
@@ -24,12 +24,12 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether messages to such a member are worth sending."""
+        """Whether a member in this state may still receive messages."""
         return self not in (MemberState.DEAD, MemberState.LEFT)
 
     @property
     def may_own(self) -> bool:
-        """Tell whether such a member may be given new state to hold."""
+        """Whether a member in this state may be assigned state to own."""
         return self in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
@@ -40,12 +40,12 @@
     :param name: the instance's name, from its settings.
     :param zone: its availability zone.
     :param region: its region.
-    :param address: where it takes peers' streams.
-    :param incarnation: rises at each start and each refuted suspicion;
-        two processes under one name differ in it.
-    :param state: how it is seen.
-    :param revision: the configuration revision in force there, as last
-        reported.
+    :param address: the address that accepts streams from peers.
+    :param incarnation: a number that increases at each start and with each
+        refuted suspicion, and tells processes of the same name apart.
+    :param state: its state as seen from here.
+    :param revision: the last reported revision of the configuration in
+        force there.
     """
 
     name: str
@@ -58,30 +58,30 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether messages to it are worth sending."""
+        """Whether it may still receive messages."""
         return self.state.is_reachable
 
     @property
     def may_own(self) -> bool:
-        """Tell whether it may be given new state to hold."""
+        """Whether it may be assigned state to own."""
         return self.state.may_own
 
     @property
     def capacity(self) -> int:
-        """Members are told apart by their hash alone."""
+        """Always 0, so that members are ranked by their hash alone."""
         return 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Membership:
-    """All members that an instance knows, itself included.
-
-    :param version: rises with each change on this instance only.
-    :param members: by name.
-    :param minimum_revision: the lowest configuration revision in force on
-        any reachable member, as far as it is known here.
-    :param topology: changes when a member comes, goes or changes its
-        state or incarnation; 0 where nobody counts it.
+    """All members that an instance knows, including itself.
+
+    :param version: a counter of changes, local to this instance.
+    :param members: the members by name.
+    :param minimum_revision: the lowest known revision of the configuration
+        in force on any reachable member.
+    :param topology: a counter that changes when a member is added or
+        removed or changes its state or incarnation; 0 if not maintained.
     """
 
     version: int
--- a/skylarkfold/message.py
+++ b/skylarkfold/message.py
@@ -1,9 +1,8 @@
-"""The base of all messages between instances.
+"""The base class of all messages between instances.
 
-Each subsystem declares its messages beside its decisions; the codec in
-:mod:`skylarkfold.codec` knows them all. Tags are unique numbers:
-flows 1 to 19, requests 20 to 39, configuration 40 to 59, membership 60
-to 79.
+Each subsystem defines its own messages; :mod:`skylarkfold.codec` encodes
+them all. Tags are unique: flows use 1 to 19, requests 20 to 39, configuration
+40 to 59 and membership 60 to 79.
 """
 
 from __future__ import annotations
@@ -12,8 +11,8 @@
 
 import msgspec
 
-# Bounds that leave room for arithmetic on what a peer sent: a number
-# beyond them makes the message malformed.
+# Bounds that prevent overflow in arithmetic on a peer's numbers; a message
+# with a number out of range is malformed.
 Count = Annotated[int, msgspec.Meta(ge=0, le=1 << 62)]
 Milliseconds = Annotated[int, msgspec.Meta(ge=-1, le=1 << 40)]
 
@@ -21,5 +20,5 @@
 class PeerMessage(msgspec.Struct, frozen=True, array_like=True):
     """A message from one instance to another.
 
-    A subclass names its tag: ``class Ping(PeerMessage, tag=60)``.
+    A subclass defines its tag: ``class Ping(PeerMessage, tag=60)``.
     """
--- a/skylarkfold/metric.py
+++ b/skylarkfold/metric.py
@@ -1,4 +1,4 @@
-"""The names of all metrics and their way to statsd."""
+"""The names of all metrics, and counters that are sent to statsd."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 STORE_REFUSED = 'store.refused'
 STORE_STALE = 'store.stale'
 
-# Followed by a dot and the reason, verdict or kind.
+# Prefixes, to which a dot and a reason, verdict or kind are appended.
 FLOWS_DROPPED = 'flows.dropped'
 REQUESTS_ANSWERED = 'requests'
 STORE_CALLS = 'store'
@@ -64,17 +64,18 @@
 
 
 class Counters:
-    """Counts in memory and sends the totals to statsd now and then.
+    """Counters that are kept in memory and sent to statsd periodically.
 
     :param instance: the name of this instance, part of each metric's name.
-    :param server: where statsd listens, None to send nothing.
+    :param server: the address of statsd; None to send nothing.
+    :ivar totals: the counters by name, since the start.
     """
 
     def __init__(
         self, instance: str, server: endpoint.Endpoint | None
     ) -> None:
         self.totals: dict[str, int] = collections.defaultdict(int)
-        self._sent: dict[str, int] = {}
+        self._sent_totals: dict[str, int] = {}
         self._client: statsd.StatsClient | None = None
         if server is not None:
             self._client = statsd.StatsClient(
@@ -84,19 +85,19 @@
     def add(self, name: str, amount: int = 1) -> None:
         """Add to a counter.
 
-        :param name: one of this module's names or a core's.
-        :param amount: how much.
+        :param name: the name of the counter.
+        :param amount: the amount to add.
         """
         self.totals[name] += amount
 
     def flush(self) -> None:
-        """Send what has been counted since the last call."""
+        """Send the increments since the last call."""
         totals = dict(self.totals)
-        if self._client is None or totals == self._sent:
+        if self._client is None or totals == self._sent_totals:
             return
         with self._client.pipeline() as pipeline:
             for name, total in totals.items():
-                amount = total - self._sent.get(name, 0)
+                amount = total - self._sent_totals.get(name, 0)
                 if amount:
                     pipeline.incr(name, amount)
-        self._sent = totals
+        self._sent_totals = totals
--- a/skylarkfold/node.py
+++ b/skylarkfold/node.py
@@ -1,7 +1,7 @@
-"""One instance's decisions: all cores behind a single interface.
+"""All decision cores of one instance behind a single interface.
 
-A node has typed events as its inputs and typed effects as its outputs.
-It does no I/O; the daemon, a benchmark or a test performs its effects.
+A node takes typed events and returns typed effects. It does no I/O itself;
+the daemon, a benchmark or a test performs the effects.
 """
 
 from __future__ import annotations
@@ -17,27 +17,31 @@
 from skylarkfold import event
 
 
-# What other cores see and the surroundings need as well: listeners follow
-# the configuration, connections follow the membership.
-_SHOWN_OUTSIDE = (effect.PublishConfiguration, effect.PublishMembership)
+# Effects that are performed outside the node as well as passed to the other
+# cores: listeners depend on the configuration, streams on the membership.
+_ALSO_EXTERNAL_EFFECTS = (
+    effect.PublishConfiguration,
+    effect.PublishMembership,
+)
 
 
 class StoppableCore(core.Core, Protocol):
-    """A core that has work to finish or hand on before a stop."""
+    """A core that has work to finish or hand over before a stop."""
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether nothing is left to finish or hand on."""
+        """Whether no work is left to finish or hand over."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoreBinding:
-    """A core with the messages and events that only it handles.
+    """A core and the messages, events and answers routed to it alone.
 
     :param core: the core.
-    :param messages: the peer message types that it takes.
-    :param first_call_number: the lowest platform call number that it issues.
-    :param events: the event types that it alone takes.
+    :param messages: the types of peer messages that it handles.
+    :param first_call_number: the lowest number of its platform calls;
+        negative if it makes none.
+    :param events: the event types that only this core receives.
     """
 
     core: core.Core
@@ -57,11 +61,10 @@
 
 @functools.singledispatch
 def convert_to_event(produced: object) -> object | None:
-    """Turn an effect into the event that other cores see.
+    """Convert an effect of one core into an event for all cores.
 
-    :param produced: an effect of one core.
-    :returns: an event for the other cores, or None if the effect is for
-        the surroundings.
+    :param produced: the effect.
+    :returns: the event; None if the effect is performed outside the node.
     """
     return None
 
@@ -99,34 +102,40 @@
 class Node:
     """All cores of one instance.
 
-    :param parts: the cores, in the order in which they see an event.
+    :param bindings: the cores, in the order in which they receive an event.
     """
 
-    def __init__(self, parts: typing.Sequence[CoreBinding]) -> None:
-        self._parts = tuple(parts)
-        self._all = tuple(part.core for part in parts)
-        self._by_message = {
-            message: (part.core,)
-            for part in parts
-            for message in part.messages
+    def __init__(self, bindings: typing.Sequence[CoreBinding]) -> None:
+        self._bindings = tuple(bindings)
+        self._cores = tuple(binding.core for binding in bindings)
+        self._cores_by_message = {
+            message: (binding.core,)
+            for binding in bindings
+            for message in binding.messages
         }
-        self._by_event = {
-            kind: (part.core,) for part in parts for kind in part.events
+        self._cores_by_event = {
+            kind: (binding.core,)
+            for binding in bindings
+            for kind in binding.events
         }
-        self._by_call = sorted(
-            (part for part in parts if part.first_call_number >= 0),
-            key=lambda part: part.first_call_number,
+        self._bindings_by_call = sorted(
+            (
+                binding
+                for binding in bindings
+                if binding.first_call_number >= 0
+            ),
+            key=lambda binding: binding.first_call_number,
             reverse=True,
         )
         self._stopping = False
         self._stopped = False
 
     def handle(self, now: float, received: object) -> list[object]:
-        """Take one event and everything that follows from it here.
+        """Handle one event and all events that it causes between cores.
 
         :param now: the time in seconds of a monotonic clock.
         :param received: an event of :mod:`skylarkfold.event`.
-        :returns: effects for the surroundings, in order.
+        :returns: the effects to perform outside the node, in order.
         """
         if isinstance(received, event.StopRequested):
             self._stopping = True
@@ -134,40 +143,42 @@
         outgoing: list[object] = []
         while pending:
             current = pending.popleft()
-            for taker in self._list_takers(current):
-                for produced in taker.handle(now, current):
-                    self._sort(produced, pending, outgoing)
-        self._add_stop(outgoing)
+            for receiver in self._list_receivers(current):
+                for produced in receiver.handle(now, current):
+                    self._route(produced, pending, outgoing)
+        self._append_stop_finished(outgoing)
         return outgoing
 
-    def _sort(
+    def _route(
         self,
         produced: object,
         pending: collections.deque[object],
         outgoing: list[object],
     ) -> None:
-        following = convert_to_event(produced)
-        if following is not None:
-            pending.append(following)
-        if following is None or isinstance(produced, _SHOWN_OUTSIDE):
+        internal_event = convert_to_event(produced)
+        if internal_event is not None:
+            pending.append(internal_event)
+        if internal_event is None or isinstance(
+            produced, _ALSO_EXTERNAL_EFFECTS
+        ):
             outgoing.append(produced)
 
-    def _add_stop(self, outgoing: list[object]) -> None:
+    def _append_stop_finished(self, outgoing: list[object]) -> None:
         if not self._stopping or self._stopped:
             return
-        if all(getattr(each, 'is_finished', True) for each in self._all):
+        if all(getattr(each, 'is_finished', True) for each in self._cores):
             self._stopped = True
             outgoing.append(effect.StopFinished())
 
-    def _list_takers(self, current: object) -> tuple[core.Core, ...]:
+    def _list_receivers(self, current: object) -> tuple[core.Core, ...]:
         if isinstance(current, event.PeerMessageReceived):
-            return self._by_message.get(type(current.message), ())
+            return self._cores_by_message.get(type(current.message), ())
         if isinstance(current, event.PlatformAnswered):
-            return self._find_caller(current.call)
-        return self._by_event.get(type(current), self._all)
+            return self._find_calling_core(current.call)
+        return self._cores_by_event.get(type(current), self._cores)
 
-    def _find_caller(self, call: int) -> tuple[core.Core, ...]:
-        for part in self._by_call:
-            if call >= part.first_call_number:
-                return (part.core,)
+    def _find_calling_core(self, call: int) -> tuple[core.Core, ...]:
+        for binding in self._bindings_by_call:
+            if call >= binding.first_call_number:
+                return (binding.core,)
         return ()
--- a/skylarkfold/object_cache.py
+++ b/skylarkfold/object_cache.py
@@ -1,4 +1,4 @@
-"""A cache of the store's objects."""
+"""A cache of the objects in the platform's store."""
 
 from __future__ import annotations
 
@@ -16,42 +16,45 @@
 class ObjectCache:
     """The newest known version of every object, with tombstones.
 
-    The store's revision orders all writes, so merging is safe in any
-    order: of two forms of an object the one of the higher revision wins.
+    Revisions order all writes of the store, so versions may arrive in any
+    order: the one with the highest revision wins.
 
-    :param tombstones: how many deletions to remember.
-    :param begin: the revision before all others.
+    :param tombstones: the maximum number of deletions to remember.
+    :param begin: the initial position and floor.
+    :ivar position: the revision up to which all changes are known.
+    :ivar floor: the revision up to which deletions may be unknown.
     """
 
     __slots__ = (
-        '_dead',
+        '_deletion_revisions',
         '_digest',
         '_objects',
-        '_tombstones',
+        '_tombstone_limit',
         'floor',
         'position',
     )
 
     def __init__(self, tombstones: int, begin: int = 0) -> None:
         self._objects: dict[str, platform_api.StoredObject] = {}
-        self._dead: dict[str, int] = {}
-        self._tombstones = tombstones
+        self._deletion_revisions: dict[str, int] = {}
+        self._tombstone_limit = tombstones
         self._digest: int | None = None
         self.position = begin
         self.floor = begin
 
     def get(self, path: str) -> platform_api.StoredObject | None:
-        """Find an object.
+        """Return an object.
 
         :param path: its path.
-        :returns: its newest known form, or None if it was never seen.
+        :returns: its newest known version, which may be a tombstone; None
+            if there is none.
         """
         return self._objects.get(path)
 
     def put(
         self, candidate: platform_api.StoredObject, is_listed: bool = False
     ) -> bool:
-        """Keep an object if it is newer than what is known.
+        """Store an object if it is newer than the known version.
 
         :param candidate: an object from any source.
         :param is_listed: whether the platform has just listed it at a
@@ -60,8 +63,8 @@
         """
         known = self._objects.get(candidate.path)
         if known is None:
-            # An unknown object below the floor may be one whose deletion
-            # was forgotten: only a listing may bring it back.
+            # An unknown object below the floor may have been deleted, with
+            # its tombstone already evicted: accept it from a listing only.
             is_newer = is_listed or candidate.revision > self.floor
         else:
             is_newer = candidate.revision > known.revision
@@ -69,17 +72,17 @@
             return False
         self._objects[candidate.path] = candidate
         self._digest = None
-        self._dead.pop(candidate.path, None)
+        self._deletion_revisions.pop(candidate.path, None)
         if candidate.value is None:
-            self._dead[candidate.path] = candidate.revision
-            self._forget_tombstones()
+            self._deletion_revisions[candidate.path] = candidate.revision
+            self._evict_tombstones()
         return True
 
     def advance(self, position: int) -> bool:
-        """Raise the position; it never falls.
+        """Raise the position; lower values are ignored.
 
-        :param position: all changes up to here are known.
-        :returns: whether it rose.
+        :param position: the revision up to which all changes are known.
+        :returns: whether the position changed.
         """
         if position <= self.position:
             return False
@@ -88,17 +91,17 @@
         return True
 
     def raise_floor(self, floor: int) -> None:
-        """Note that deletions up to a revision may be unknown here.
+        """Record that deletions up to a revision may be unknown.
 
         :param floor: the revision.
         """
         self.floor = max(self.floor, floor)
 
     def list_after(self, revision: int) -> list[platform_api.StoredObject]:
-        """List the objects above a revision, ones after the position too.
+        """List the objects above a revision, even beyond the position.
 
-        :param revision: where to begin, exclusive.
-        :returns: the objects by rising revision.
+        :param revision: the lower bound, exclusive.
+        :returns: the objects in order of revision.
         """
         found = [
             each for each in self._objects.values() if revision < each.revision
@@ -108,31 +111,32 @@
     def list_absent(
         self, revision: int, present: Iterable[str]
     ) -> list[platform_api.StoredObject]:
-        """List live objects up to a revision that a listing lacks.
+        """List live objects that are missing from a listing.
 
-        :param revision: the listing's revision.
+        :param revision: the revision of the listing; newer objects are
+            left out.
         :param present: the paths in the listing.
-        :returns: the objects that are no longer there.
+        :returns: the objects that the store no longer has.
         """
-        kept = set(present)
+        present_paths = set(present)
         return [
             each
             for each in self._objects.values()
             if each.revision <= revision
             and each.value is not None
-            and each.path not in kept
+            and each.path not in present_paths
         ]
 
     def compute_digest(self) -> int:
         """Compute a digest of the live objects up to the position.
 
-        :returns: 32 bits, equal on instances that agree.
+        :returns: a 32-bit digest that is equal for equal content.
         """
         if self._digest is None:
-            self._digest = self._sum_hashes()
+            self._digest = self._combine_hashes()
         return self._digest
 
-    def _sum_hashes(self) -> int:
+    def _combine_hashes(self) -> int:
         total = 0
         for each in self._objects.values():
             if each.revision <= self.position and each.value is not None:
@@ -141,10 +145,13 @@
                 )
         return total
 
-    def _forget_tombstones(self) -> None:
-        while len(self._dead) > self._tombstones:
-            path = min(self._dead, key=self._dead.__getitem__)
-            self.floor = max(self.floor, self._dead.pop(path))
+    def _evict_tombstones(self) -> None:
+        while len(self._deletion_revisions) > self._tombstone_limit:
+            path = min(
+                self._deletion_revisions,
+                key=self._deletion_revisions.__getitem__,
+            )
+            self.floor = max(self.floor, self._deletion_revisions.pop(path))
             del self._objects[path]
 
 
--- a/skylarkfold/overlay.py
+++ b/skylarkfold/overlay.py
@@ -1,9 +1,9 @@
-"""Which instances an instance keeps streams to.
+"""The overlay network of instances: who keeps streams to whom.
 
-Every instance computes the same overlay from the same members: a few
-rings within each zone, and a few delegates of each zone linked to their
-counterparts in the other zones. Its cost for one instance does not grow
-with the fleet. Small fleets are meshes.
+Every instance computes the same overlay from the same membership: several
+rings within each zone, and several delegates of each zone that are linked to
+delegates of the other zones. The number of streams of an instance does not
+grow with the number of instances. Small fleets form a full mesh.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class OverlayMember(light_imports.Protocol):
-    """An instance as the overlay sees it.
+    """The properties of an instance that determine the overlay.
 
     :ivar name: its name.
     :ivar zone: its availability zone.
-    :ivar is_reachable: whether messages to it are worth sending.
-    :ivar may_own: whether it may be given duties.
-    :ivar capacity: the more of it, the sooner it is given duties.
+    :ivar is_reachable: whether it may still receive messages.
+    :ivar may_own: whether it may be assigned duties.
+    :ivar capacity: its rank for duties; a higher capacity ranks first.
     """
 
     name: str
@@ -45,7 +45,7 @@
 RINGS = 2
 DELEGATES = 3
 READERS = 2
-_CACHED_HASHES = 4096
+_HASH_CACHE_SIZE = 4096
 
 
 def list_neighbours(
@@ -55,7 +55,8 @@
 
     :param membership: all members.
     :param name: the instance.
-    :param mesh_limit: up to so many instances are a mesh.
+    :param mesh_limit: the largest number of reachable instances that form a
+        full mesh.
     :returns: names in a fixed order, without the instance itself.
     """
     reachable = [
@@ -64,24 +65,24 @@
         if each.is_reachable or each.name == name
     ]
     if len(reachable) <= mesh_limit:
-        return tuple(sorted(_list_others(reachable, name)))
+        return tuple(sorted(_list_other_names(reachable, name)))
     own = membership.members.get(name)
     if own is None:
         return ()
-    mates = [each.name for each in reachable if each.zone == own.zone]
-    links = set(_list_ring_mates(mates, name))
-    links.update(_list_counterparts(reachable, own))
+    zone_names = [each.name for each in reachable if each.zone == own.zone]
+    links = set(_list_ring_neighbours(zone_names, name))
+    links.update(_list_delegate_links(reachable, own))
     links.discard(name)
     return tuple(sorted(links))
 
 
 def rank_in_zone(membership: OverlayMembership, name: str) -> int:
-    """Rank an instance among its zone's, for duties that few have.
+    """Rank an instance within its zone for duties that only a few take.
 
     :param membership: all members.
     :param name: the instance.
-    :returns: 0 for the first; as many as there are owners for one that
-        may not own anything itself.
+    :returns: its rank, starting at 0; the number of eligible members if the
+        instance itself is not eligible.
     """
     own = membership.members.get(name)
     if own is None:
@@ -91,74 +92,83 @@
 
 
 def rank_zone(members: Iterable[OverlayMember], zone: str) -> list[str]:
-    """Order a zone's instances for duties that few have.
+    """Rank the instances of a zone for duties that only a few take.
 
-    :param members: any members.
+    :param members: members of any zones.
     :param zone: the zone.
-    :returns: the names of those that may own state.
+    :returns: the names of the zone's eligible members, highest rank first.
     """
-    able = [each for each in members if each.zone == zone and each.may_own]
-    return [each.name for each in sorted(able, key=_rank)]
+    eligible = [each for each in members if each.zone == zone and each.may_own]
+    return [each.name for each in sorted(eligible, key=_get_rank_key)]
 
 
-def _list_others(members: Iterable[OverlayMember], name: str) -> Iterable[str]:
+def _list_other_names(
+    members: Iterable[OverlayMember], name: str
+) -> Iterable[str]:
     return (each.name for each in members if each.name != name)
 
 
-def _list_ring_mates(names: list[str], name: str) -> Iterable[str]:
+def _list_ring_neighbours(names: list[str], name: str) -> Iterable[str]:
     for ring in range(RINGS):
-        order = sorted(names, key=lambda each: _hash_ring(each, ring))
-        place = order.index(name)
-        yield order[place - 1]
-        yield order[(place + 1) % len(order)]
+        order = sorted(names, key=lambda each: _hash_ring_position(each, ring))
+        position = order.index(name)
+        yield order[position - 1]
+        yield order[(position + 1) % len(order)]
 
 
-def _list_counterparts(
+def _list_delegate_links(
     members: list[OverlayMember], own: OverlayMember
 ) -> Iterable[str]:
-    ours = rank_zone(members, own.zone)[:DELEGATES]
-    if own.name not in ours:
+    own_delegates = rank_zone(members, own.zone)[:DELEGATES]
+    if own.name not in own_delegates:
         return
-    delegates = _rank_zones(members)
+    delegates = _list_delegates(members)
     zones = sorted(delegates)
-    place = ours.index(own.name)
+    position = own_delegates.index(own.name)
     for zone in zones:
-        theirs = delegates[zone]
-        if zone == own.zone or not theirs:
+        zone_delegates = delegates[zone]
+        if zone == own.zone or not zone_delegates:
             continue
-        yield theirs[place % len(theirs)]
-        yield from _list_reverse(theirs, len(ours), place)
+        yield zone_delegates[position % len(zone_delegates)]
+        yield from _list_reverse_links(
+            zone_delegates, len(own_delegates), position
+        )
 
 
-def _rank_zones(members: list[OverlayMember]) -> dict[str, list[str]]:
+def _list_delegates(members: list[OverlayMember]) -> dict[str, list[str]]:
     zones: dict[str, list[OverlayMember]] = {}
     for each in members:
-        owners = zones.setdefault(each.zone, [])
+        eligible = zones.setdefault(each.zone, [])
         if each.may_own:
-            owners.append(each)
+            eligible.append(each)
     return {
         zone: [
-            each.name for each in heapq.nsmallest(DELEGATES, owners, key=_rank)
+            each.name
+            for each in heapq.nsmallest(DELEGATES, eligible, key=_get_rank_key)
         ]
-        for zone, owners in zones.items()
+        for zone, eligible in zones.items()
     }
 
 
-def _rank(each: OverlayMember) -> tuple[int, int]:
+def _get_rank_key(each: OverlayMember) -> tuple[int, int]:
     return (-each.capacity, _hash_rank(each.name))
 
 
-def _list_reverse(theirs: list[str], count: int, place: int) -> list[str]:
+def _list_reverse_links(
+    zone_delegates: list[str], count: int, position: int
+) -> list[str]:
     return [
-        name for index, name in enumerate(theirs) if index % count == place
+        name
+        for index, name in enumerate(zone_delegates)
+        if index % count == position
     ]
 
 
-@functools.lru_cache(maxsize=_CACHED_HASHES)
-def _hash_ring(name: str, ring: int) -> int:
+@functools.lru_cache(maxsize=_HASH_CACHE_SIZE)
+def _hash_ring_position(name: str, ring: int) -> int:
     return xxhash.xxh3_64_intdigest(name.encode(), seed=ring + 1)
 
 
-@functools.lru_cache(maxsize=_CACHED_HASHES)
+@functools.lru_cache(maxsize=_HASH_CACHE_SIZE)
 def _hash_rank(name: str) -> int:
     return xxhash.xxh3_64_intdigest(name.encode())
--- a/skylarkfold/platform_api.py
+++ b/skylarkfold/platform_api.py
@@ -1,4 +1,4 @@
-"""Objects, calls and answers of the platform's object API."""
+"""Types of the platform's object API: objects, calls and answers."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 class StoredObject:
     """One object of the platform's store.
 
-    :param path: where it is kept, for example ``/teams/desk/settings``.
-    :param version: the object's own version; 1 when created.
+    :param path: its path, for example ``/teams/desk/settings``.
+    :param version: the object's own version, starting at 1.
     :param revision: the store's revision at which it was written.
-    :param value: its bytes; None once it is deleted.
+    :param value: its content; None if it was deleted.
     """
 
     path: str
@@ -40,9 +40,10 @@
 class WatchObjects:
     """Wait for changes under a prefix after a revision.
 
-    :param prefix: the subtree.
+    :param prefix: the path prefix to watch.
     :param revision: the last revision already seen.
-    :param wait_seconds: how long the platform may hold the call.
+    :param wait_seconds: how long the platform may delay its answer if there
+        are no changes.
     """
 
     prefix: str
@@ -54,9 +55,10 @@
 class WriteObject:
     """Write one object if its version is still the expected one.
 
-    :param path: where.
-    :param value: the bytes; None deletes.
-    :param expected_version: the version that must be there; 0 for none.
+    :param path: the path of the object.
+    :param value: the new content; None to delete the object.
+    :param expected_version: the version that must be stored; 0 if the object
+        must not exist.
     """
 
     path: str
@@ -77,7 +79,7 @@
 class PlatformStatus(enum.StrEnum):
     """How a platform call ended.
 
-    ``UNKNOWN`` says that no answer came: a write may have taken effect.
+    ``UNKNOWN`` means that no answer arrived; a write may have taken effect.
     """
 
     OK = 'ok'
@@ -94,7 +96,7 @@
     :param name: the instance's name.
     :param zone: its availability zone.
     :param region: its region.
-    :param address: where it takes peers' streams, ``host:port``.
+    :param address: the address for streams from peers, as ``host:port``.
     :param leaving: whether the platform is about to stop it.
     """
 
@@ -111,8 +113,8 @@
 
     :param status: how the call ended.
     :param objects: the objects read or written.
-    :param revision: the store's revision, 0 where unknown.
-    :param instances: for :class:`ListInstances`.
+    :param revision: the store's revision; 0 if unknown.
+    :param instances: the instances, for :class:`ListInstances`.
     """
 
     status: PlatformStatus
@@ -121,10 +123,10 @@
     instances: tuple[ListedInstance, ...] = ()
 
     def find_object(self, path: str) -> StoredObject | None:
-        """Find an object that exists among those of the answer.
+        """Find an existing object in the answer.
 
-        :param path: the object.
-        :returns: it; None where it is not there or was deleted.
+        :param path: the path of the object.
+        :returns: the object; None if it is missing or was deleted.
         """
         for each in self.objects:
             if each.path == path and each.value is not None:
--- a/skylarkfold/request.py
+++ b/skylarkfold/request.py
@@ -1,4 +1,4 @@
-"""One-off requests, their attempts and their answers."""
+"""Requests, the outcomes of their attempts, and their answers."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Priority(enum.IntEnum):
-    """The class of a request; a lower number goes first.
+    """The priority class of a request; lower numbers are served first.
 
-    Callers name it with the header of RFC 9218: urgency 0 and 1 are
-    alerts, 2 to 4 exchanges, 5 to 7 bulk.
+    Callers set it with the ``Priority`` header of RFC 9218: urgency 0 and 1
+    are alerts, 2 to 4 exchanges, 5 to 7 bulk.
     """
 
     ALERT = 0
@@ -30,17 +30,17 @@
 class Request:
     """A caller's request.
 
-    :param number: unique on the instance that received it.
+    :param number: a number that is unique on the receiving instance.
     :param service: the service's name.
     :param method: the HTTP method.
     :param target: the path and query.
     :param headers: end-to-end headers, names in lower case.
-    :param body: the whole body.
-    :param key: the caller's idempotency key, empty where it gave none.
+    :param body: the complete body.
+    :param key: the caller's idempotency key; empty if there is none.
     :param idempotent: whether it may be executed more than once.
-    :param priority: its class.
-    :param timeout_seconds: the time left to the caller's deadline when
-        the request arrived.
+    :param priority: its priority class.
+    :param timeout_seconds: the time from the request's arrival to the
+        caller's deadline.
     """
 
     number: int
@@ -62,9 +62,11 @@
     :param verdict: whether the request may have run.
     :param status: the HTTP status.
     :param headers: end-to-end headers, names in lower case.
-    :param body: the whole body.
-    :param code: why it was refused or failed, empty where it ran.
-    :param retry_after_seconds: when to come back, None for no advice.
+    :param body: the complete body.
+    :param code: the error code if it was refused or failed; otherwise
+        empty.
+    :param retry_after_seconds: the delay to suggest before a retry; None to
+        suggest none.
     """
 
     verdict: verdict_module.Verdict
@@ -78,10 +80,11 @@
 class Outcome(enum.StrEnum):
     """How an attempt at an upstream ended.
 
-    ``REFUSED``: the upstream said that it did not run it (shedding,
-    draining or a deadline that had passed). ``UNREACHABLE``: no byte of
-    the request was sent. ``BROKEN``: the connection ended before a whole
-    answer. ``TIMED_OUT``: no whole answer in time.
+    ``REFUSED``: the upstream reported that it did not run the request
+    (because of overload, draining or an expired deadline).
+    ``UNREACHABLE``: no byte of the request was sent. ``BROKEN``: the
+    connection ended before the answer was complete. ``TIMED_OUT``: the
+    answer was not complete in time.
     """
 
     ANSWERED = 'answered'
--- a/skylarkfold/revision.py
+++ b/skylarkfold/revision.py
@@ -1,30 +1,30 @@
-"""Points in the history of the platform's store."""
+"""Revisions of the platform's store, which include its era."""
 
 from __future__ import annotations
 
 from skylarkfold import errors
 
-# Both together fit into the 62 bits that messages allow for a number. A store
-# that writes a hundred thousand times a second gets to the end of an era
-# after ninety years.
+# Era and number together fit into the 62 bits that messages allow for an
+# integer. At a hundred thousand writes a second, the numbers of an era last
+# for ninety years.
 _NUMBER_BITS = 48
 _ERA_BITS = 14
 MAXIMUM_NUMBER = (1 << _NUMBER_BITS) - 1
 MAXIMUM_ERA = (1 << _ERA_BITS) - 1
-_MOST_ERA_DIGITS = len(str(MAXIMUM_ERA))
+_MAXIMUM_ERA_DIGITS = len(str(MAXIMUM_ERA))
 
 
 class Revision(int):
-    """A point in the store's history: its era, then its number in it.
+    """A revision of the store: its era and the number within the era.
 
-    The store's counter goes back when the store does: whenever it comes back
-    from an older copy, a new era begins, and numbers are given out again. So
-    only both together tell which of two points is the later one. They are
-    one integer, so that no comparison can leave one of them out.
+    When the store is restored from an older copy, its counter goes back and
+    a new era begins, in which numbers are used again. Only era and number
+    together order two revisions. Both are packed into one integer, so every
+    comparison includes both.
 
     :param number: the store's counter, up to ``MAXIMUM_NUMBER``.
-    :param era: how often the store has come back from an older copy, up to
-        ``MAXIMUM_ERA``; 0 where it doesn't say.
+    :param era: how often the store was restored from an older copy, up to
+        ``MAXIMUM_ERA``; 0 if the store does not report it.
     """
 
     __slots__ = ()
@@ -34,12 +34,12 @@
 
     @property
     def era(self) -> int:
-        """The era."""
+        """How often the store had been restored from an older copy."""
         return get_era(int(self))
 
     @property
     def number(self) -> int:
-        """The store's counter in that era."""
+        """The store's counter within the era."""
         return get_number(int(self))
 
     def __repr__(self) -> str:
@@ -50,35 +50,35 @@
 
 
 def get_era(revision: int) -> int:
-    """Tell the era of a revision that came as a plain integer.
+    """Return the era of a revision that is given as a plain integer.
 
-    :param revision: the integer.
+    :param revision: the revision.
     :returns: the era.
     """
     return revision >> _NUMBER_BITS
 
 
 def get_number(revision: int) -> int:
-    """Tell the store's counter of one that came as a plain integer.
+    """Return the number of a revision that is given as a plain integer.
 
-    :param revision: the integer.
-    :returns: the counter.
+    :param revision: the revision.
+    :returns: the store's counter within the era.
     """
     return revision & MAXIMUM_NUMBER
 
 
 def parse_era(text: str) -> int:
-    """Read an era as the store writes it.
+    """Parse an era in the form in which the store sends it.
 
-    :param text: digits.
+    :param text: decimal digits.
     :returns: the era.
-    :raises DecodeError: if it is no number that fits.
+    :raises DecodeError: if the text is not a number or is out of range.
     """
     digits = text.strip()
     is_number = digits.isascii() and digits.isdecimal()
-    if not is_number or len(digits) > _MOST_ERA_DIGITS:
-        raise errors.DecodeError('the era is no number')
+    if not is_number or len(digits) > _MAXIMUM_ERA_DIGITS:
+        raise errors.DecodeError('the store era is not a number')
     era = int(digits)
     if era > MAXIMUM_ERA:
-        raise errors.DecodeError('the era is out of range')
+        raise errors.DecodeError('the store era is out of range')
     return era
--- a/skylarkfold/service.py
+++ b/skylarkfold/service.py
@@ -9,14 +9,14 @@
 
 
 class Preference(enum.StrEnum):
-    """What a service spends its control budget on."""
+    """The goal for which a service uses its control budget."""
 
     CONTINUITY = 'continuity'
     BALANCE = 'balance'
 
 
 class UpstreamState(enum.StrEnum):
-    """The state that operators gave an upstream."""
+    """The administrative state of an upstream, set by operators."""
 
     ACTIVE = 'active'
     DRAINING = 'draining'
@@ -26,15 +26,15 @@
 class Upstream:
     """One back-end process of a service.
 
-    :param name: unique within the service, never reused for another
-        process.
-    :param address: where it takes datagrams and streams.
-    :param zone: the availability zone it runs in.
-    :param request_port: its HTTP port on the same host, 0 for none.
-    :param slots: requests that it runs at the same time.
-    :param connections: flows that it holds at the same time.
-    :param weight: its share of new work relative to the others.
-    :param state: whether it takes new work.
+    :param name: its name, which is unique within the service and never
+        reused for another process.
+    :param address: its address for datagrams and streams.
+    :param zone: the availability zone that it runs in.
+    :param request_port: its HTTP port on the same host; 0 for none.
+    :param slots: the number of requests that it runs concurrently.
+    :param connections: the number of concurrent flows that it supports.
+    :param weight: its share of new work relative to the other upstreams.
+    :param state: its administrative state.
     """
 
     name: str
@@ -48,23 +48,23 @@
 
     @property
     def takes_new_work(self) -> bool:
-        """Tell whether new flows and requests may be sent here."""
+        """Whether it may be given new flows and requests."""
         return self.state is UpstreamState.ACTIVE and self.weight > 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service: one address that callers use and its upstreams.
+    """A service: an address that callers use, and its upstreams.
 
-    :param name: unique in the whole system.
-    :param team: the team whose subtree holds it.
-    :param address: what callers send datagrams and streams to.
+    :param name: its name, which is unique in the whole system.
+    :param team: the team whose subtree defines it.
+    :param address: the address that callers send datagrams and streams to.
     :param upstreams: all upstreams, sorted by name.
-    :param request_port: its HTTP port on the same host, 0 for none.
-    :param preference: what the control budget is spent on.
-    :param flow_idle_seconds: a flow without a packet for so long ended.
-    :param first_datagram: what the datagram that begins a flow starts
-        with; empty where the protocol has no such mark.
+    :param request_port: its HTTP port on the same host; 0 for none.
+    :param preference: the goal for which the control budget is used.
+    :param flow_idle_seconds: the idle time after which a flow has ended.
+    :param first_datagram: the prefix of the first datagram of a flow; empty
+        if the protocol does not mark it.
     """
 
     name: str
@@ -80,7 +80,7 @@
         """Find an upstream by name.
 
         :param name: the upstream's name.
-        :returns: the upstream, or None if the service has no such.
+        :returns: the upstream; None if the service has none of that name.
         """
         for upstream in self.upstreams:
             if upstream.name == name:
--- a/skylarkfold/table.py
+++ b/skylarkfold/table.py
@@ -1,4 +1,4 @@
-"""Results as a table for people or as JSON for programs."""
+"""Output of results as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 _DECIMALS = 4
 
 
-def _format(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, float):
         return f'{value:.{_DECIMALS}g}'
     return str(value)
 
 
 def format_table(results: Sequence[object]) -> list[str]:
-    """Lay out results of one type as aligned columns.
+    """Format results of one type as a table with aligned columns.
 
     :param results: instances of one dataclass.
-    :returns: the lines, the first one with the names.
+    :returns: the lines, of which the first contains the field names.
     """
     if not results:
         return []
     names = [field.name for field in dataclasses.fields(results[0])]
     rows = [names]
     for result in results:
-        rows.append([_format(getattr(result, name)) for name in names])
+        rows.append([_format_value(getattr(result, name)) for name in names])
     widths = [max(map(len, column)) for column in zip(*rows)]
     return [
         '  '.join(cell.ljust(width) for cell, width in zip(row, widths))
@@ -39,7 +39,8 @@
     """Print results.
 
     :param results: instances of one dataclass.
-    :param as_json: one JSON object a line instead of a table.
+    :param as_json: whether to print one JSON object per line instead of a
+        table.
     """
     if as_json:
         for result in results:
--- a/skylarkfold/upstream_load.py
+++ b/skylarkfold/upstream_load.py
@@ -1,34 +1,33 @@
-"""What instances tell one another of the load of an upstream."""
+"""Load reports on an upstream that instances exchange."""
 
 from __future__ import annotations
 
 import math
 
-# Answers beyond a quarter or eight times of the usual time count as these:
-# one in thirty may take many times as long on a good upstream.
+# Bounds on the logarithm of a response time relative to the usual one: a
+# quarter and eight times. Even a healthy upstream has outliers.
 MAXIMUM_FASTNESS = math.log(4.0)
 MAXIMUM_SLOWNESS = math.log(8.0)
-# What an instance or a zone may say of one on average, either way.
+# The largest mean that a report may contain, in either direction.
 MAXIMUM_MEAN_SLOWNESS = math.log(4.0)
-# What an instance's word of an upstream's speed weighs at most, in answers,
-# so that a wrong one moves the sum of all little; and a zone's, of 512
-# instances.
+# The maximum weight of one instance's speed report, in answers, which limits
+# the effect of a wrong report; and of a zone's report, for 512 instances.
 MAXIMUM_ANSWERS = 8.0
 MAXIMUM_ZONE_ANSWERS = 4096.0
-# Less is not told.
+# Reports of a lower weight are not sent.
 MINIMUM_ANSWERS = 1 / 8
 
 
 class UpstreamLoad:
-    """What an instance, or all of an availability zone, carry of it.
+    """The load that an instance or a zone puts on an upstream.
 
-    :param flows: flows that were seen lately.
-    :param busy: requests of these that the upstream had at a time, on
-        average since the word before.
-    :param answers: the weight of its answers of late that tell its speed;
-        one counts less as it ages.
-    :param slowness: the sum of what they tell: the natural logarithm of how
-        long each took as a multiple of the usual time, weighted alike.
+    :param flows: the number of recently active flows.
+    :param busy: the mean number of concurrent requests of these flows since
+        the previous report.
+    :param answers: the total weight of recent answers whose response time
+        was measured; the weight of an answer decays with its age.
+    :param slowness: the weighted sum of the natural logarithms of these
+        response times, each relative to the usual one.
     """
 
     __slots__ = ('answers', 'busy', 'flows', 'slowness')
@@ -48,16 +47,16 @@
     def __eq__(self, other: object) -> bool:
         if not isinstance(other, UpstreamLoad):
             return NotImplemented
-        return self._list() == other._list()
+        return self._as_tuple() == other._as_tuple()
 
     def __hash__(self) -> int:
-        return hash(self._list())
+        return hash(self._as_tuple())
 
     def add(self, other: 'UpstreamLoad') -> 'UpstreamLoad':
-        """Add what others carry of the same upstream.
+        """Return the sum of two loads of the same upstream.
 
-        :param other: the others' load.
-        :returns: both together.
+        :param other: the load from other instances.
+        :returns: the sum.
         """
         return UpstreamLoad(
             self.flows + other.flows,
@@ -66,7 +65,7 @@
             self.slowness + other.slowness,
         )
 
-    def _list(self) -> tuple[float, ...]:
+    def _as_tuple(self) -> tuple[float, ...]:
         return (self.flows, self.busy, self.answers, self.slowness)
 
 
--- a/skylarkfold/verdict.py
+++ b/skylarkfold/verdict.py
@@ -8,9 +8,9 @@
 class Verdict(enum.StrEnum):
     """What is known about the execution of one request.
 
-    ``NOT_RUN`` is a promise: the request was never dispatched, or the
-    upstream itself said that it refused before running it. Whoever can't
-    prove that answers ``MAY_HAVE_RUN``.
+    ``NOT_RUN`` is guaranteed: the request was never dispatched, or the
+    upstream reported that it refused it before running it. If that can't be
+    proved, the verdict is ``MAY_HAVE_RUN``.
     """
 
     RAN = 'ran'
