--- a/skylarkfold/_commands.py
+++ b/skylarkfold/_commands.py
@@ -126,7 +126,7 @@
             team and operator.
         :param platform: the URL of the platform's object API.
         :param team: the operator's team; the file's name if not given.
-        :param version: the version that is expected to be in force, as
+        :param version: the version that must currently be in force, as
             `preview` shows it; any version if not given.
         :param operator: who asks; the login's name if not given.
         """
--- a/skylarkfold/_operators.py
+++ b/skylarkfold/_operators.py
@@ -126,7 +126,7 @@
 
     :param identity: the operator.
     :param path: the settings file.
-    :param version: the version that is expected to be in force; None for
+    :param version: the version that must currently be in force; None for
         any.
     """
     text = files.read_bytes(path)
@@ -240,7 +240,7 @@
                 body = await response.read()
         status = msgspec.json.decode(body, type=edge.InstanceStatus)
     except (aiohttp.ClientError, OSError, msgspec.MsgspecError) as error:
-        reason = f'failed to read the status of {address}: {error}'
+        reason = f'{address} did not report its status: {error}'
         raise errors.PlatformError(reason) from error
     return [
         member.Member(
--- a/skylarkfold/backoff.py
+++ b/skylarkfold/backoff.py
@@ -11,7 +11,7 @@
 class Jitter(light_imports.Protocol):
     """A source of random numbers, for example ``random.Random``."""
 
-    def uniform(self, low: float, high: float) -> float:
+    def uniform(self, least: float, most: float) -> float:
         """Draw a number from a range."""
 
 
@@ -27,18 +27,18 @@
         self._seed = seed
         self._draws = 0
 
-    def uniform(self, low: float, high: float) -> float:
+    def uniform(self, least: float, most: float) -> float:
         """Draw a number from a range.
 
-        :param low: the lower bound.
-        :param high: the upper bound.
+        :param least: the lower bound.
+        :param most: the upper bound.
         :returns: the number.
         """
         self._draws += 1
         drawn = xxhash.xxh32_intdigest(
             self._draws.to_bytes(8, 'big'), seed=self._seed & 0xFFFFFFFF
         )
-        return low + (high - low) * drawn / 0xFFFFFFFF
+        return least + (most - least) * drawn / 0xFFFFFFFF
 
 
 class Backoff:
--- a/skylarkfold/endpoint.py
+++ b/skylarkfold/endpoint.py
@@ -31,5 +31,5 @@
     if not separator or not host or not port.isdecimal():
         raise ValueError(f'{text!r} is not of the form host:port')
     if int(port) > 65535:
-        raise ValueError(f'port {port} is out of range')
+        raise ValueError(f'{port} is out of range for a port')
     return Endpoint(host, int(port))
--- a/skylarkfold/node.py
+++ b/skylarkfold/node.py
@@ -102,28 +102,24 @@
 class Node:
     """All cores of one instance.
 
-    :param bindings: the cores, in the order in which they receive an event.
+    :param parts: the cores, in the order in which they receive an event.
     """
 
-    def __init__(self, bindings: typing.Sequence[CoreBinding]) -> None:
-        self._bindings = tuple(bindings)
-        self._cores = tuple(binding.core for binding in bindings)
+    def __init__(self, parts: typing.Sequence[CoreBinding]) -> None:
+        self._bindings = tuple(parts)
+        self._cores = tuple(binding.core for binding in parts)
         self._cores_by_message = {
             message: (binding.core,)
-            for binding in bindings
+            for binding in parts
             for message in binding.messages
         }
         self._cores_by_event = {
             kind: (binding.core,)
-            for binding in bindings
+            for binding in parts
             for kind in binding.events
         }
         self._bindings_by_call = sorted(
-            (
-                binding
-                for binding in bindings
-                if binding.first_call_number >= 0
-            ),
+            (binding for binding in parts if binding.first_call_number >= 0),
             key=lambda binding: binding.first_call_number,
             reverse=True,
         )
--- a/skylarkfold/tests/__init__.py
+++ b/skylarkfold/tests/__init__.py
@@ -1,4 +1,4 @@
-"""Tests; ``python -m skylarkfold.tests`` runs them all."""
+"""The tests; run them all with ``python -m skylarkfold.tests``."""
 
 import hypothesis
 
--- a/skylarkfold/tests/__main__.py
+++ b/skylarkfold/tests/__main__.py
@@ -1,7 +1,7 @@
-"""Runs all tests through stestr and judges the result.
+"""Runs the tests with stestr and evaluates the result.
 
-Exit status 1 where a test failed that KNOWN-RED.txt does not list, and
-where no test ran.
+The exit status is 1 if a test failed that KNOWN-RED.txt does not list, or if
+no test ran.
 """
 
 import io
@@ -28,8 +28,8 @@
 
 
 def _run_tests(arguments: list[str]) -> None:
-    # Without this, a run that matched no test would be judged by the
-    # result of the run before it.
+    # Otherwise a run that matches no test would be evaluated by the result
+    # of the previous run.
     shutil.rmtree(ROOT / '.stestr', ignore_errors=True)
     workers = min(MAXIMUM_WORKERS, os.cpu_count() or 1)
     command = [sys.executable, '-m', 'stestr', 'run']
@@ -54,7 +54,7 @@
     return failed | {case.id() for case in summary.unexpectedSuccesses}
 
 
-def _judge(summary: testtools.StreamSummary, known_red: set[str]) -> bool:
+def _evaluate(summary: testtools.StreamSummary, known_red: set[str]) -> bool:
     failed = _list_failed(summary)
     for name in sorted(failed & known_red):
         print(f'known red: {name}')
@@ -73,7 +73,7 @@
         print(f'{KNOWN_RED.name} lists more than {MAXIMUM_KNOWN_RED} tests')
         return 1
     _run_tests(sys.argv[1:])
-    return 0 if _judge(_read_last_run(), known_red) else 1
+    return 0 if _evaluate(_read_last_run(), known_red) else 1
 
 
 if __name__ == '__main__':
--- a/skylarkfold/tests/fakes.py
+++ b/skylarkfold/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces of the cores."""
+"""Fakes of the components around the cores."""
 
 import dataclasses
 
@@ -8,9 +8,9 @@
 
 
 class FakePlatform:
-    """The platform's objects with all their history.
+    """A fake platform that keeps all past states of its objects.
 
-    :ivar log: every write that took effect, in order.
+    :ivar log: all successful writes, in order.
     """
 
     def __init__(self):
@@ -22,12 +22,12 @@
         return len(self.log)
 
     def get(self, path, behind=0):
-        """Find an object as it was some revisions ago."""
+        """Return an object as of some revisions ago; None if missing."""
         state = self._states[max(0, self.revision - behind)]
         return state.get(path)
 
     def perform(self, call, behind=0):
-        """Answer a call, reads from some revisions ago."""
+        """Answer a call; reads return the state of some revisions ago."""
         if isinstance(call, platform_api.WriteObject):
             return self._write(call)
         if isinstance(call, platform_api.ReadObject):
@@ -60,9 +60,9 @@
         if call.value is None:
             del state[call.path]
         self._states.append(state)
-        told = dataclasses.replace(written, value=None)
+        acknowledged = dataclasses.replace(written, value=None)
         return platform_api.PlatformAnswer(
-            Status.OK, (told,), written.revision
+            Status.OK, (acknowledged,), written.revision
         )
 
 
--- a/skylarkfold/tests/items.py
+++ b/skylarkfold/tests/items.py
@@ -1,17 +1,17 @@
-"""Objects of the store for tests."""
+"""Stored objects for tests."""
 
 from skylarkfold import relay
 from skylarkfold import revision as revisions
 
 
 def build_item(path, number, created, value, era=0):
-    """Build an object.
+    """Build a stored object.
 
-    :param path: its name.
-    :param number: of the revision at which it was written.
-    :param created: the same of its creation.
-    :param value: what it holds.
-    :param era: the store's.
+    :param path: its path.
+    :param number: the number of the revision at which it was written.
+    :param created: the number of the revision at which it was created.
+    :param value: its content.
+    :param era: the store's era.
     :returns: the object.
     """
     return relay.Item(
--- a/skylarkfold/tests/machines.py
+++ b/skylarkfold/tests/machines.py
@@ -1,14 +1,14 @@
-"""Settings of machines for tests."""
+"""Machine settings for tests."""
 
 from skylarkfold import machine
 
 
 def build_settings(name='n', zone='z', **limits):
-    """Build the settings of an instance that opens no socket.
+    """Build settings for an instance that opens no sockets.
 
     :param name: the instance's name.
     :param zone: its availability zone.
-    :param limits: what is other than by default.
+    :param limits: settings that differ from the defaults.
     :returns: the settings.
     """
     return machine.MachineSettings(
--- a/skylarkfold/tests/test_bundle.py
+++ b/skylarkfold/tests/test_bundle.py
@@ -1,8 +1,7 @@
-"""The file that a start is loaded from.
+"""Tests of the bundle of byte code that instances start from.
 
-It makes every start shorter, above all those after the end of everything;
-one that is missing, torn or another interpreter's must cost no more than
-that gain.
+A bundle that is missing, truncated or written by another Python version must
+not prevent a start.
 """
 
 import marshal
@@ -19,7 +18,7 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent.parent
 
-_WRITE = """
+_WRITE_SCRIPT = """
 import sys
 from skylarkfold import bundle
 from skylarkfold.platform import __main__
@@ -27,7 +26,7 @@
 __main__.load()
 print(bundle.write(sys.argv[1]))
 """
-_READ = """
+_READ_SCRIPT = """
 import sys
 from skylarkfold import bundle
 
@@ -44,8 +43,8 @@
 print(type(_lines.__spec__.loader).__module__)
 print(forwarder.Forwarder.__doc__)
 """
-_OURS = 'skylarkfold.bundle'
-_USUAL = '_frozen_importlib_external'
+_BUNDLE_LOADER = 'skylarkfold.bundle'
+_REGULAR_LOADER = '_frozen_importlib_external'
 
 
 class BundleTest(testtools.TestCase):
@@ -55,11 +54,13 @@
         self.addCleanup(scratch.cleanup)
         self.path = pathlib.Path(scratch.name) / 'start.bundle'
 
-    def run_alone(self, code, root=_ROOT):
-        """Run code in an interpreter that has loaded nothing yet."""
-        others = [each for each in sys.path if each != str(_ROOT)]
-        places = [str(root), *filter(None, others)]
-        environment = dict(os.environ, PYTHONPATH=os.pathsep.join(places))
+    def run_in_new_interpreter(self, code, root=_ROOT):
+        """Run code in a new interpreter and return its output lines."""
+        other_paths = [each for each in sys.path if each != str(_ROOT)]
+        search_paths = [str(root), *filter(None, other_paths)]
+        environment = dict(
+            os.environ, PYTHONPATH=os.pathsep.join(search_paths)
+        )
         return subprocess.run(
             [sys.executable, '-S', '-P', '-c', code, str(self.path)],
             env=environment,
@@ -68,40 +69,57 @@
             check=True,
         ).stdout.split('\n')[:-1]
 
-    def test_a_start_is_loaded_from_it_and_the_rest_as_ever(self):
-        self.run_alone(_WRITE)
-        *said, documentation = self.run_alone(_READ)
-        place = str(_ROOT / 'skylarkfold' / 'platform' / '_adapter.py')
-        expected = ['True', _OURS, _OURS, _OURS, place, _USUAL]
-        self.assertEqual(expected, said)
+    def test_startup_modules_are_loaded_from_bundle(self):
+        self.run_in_new_interpreter(_WRITE_SCRIPT)
+        *output, documentation = self.run_in_new_interpreter(_READ_SCRIPT)
+        path = str(_ROOT / 'skylarkfold' / 'platform' / '_adapter.py')
+        expected = [
+            'True',
+            _BUNDLE_LOADER,
+            _BUNDLE_LOADER,
+            _BUNDLE_LOADER,
+            path,
+            _REGULAR_LOADER,
+        ]
+        self.assertEqual(expected, output)
         self.assertEqual('None', documentation)
 
-    def test_a_build_may_be_moved(self):
+    def test_build_can_be_moved(self):
         folder = self.path.parent / 'built'
         shutil.copytree(
             _ROOT / 'skylarkfold',
             folder / 'skylarkfold',
             ignore=shutil.ignore_patterns('__pycache__', 'tests'),
         )
-        self.run_alone(_WRITE, folder)
+        self.run_in_new_interpreter(_WRITE_SCRIPT, folder)
         moved = folder.rename(self.path.parent / 'moved')
-        said = self.run_alone(_READ, moved)
-        place = str(moved / 'skylarkfold' / 'platform' / '_adapter.py')
-        expected = ['True', _OURS, _OURS, _OURS, place, _USUAL]
-        self.assertEqual(expected, said[:6])
-
-    def test_without_it_all_is_loaded_as_ever(self):
-        said = self.run_alone(_READ)
-        self.assertEqual(['False', _USUAL, _USUAL, _USUAL], said[:4])
-
-    def test_a_torn_one_is_left_alone(self):
-        self.run_alone(_WRITE)
-        whole = self.path.read_bytes()
-        for size in (0, 1, 100, len(whole) - 1):
-            self.path.write_bytes(whole[:size])
+        output = self.run_in_new_interpreter(_READ_SCRIPT, moved)
+        path = str(moved / 'skylarkfold' / 'platform' / '_adapter.py')
+        expected = [
+            'True',
+            _BUNDLE_LOADER,
+            _BUNDLE_LOADER,
+            _BUNDLE_LOADER,
+            path,
+            _REGULAR_LOADER,
+        ]
+        self.assertEqual(expected, output[:6])
+
+    def test_missing_bundle_uses_regular_import(self):
+        output = self.run_in_new_interpreter(_READ_SCRIPT)
+        self.assertEqual(
+            ['False', _REGULAR_LOADER, _REGULAR_LOADER, _REGULAR_LOADER],
+            output[:4],
+        )
+
+    def test_truncated_bundle_is_ignored(self):
+        self.run_in_new_interpreter(_WRITE_SCRIPT)
+        content = self.path.read_bytes()
+        for size in (0, 1, 100, len(content) - 1):
+            self.path.write_bytes(content[:size])
             self.assertFalse(bundle.install(str(self.path)), size)
 
-    def test_another_interpreter_s_is_left_alone(self):
+    def test_bundle_of_other_interpreter_is_ignored(self):
         self.path.write_bytes(marshal.dumps(('2.7', {})))
         before = list(sys.meta_path)
         self.assertFalse(bundle.install(str(self.path)))
--- a/skylarkfold/tests/test_cli.py
+++ b/skylarkfold/tests/test_cli.py
@@ -14,7 +14,7 @@
 
 class CliTest(testtools.TestCase):
     def run_command(self, *arguments):
-        """Run a command and return its status and what it printed."""
+        """Run a command and return its exit status and output."""
         output = io.StringIO()
         with mock.patch.object(sys, 'argv', ['skylarkfold', *arguments]):
             with contextlib.redirect_stdout(output):
@@ -28,20 +28,20 @@
             file.flush()
             return self.run_command('check', file.name, *arguments)
 
-    def test_unknown_command_is_wrong_usage(self):
+    def test_unknown_command_is_usage_error(self):
         status, _ = self.run_command('fly')
         self.assertEqual(2, status)
 
-    def test_missing_argument_is_wrong_usage(self):
+    def test_missing_argument_is_usage_error(self):
         status, _ = self.run_command('check')
         self.assertEqual(2, status)
 
-    def test_unknown_measure_is_wrong_usage(self):
+    def test_unknown_measure_is_usage_error(self):
         status, output = self.run_command('measure', 'nothing')
         self.assertEqual(2, status)
         self.assertIn('usage', output)
 
-    def test_unknown_option_of_a_measure_is_wrong_usage(self):
+    def test_unknown_measure_option_is_usage_error(self):
         status, output = self.run_command('measure', 'flows', '--speed=1')
         self.assertEqual(2, status)
         self.assertIn("no option 'speed'", output)
@@ -51,12 +51,12 @@
         self.assertEqual(0, status)
         self.assertIn('flows', output.split())
 
-    def test_file_that_is_not_there(self):
+    def test_missing_file_is_settings_error(self):
         status, output = self.run_command('check', '/nonexistent/file')
         self.assertEqual(3, status)
         self.assertIn('settings-unreadable', output)
 
-    def test_invalid_file_tells_place_and_reason(self):
+    def test_invalid_file_reports_location(self):
         status, output = self.check('{"services": {"a": 5}}', '--team', 't')
         self.assertEqual(3, status)
         self.assertIn('$.services.a', output)
@@ -66,7 +66,7 @@
         self.assertEqual(0, status)
         self.assertIn('0 valid services', output)
 
-    def test_exit_status_by_kind_of_error(self):
+    def test_exit_status_by_error_type(self):
         pairs = {
             errors.UnknownFieldError('x'): 3,
             errors.ConflictError('x'): 4,
--- a/skylarkfold/tests/test_cli_output.py
+++ b/skylarkfold/tests/test_cli_output.py
@@ -1,4 +1,4 @@
-"""What the command line prints, through the real process."""
+"""Tests of the output of the command line in a real process."""
 
 import os
 import pathlib
@@ -23,14 +23,14 @@
         self.path.write_text(LINE)
         self.command = [sys.executable, '-m', 'skylarkfold', 'timeline']
 
-    def test_an_exit_status_is_not_printed(self):
+    def test_exit_status_is_not_printed(self):
         done = subprocess.run(
             [*self.command, str(self.path)], capture_output=True, text=True
         )
         self.assertEqual(0, done.returncode, done.stderr)
         self.assertEqual('     0.00 s  started: 1 line of one\n', done.stdout)
 
-    def test_a_reader_that_has_enough_is_no_failure(self):
+    def test_closed_pipe_is_not_a_failure(self):
         reading, writing = os.pipe()
         os.close(reading)
         done = subprocess.run(
--- a/skylarkfold/tests/test_daemon.py
+++ b/skylarkfold/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Tests of one whole instance between stand-ins, over real sockets."""
+"""Tests of a complete instance with stand-ins, over real sockets."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 
 class Site:
-    """A platform, one upstream and one instance of the system."""
+    """A platform stand-in, one upstream stand-in and one instance."""
 
     def __init__(self, stack):
         self.stack = stack
@@ -99,8 +99,8 @@
         self.running = asyncio.ensure_future(self.daemon.run())
         while not await self.is_ready():
             await asyncio.sleep(0.05)
-        # The first instance of all has yet to write the list of those
-        # that remember keys.
+        # Requests run only after the first instance has stored the list of
+        # instances that remember idempotency keys.
         number = 0
         while await self.ask(f'warm-{number}') != (200, 'ran'):
             number += 1
@@ -123,7 +123,7 @@
             return answer.status, answer.headers['Request-Verdict']
 
     async def probe(self):
-        """Send a datagram until an answer tells its upstream."""
+        """Send datagrams until one is answered, and return the reply."""
         caller = await test_datagram.open_peer()
         sent = msgspec.msgpack.encode(standin.Probe(1, 'desk', 1))
         while caller.received.empty():
@@ -135,7 +135,7 @@
 
 
 def run_site(test):
-    """Run a test with a site of its own."""
+    """Run a test with its own site."""
 
     async def run():
         async with contextlib.AsyncExitStack() as stack:
@@ -145,7 +145,7 @@
 
 
 class DaemonTest(testtools.TestCase):
-    def test_all_kinds_of_traffic_then_a_stop_that_waits(self):
+    def test_serves_all_traffic_and_stop_waits_for_streams(self):
         async def check(site):
             await site.start()
             reply, caller = await site.probe()
@@ -165,7 +165,7 @@
 
         run_site(check)
 
-    def test_the_last_word_of_a_stop_is_that_it_left(self):
+    def test_stop_announces_that_instance_left(self):
         async def check(site):
             await site.start()
             site.daemon.stop()
@@ -175,7 +175,7 @@
 
         run_site(check)
 
-    def test_platform_that_is_down_does_not_matter_to_traffic(self):
+    def test_traffic_continues_while_platform_is_down(self):
         async def check(site):
             await site.start()
             site.platform.faults = standin.Faults(down=True)
@@ -187,7 +187,7 @@
 
         run_site(check)
 
-    def test_platform_that_does_not_answer_at_the_start(self):
+    def test_start_waits_for_platform(self):
         async def check(site):
             site.platform.faults = standin.Faults(down=True)
             starting = asyncio.ensure_future(site.start())
@@ -201,7 +201,7 @@
 
         run_site(check)
 
-    def test_port_in_use_is_a_coded_error(self):
+    def test_port_in_use_raises_address_in_use_error(self):
         async def check(site):
             server = await asyncio.start_server(print, HOST, site.peers)
             failing = daemon.Daemon(site.make_settings())
@@ -211,7 +211,7 @@
 
         run_site(check)
 
-    def test_garbage_does_not_stop_the_instance(self):
+    def test_invalid_input_does_not_stop_instance(self):
         async def check(site):
             await site.start()
             caller = await test_datagram.open_peer()
--- a/skylarkfold/tests/test_deferred_log.py
+++ b/skylarkfold/tests/test_deferred_log.py
@@ -1,4 +1,4 @@
-"""Tests of lines that wait until the log is loaded."""
+"""Tests of the logger that defers importing ``logging``."""
 
 import logging
 
@@ -16,7 +16,7 @@
         self.records.append(record)
 
 
-class LateLogTest(testtools.TestCase):
+class DeferredLoggerTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.logger = deferred_log.DeferredLogger()
@@ -37,13 +37,13 @@
     def list_messages(self):
         return [each.getMessage() for each in self.recorder.records]
 
-    def test_a_line_is_handed_over_at_once(self):
+    def test_line_is_emitted_immediately(self):
         self.logger.log(deferred_log.INFO, 'ready', fields={'version': 3})
         (record,) = self.recorder.records
         self.assertEqual('INFO', record.levelname)
         self.assertEqual({'version': 3}, record.fields)
 
-    def test_held_lines_come_in_order_with_their_own_times(self):
+    def test_buffered_lines_keep_order_and_timestamps(self):
         self.logger.hold(10)
         for name in ('started', 'known', 'ready'):
             self.logger.log(deferred_log.INFO, name)
@@ -54,11 +54,11 @@
             ['started', 'known', 'ready', 'settled: late'],
             self.list_messages(),
         )
-        said = [each.created for each in self.recorder.records]
-        self.assertEqual(sorted(said), said)
+        timestamps = [each.created for each in self.recorder.records]
+        self.assertEqual(sorted(timestamps), timestamps)
         self.assertTrue(all(each.at for each in self.recorder.records))
 
-    def test_what_finds_no_room_is_counted(self):
+    def test_lines_over_limit_are_counted(self):
         self.logger.hold(2)
         for number in range(5):
             self.logger.log(deferred_log.INFO, f'line {number}')
@@ -66,7 +66,7 @@
         self.assertEqual(['line 0', 'line 1'], self.list_messages())
         self.assertEqual(3, self.logger.dropped)
 
-    def test_an_exception_keeps_its_traceback_while_it_waits(self):
+    def test_buffered_exception_keeps_traceback(self):
         self.logger.hold(2)
         try:
             raise ValueError('broken')
@@ -76,6 +76,6 @@
         text = logging.Formatter().format(self.recorder.records[0])
         self.assertIn('ValueError: broken', text)
 
-    def test_levels_that_nobody_wants_are_left_out(self):
+    def test_disabled_levels_are_not_emitted(self):
         self.logger.debug('a stream is full')
         self.assertEqual([], self.recorder.records)
--- a/skylarkfold/tests/test_errors.py
+++ b/skylarkfold/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Every code stands in the operators' page."""
+"""Checks that the operators' page documents every error code."""
 
 import pathlib
 
--- a/skylarkfold/tests/test_light_imports.py
+++ b/skylarkfold/tests/test_light_imports.py
@@ -1,8 +1,7 @@
-"""The parts of libraries that stand in for the whole ones.
+"""Tests of the partially imported libraries.
 
-A start of everything needs them to be small; what they read must be read
-as the libraries themselves read it, or an instance would refuse settings
-or objects that others take.
+They must parse exactly as the complete libraries do, or an instance would
+reject settings or objects that other programs accept.
 """
 
 import json
@@ -33,7 +32,7 @@
 )
 _MARKS = ('[', ']', '{', '}', '"', ',', ':', '1', '-', 'e', ' ', '\n', '\\')
 
-_TORN = """
+_TRUNCATED_JSON_SCRIPT = """
 from skylarkfold import light_imports
 import sys
 
@@ -71,7 +70,7 @@
     def test_what_is_no_json_is_refused_alike(self, text):
         self.assert_read_alike(text)
 
-    def test_odd_bytes_are_read_alike(self):
+    def test_unusual_bytes_are_parsed_as_by_json(self):
         for data in (
             b'',
             b'\xff',
@@ -89,9 +88,9 @@
             self.assert_read_alike(data)
 
 
-class LoadTest(testtools.TestCase):
-    def run_alone(self, code):
-        """Run code in an interpreter that has loaded nothing yet."""
+class ImportTest(testtools.TestCase):
+    def run_in_new_interpreter(self, code):
+        """Run code in a new interpreter and return the words it prints."""
         path = os.pathsep.join(filter(None, sys.path))
         environment = dict(os.environ, PYTHONPATH=path)
         return subprocess.run(
@@ -102,13 +101,14 @@
             check=True,
         ).stdout.split()
 
-    def test_a_torn_text_is_refused_by_a_process_that_read_whole_ones(self):
-        # The scanner's own error is of a module that is not loaded yet.
-        said = self.run_alone(_TORN)
-        self.assertEqual(['[1]', 'False', 'JSONDecodeError'], said)
+    def test_truncated_json_raises_decode_error(self):
+        # The C scanner raises an exception type of ``json``, which is not
+        # loaded yet.
+        words = self.run_in_new_interpreter(_TRUNCATED_JSON_SCRIPT)
+        self.assertEqual(['[1]', 'False', 'JSONDecodeError'], words)
 
-    def test_a_package_that_was_read_in_part_is_whole_for_others(self):
-        said = self.run_alone(
+    def test_httptools_is_complete_for_later_imports(self):
+        words = self.run_in_new_interpreter(
             'from skylarkfold import light_imports; import sys;'
             'print("typing" in sys.modules);'
             'import httptools, typing;'
@@ -120,11 +120,11 @@
         )
         self.assertEqual(
             ['False', 'True', 'True', 'HTTPProtocol', 'typing.Optional[int]'],
-            said,
+            words,
         )
 
-    def test_what_stood_in_for_a_library_is_not_left_behind(self):
-        said = self.run_alone(
+    def test_datetime_is_complete_for_later_imports(self):
+        words = self.run_in_new_interpreter(
             'from skylarkfold import light_imports; import sys;'
             'print("datetime" in sys.modules);'
             'import datetime, msgpack;'
@@ -135,4 +135,4 @@
         )
         expected = ['False', 'True', 'datetime']
         expected += ['1970-01-01T00:00:01+00:00', 'True']
-        self.assertEqual(expected, said)
+        self.assertEqual(expected, words)
--- a/skylarkfold/tests/test_log.py
+++ b/skylarkfold/tests/test_log.py
@@ -12,8 +12,8 @@
 
 
 class LogTest(testtools.TestCase):
-    def write(self, settings, act):
-        """Run an action with logs to a file and return the lines."""
+    def run_and_read_lines(self, settings, act):
+        """Run an action that logs to a file and return the lines."""
         with tempfile.TemporaryDirectory() as directory:
             path = pathlib.Path(directory) / 'log'
             logger = log.configure(
@@ -26,7 +26,7 @@
                 logger.handlers[0].close()
                 logger.handlers = []
 
-    def decide(self, logger, **settings):
+    def write_decisions(self, logger, **settings):
         decisions = log.DecisionLog('a1', log.LogSettings(**settings))
         decisions.record(
             effect.RecordDecision(
@@ -36,8 +36,8 @@
         decisions.append('datagram', 'desk', ('127.0.0.1', 5), 'd', 'cached')
         return decisions.flush()
 
-    def test_one_json_object_a_decision(self):
-        lines = self.write({}, self.decide)
+    def test_one_json_object_per_decision(self):
+        lines = self.run_and_read_lines({}, self.write_decisions)
         first, second = map(json.loads, lines)
         self.assertEqual('placement', first['decision'])
         self.assertEqual('a1', first['instance'])
@@ -45,19 +45,22 @@
         self.assertEqual(['127.0.0.1', 5], second['subject'])
 
     def test_text_form(self):
-        lines = self.write(
-            {}, lambda logger: self.decide(logger, form=log.LogForm.TEXT)
+        lines = self.run_and_read_lines(
+            {},
+            lambda logger: self.write_decisions(logger, form=log.LogForm.TEXT),
         )
         self.assertIn('decision=placement service=desk', lines[0])
         self.assertEqual(2, len(lines))
 
     def test_messages_carry_instance_and_level(self):
-        lines = self.write({}, lambda logger: logger.warning('x %d', 5))
+        lines = self.run_and_read_lines(
+            {}, lambda logger: logger.warning('x %d', 5)
+        )
         fields = json.loads(lines[0])
         self.assertEqual('x 5', fields['message'])
         self.assertEqual('warning', fields['level'])
 
-    def test_lines_over_the_bound_are_counted_not_kept(self):
+    def test_lines_over_limit_are_dropped_and_counted(self):
         decisions = log.DecisionLog('a1', log.LogSettings(queue_lines=2))
         for _ in range(5):
             decisions.append('datagram', 'desk', '', 'd', 'cached')
--- a/skylarkfold/tests/test_metric.py
+++ b/skylarkfold/tests/test_metric.py
@@ -1,4 +1,4 @@
-"""Tests of the counters and their way to statsd."""
+"""Tests of the metric names and of sending counters to statsd."""
 
 import pathlib
 import re
@@ -11,7 +11,7 @@
 
 
 class CountersTest(testtools.TestCase):
-    def test_only_what_is_new_is_sent(self):
+    def test_only_increments_are_sent(self):
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
             server.bind(('127.0.0.1', 0))
             server.settimeout(10)
@@ -30,7 +30,7 @@
 
 
 class NamesTest(testtools.TestCase):
-    def test_no_name_is_written_elsewhere(self):
+    def test_metric_names_are_defined_in_one_module(self):
         literal = re.compile(r"(CountMetric|counters\.add)\(\s*f?'[a-z]")
         package = pathlib.Path(metric.__file__).parent
         found = [
--- a/skylarkfold/tests/test_node.py
+++ b/skylarkfold/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of the composition of cores."""
+"""Tests of the routing of events between cores."""
 
 import testtools
 
@@ -15,7 +15,7 @@
 
 
 class FakeCore:
-    """Records events and answers each type with chosen effects."""
+    """A core that records events and returns preset effects by type."""
 
     def __init__(self, answers=None):
         self.answers = answers or {}
@@ -40,35 +40,35 @@
         self.assertEqual(expected, first.seen[-1])
         self.assertEqual(expected, second.seen[-1])
 
-    def test_message_reaches_only_its_core(self):
-        taker = FakeCore()
+    def test_message_reaches_only_bound_core(self):
+        receiver = FakeCore()
         other = FakeCore()
         composed = node.Node(
             [
-                node.CoreBinding(taker, messages=(Greeting,)),
+                node.CoreBinding(receiver, messages=(Greeting,)),
                 node.CoreBinding(other),
             ]
         )
         received = event.PeerMessageReceived('b', Greeting('hi'))
         composed.handle(0.0, received)
-        self.assertEqual([received], taker.seen)
+        self.assertEqual([received], receiver.seen)
         self.assertEqual([], other.seen)
 
-    def test_event_of_one_core_reaches_no_other(self):
-        taker = FakeCore()
+    def test_bound_event_reaches_only_bound_core(self):
+        receiver = FakeCore()
         other = FakeCore()
         composed = node.Node(
             [
-                node.CoreBinding(taker, events=(event.StreamClosed,)),
+                node.CoreBinding(receiver, events=(event.StreamClosed,)),
                 node.CoreBinding(other),
             ]
         )
         composed.handle(0.0, event.StreamClosed(1))
         composed.handle(0.0, event.Tick())
-        self.assertEqual(2, len(taker.seen))
+        self.assertEqual(2, len(receiver.seen))
         self.assertEqual([event.Tick()], other.seen)
 
-    def test_platform_answer_reaches_the_core_that_called(self):
+    def test_platform_answer_reaches_calling_core(self):
         low = FakeCore()
         high = FakeCore()
         composed = node.Node(
@@ -83,7 +83,7 @@
         self.assertEqual(1, len(low.seen))
         self.assertEqual(1, len(high.seen))
 
-    def test_stop_ends_once_all_cores_are_finished(self):
+    def test_stop_finishes_after_all_cores(self):
         busy = FakeCore()
         busy.is_finished = False
         composed = node.Node([node.CoreBinding(busy)])
--- a/skylarkfold/tests/test_operators.py
+++ b/skylarkfold/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' commands against a platform in a thread."""
+"""Tests of the operators' commands with a platform stand-in."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class PlatformThread:
-    """Serves a platform stand-in beside the commands of a test."""
+    """Runs a platform stand-in in a thread."""
 
     def __init__(self):
         self.platform = standin.PlatformStandin()
@@ -115,14 +115,14 @@
         output = self.run_command(self.commands.show, 'desk', self.server.url)
         self.assertIn('// version 3 by desk-operator', output)
 
-    def test_version_that_is_gone_is_a_conflict(self):
+    def test_outdated_version_is_a_conflict(self):
         path = self.write('desk.json', SETTINGS % 7000)
         apply = self.commands.apply
         self.run_command(apply, path, platform=self.server.url)
         with testtools.ExpectedException(errors.ConflictError):
             self.run_command(apply, path, platform=self.server.url, version=0)
 
-    def test_other_team_gets_neither_name_nor_address(self):
+    def test_claims_of_another_team_are_refused(self):
         path = self.write('desk.json', SETTINGS % 7000)
         rival = self.write('rival.json', SETTINGS % 7000)
         apply = self.commands.apply
@@ -130,14 +130,14 @@
         with testtools.ExpectedException(errors.ClaimError):
             self.run_command(apply, rival, platform=self.server.url)
 
-    def test_identity_of_another_team_has_no_right(self):
+    def test_identity_of_another_team_is_refused(self):
         identity = self.write_identity('rival')
         with testtools.ExpectedException(errors.RightError):
             self.run_command(
                 self.commands.drain, 'desk', 'desk-1', identity, 'desk'
             )
 
-    def test_platform_refuses_a_subtree_to_another_team_s_token(self):
+    def test_platform_refuses_token_of_another_team(self):
         self.server.platform.rights = {'t1': 'desk', 't2': 'rival'}
         path = self.write('desk.json', SETTINGS % 7000)
         forged = self.write_identity('desk', 't2')
@@ -149,21 +149,22 @@
         genuine = self.write_identity('desk', 't1')
         self.run_command(self.commands.apply, path, genuine)
 
-    def test_nothing_says_where_the_platform_is(self):
+    def test_missing_platform_is_usage_error(self):
         with testtools.ExpectedException(errors.UsageError):
             self.commands.drain('desk', 'desk-1', team='desk')
 
-    def test_status_names_who_lags(self):
+    def test_status_lists_lagging_instances(self):
         path = self.write('desk.json', SETTINGS % 7000)
         self.run_command(self.commands.apply, path, platform=self.server.url)
-        # One stands where the store was before it came back older.
-        known = int(revisions.Revision(100, 1))
-        former = int(revisions.Revision(200, 0))
+        # One member's revision is from before the store was restored from an
+        # older copy.
+        current = int(revisions.Revision(100, 1))
+        outdated = int(revisions.Revision(200, 0))
         members = [
-            edge.MemberStatus('a1', 'z', 'alive', known),
-            edge.MemberStatus('a2', 'z', 'alive', former),
+            edge.MemberStatus('a1', 'z', 'alive', current),
+            edge.MemberStatus('a2', 'z', 'alive', outdated),
         ]
-        status = edge.InstanceStatus('a1', True, known, [], members, {})
+        status = edge.InstanceStatus('a1', True, current, [], members, {})
         with self.serve_status(status) as address:
             output = self.run_command(
                 self.commands.status, self.server.url, address
