--- a/skylarkfold/overlay.py
+++ b/skylarkfold/overlay.py
@@ -41,9 +41,14 @@
     members: Mapping[str, OverlayMember]
 
 
+# Up to this number of reachable instances, all are linked to each other.
 MESH_LIMIT = 12
+# Rings within a zone, each in a different order of the zone's instances.
 RINGS = 2
+# Instances of a zone, highest rank first, that are linked to other zones.
 DELEGATES = 3
+# Instances of a zone, highest rank first, that read the platform's list of
+# instances.
 READERS = 2
 _HASH_CACHE_SIZE = 4096
 
@@ -157,6 +162,7 @@
 def _list_reverse_links(
     zone_delegates: list[str], count: int, position: int
 ) -> list[str]:
+    """List delegates of another zone that link to the one at a position."""
     return [
         name
         for index, name in enumerate(zone_delegates)
