--- a/skylarkfold/affinity/_speed_evidence.py
+++ b/skylarkfold/affinity/_answer_statistics.py
@@ -1,41 +1,41 @@
-"""What answers say of the speed of an upstream."""
+"""Decaying statistics of the answer times of an upstream."""
 
 from __future__ import annotations
 
 from skylarkfold import upstream_load
 
-# One that turned slow is known after one to two seconds of answers.
+# Short enough to detect an upstream that becomes slow within two seconds.
 _HALF_LIFE_SECONDS = 1.5
 
 
-class SpeedEvidence:
-    """What answers seen here say of one upstream.
+class AnswerStatistics:
+    """Answer times of one upstream as seen by this instance.
 
-    :ivar begun_at: when the first of them was seen.
-    :ivar answers: their weight; one counts half after a half-life.
-    :ivar slowness: the sum of their logarithms, weighted alike.
-    :ivar waiting: requests that it had meanwhile, on average.
+    :ivar started_at: when the first answer was seen.
+    :ivar answers: the weight of the answers, which halves with each half-life.
+    :ivar slowness: the weighted sum of the logarithms of their relative times.
+    :ivar mean_in_flight: the mean number of requests in flight.
     """
 
     __slots__ = (
         '_at',
         '_sampled_at',
         'answers',
-        'begun_at',
+        'mean_in_flight',
         'slowness',
-        'waiting',
+        'started_at',
     )
 
     def __init__(self, now: float) -> None:
         self._at = now
-        self.begun_at = now
+        self.started_at = now
         self._sampled_at: float | None = None
         self.answers = 0.0
         self.slowness = 0.0
-        self.waiting = 0.0
+        self.mean_in_flight = 0.0
 
-    def fade(self, now: float) -> None:
-        """Let all that is known count less.
+    def decay(self, now: float) -> None:
+        """Reduce the weight of all answers by their age.
 
         :param now: the time.
         """
@@ -45,36 +45,36 @@
         self.slowness *= share
 
     def add(self, now: float, logarithm: float) -> None:
-        """Take an answer.
+        """Add an answer.
 
         :param now: the time.
-        :param logarithm: of how long it took, bounded.
+        :param logarithm: the logarithm of its relative time, bounded.
         """
-        self.fade(now)
+        self.decay(now)
         self.answers += 1.0
         self.slowness += logarithm
 
-    def note_waiting(self, now: float, waiting: float) -> None:
-        """Take how many requests it has.
+    def record_in_flight(self, now: float, in_flight: float) -> None:
+        """Update the mean number of requests in flight.
 
         :param now: the time.
-        :param waiting: the requests, here and at the peers.
+        :param in_flight: the present number, here and at peers.
         """
         share = 0.0
         if self._sampled_at is not None:
             seconds = now - self._sampled_at
             share = 0.5 ** (seconds / _HALF_LIFE_SECONDS)
         self._sampled_at = now
-        self.waiting += (1 - share) * (waiting - self.waiting)
+        self.mean_in_flight += (1 - share) * (in_flight - self.mean_in_flight)
 
-    def tell(self, now: float) -> tuple[float, float]:
-        """Tell peers of it, with a bounded weight.
+    def export(self, now: float) -> tuple[float, float]:
+        """Return the statistics for peers, with a bounded weight.
 
         :param now: the time.
-        :returns: answers and slowness as in
+        :returns: ``answers`` and ``slowness`` as in
             :class:`skylarkfold.upstream_load.UpstreamLoad`.
         """
-        self.fade(now)
+        self.decay(now)
         if self.answers < upstream_load.MINIMUM_ANSWERS:
             return 0.0, 0.0
         answers = min(self.answers, upstream_load.MAXIMUM_ANSWERS)
--- a/skylarkfold/affinity/_binding.py
+++ b/skylarkfold/affinity/_binding.py
@@ -1,4 +1,4 @@
-"""Which upstream a flow is bound to that its packets name."""
+"""Binding of flows to the upstreams of their tokens."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from skylarkfold.affinity import _route
 
 
-class Binding:
-    """Binds flows to the upstreams of their tokens.
+class FlowBinder:
+    """Binds flows to the upstreams that their tokens name.
 
     :param directory: all upstreams.
-    :param flows: the flows carried here.
-    :param health: told of upstreams that are heard.
+    :param flows: the flows that this instance carries.
+    :param health: notified of upstreams that have answered.
     """
 
     __slots__ = ('_directory', '_flows', '_health')
@@ -23,7 +23,7 @@
         self,
         directory: _directory.Directory,
         flows: _flow.FlowTable,
-        health: _health.HealthWatch,
+        health: _health.HealthMonitor,
     ) -> None:
         self._directory = directory
         self._flows = flows
@@ -36,45 +36,45 @@
         flow: _flow.Flow | None,
         routes: _route.RouteTable,
     ) -> _flow.Flow | None:
-        """Bind a flow to the upstream of its token.
+        """Bind the flow of a packet to the upstream of its token.
 
         :param now: the time.
-        :param packet: a packet of it.
+        :param packet: the packet.
         :param flow: the flow, None if it is not known here.
-        :param routes: the routes in force.
-        :returns: the flow, None where its upstream is not known.
+        :param routes: the active routes.
+        :returns: the flow, None if its upstream is not known.
         """
         if packet.token == 0:
             return flow
-        standing = self._directory.find(packet.token)
-        if standing is None:
+        state = self._directory.find_by_token(packet.token)
+        if state is None:
             return None
         if flow is None:
-            flow = _flow.Flow(packet.flow, standing, now)
+            flow = _flow.Flow(packet.flow, state, now)
             route = routes.get(packet.address)
             if route is not None:
                 flow.is_idempotent = route.is_idempotent
-            # Its former instance may have passed on a request.
+            # The instance that carried it before may have forwarded a request.
             flow.acknowledged = packet.acknowledged
             flow.is_open = True
             if not self._flows.add(flow):
                 return flow
-            _flow.count_in(flow, standing)
+            _flow.bind_flow(flow, state)
             return flow
-        if flow.standing.is_former:
-            _flow.move(flow, standing, packet.acknowledged, now)
+        if flow.state.is_superseded:
+            _flow.rebind_flow(flow, state, packet.acknowledged, now)
             return flow
-        _flow.count_in(flow, standing)
-        self._health.note_open(now, flow, packet)
+        _flow.bind_flow(flow, state)
+        self._health.record_open(now, flow, packet)
         return flow
 
 
 def is_bound(flow: _flow.Flow, packet: _packet.Packet) -> bool:
-    """Tell whether a flow is bound to the upstream that a packet names.
+    """Return whether a flow is bound to the upstream that a packet names.
 
     :param flow: the flow.
-    :param packet: a packet of it.
+    :param packet: a packet of the flow.
     :returns: whether it is.
     """
-    standing = flow.standing
-    return packet.token == standing.upstream.token and not standing.is_former
+    state = flow.state
+    return packet.token == state.upstream.token and not state.is_superseded
--- a/skylarkfold/affinity/_directory.py
+++ b/skylarkfold/affinity/_directory.py
@@ -1,4 +1,4 @@
-"""All upstreams that may hold flows, those that are gone included."""
+"""All upstreams that may hold flows, including those without an entry."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from collections.abc import Iterator
 
 from skylarkfold.affinity import _settings
-from skylarkfold.affinity import _slowness
-from skylarkfold.affinity import _standing
 from skylarkfold.affinity import _upstream
+from skylarkfold.affinity import _upstream_state
+from skylarkfold.affinity import _warm_up_slowness
 from skylarkfold import revision as revisions
 
 
-# Before words have come: as often as they are told.
-_FIRST_GAP_SECONDS = 0.2
-_LEAST_GAP_SECONDS = 0.05
-_GAP_GAIN = 1 / 16
+# Assumed before any reports have arrived: the usual interval.
+_INITIAL_REPORT_INTERVAL_SECONDS = 0.2
+_MINIMUM_REPORT_INTERVAL_SECONDS = 0.05
+_REPORT_INTERVAL_GAIN = 1 / 16
 
 
-class Change:
-    """What has become of an upstream's entry."""
+class ChangeKind:
+    """Kinds of changes of an upstream's entry."""
 
     ADDED = 'added'
     DRAINING = 'draining'
@@ -29,41 +29,41 @@
 
 
 class EntryChange:
-    """An upstream that is seen otherwise from now on.
+    """A change of an upstream's entry.
 
-    :param kind: one of :class:`Change`.
-    :param standing: the upstream.
-    :param former: what was known of its start before, None unless it has
-        started again.
+    :param kind: one of :class:`ChangeKind`.
+    :param state: the upstream's present state.
+    :param previous: the state of its earlier start; None unless it has
+        restarted.
     """
 
-    __slots__ = ('former', 'kind', 'standing')
+    __slots__ = ('kind', 'previous', 'state')
 
     def __init__(
         self,
         kind: str,
-        standing: _standing.Standing,
-        former: _standing.Standing | None = None,
+        state: _upstream_state.UpstreamState,
+        previous: _upstream_state.UpstreamState | None = None,
     ) -> None:
         self.kind = kind
-        self.standing = standing
-        self.former = former
+        self.state = state
+        self.previous = previous
 
 
 class Directory:
-    """Finds upstreams by token and by service.
+    """Finds the states of upstreams by name, token, incarnation and service.
 
-    An entry that disappears is no proof that its upstream is dead: its
-    flows are still forwarded for as long as one may live, unless another
-    upstream was given the same address.
+    A missing entry does not prove that an upstream has failed: packets of its
+    flows are still forwarded for the longest lifetime of a flow, unless
+    another upstream has been given the same address.
 
-    An entry of the same name that another start wrote replaces all that was
-    known. Which start is the later one is not asked: clocks differ, and the
-    store's newest entry holds on every instance.
+    An entry of the same name written by another start of the process replaces
+    everything known. Start times are not compared, as clocks differ; the
+    store's newest entry is valid on every instance.
 
-    :param settings: how long upstreams are remembered.
-    :ivar gap_seconds: how long it takes a peer, on average, to say again what
-        it carries.
+    :param settings: how long upstreams without an entry are kept.
+    :ivar report_interval_seconds: the mean interval between load reports of a
+        peer.
     """
 
     __slots__ = (
@@ -73,177 +73,184 @@
         '_by_token',
         '_settings',
         '_slowness',
-        'gap_seconds',
+        'report_interval_seconds',
     )
 
     def __init__(self, settings: _settings.AffinitySettings) -> None:
         self._settings = settings
-        self._by_name: dict[str, _standing.Standing] = {}
-        self._by_token: dict[int, _standing.Standing] = {}
-        self._by_incarnation: dict[int, _standing.Standing] = {}
-        self._by_service: dict[str, list[_standing.Standing]] = {}
-        self._slowness: dict[str, _slowness.Slowness] = {}
-        self.gap_seconds = _FIRST_GAP_SECONDS
+        self._by_name: dict[str, _upstream_state.UpstreamState] = {}
+        self._by_token: dict[int, _upstream_state.UpstreamState] = {}
+        self._by_incarnation: dict[int, _upstream_state.UpstreamState] = {}
+        self._by_service: dict[str, list[_upstream_state.UpstreamState]] = {}
+        self._slowness: dict[str, _warm_up_slowness.WarmUpSlowness] = {}
+        self.report_interval_seconds = _INITIAL_REPORT_INTERVAL_SECONDS
 
     def __len__(self) -> int:
         return len(self._by_name)
 
-    def __iter__(self) -> Iterator[_standing.Standing]:
+    def __iter__(self) -> Iterator[_upstream_state.UpstreamState]:
         return iter(self._by_name.values())
 
-    def get(self, name: str) -> _standing.Standing | None:
-        """Find an upstream by name.
+    def get(self, name: str) -> _upstream_state.UpstreamState | None:
+        """Return the state of an upstream by its name.
 
         :param name: its name.
-        :returns: its standing, None if it is not known.
+        :returns: its state, None if it is not known.
         """
         return self._by_name.get(name)
 
-    def find(self, token: int) -> _standing.Standing | None:
-        """Find the upstream of a packet.
+    def find_by_token(
+        self, token: int
+    ) -> _upstream_state.UpstreamState | None:
+        """Find an upstream by the token of a packet.
 
-        :param token: the token that the packet carries.
-        :returns: its standing, None if no known upstream has it.
+        :param token: the token.
+        :returns: its state, None if no known upstream has the token.
         """
         return self._by_token.get(token)
 
-    def find_incarnation(self, incarnation: int) -> _standing.Standing | None:
-        """Find the upstream that a peer speaks of.
+    def find_by_incarnation(
+        self, incarnation: int
+    ) -> _upstream_state.UpstreamState | None:
+        """Find an upstream by its incarnation.
 
-        :param incarnation: what names its start.
-        :returns: its standing, None if no known start has it.
+        :param incarnation: identifies one start of the process.
+        :returns: its state, None if the start is not known.
         """
         return self._by_incarnation.get(incarnation)
 
-    def list_service(self, service: str) -> list[_standing.Standing]:
-        """List the upstreams of a service, gone ones included.
+    def list_states(self, service: str) -> list[_upstream_state.UpstreamState]:
+        """List the upstreams of a service, including those without an entry.
 
         :param service: the service's name.
-        :returns: standings, by name of the upstream.
+        :returns: their states, in the order of creation.
         """
         return self._by_service.get(service, [])
 
-    def note_gap(self, seconds: float) -> None:
-        """Take that a peer has said what it carries.
+    def record_report_interval(self, seconds: float) -> None:
+        """Update the mean interval between load reports.
 
-        :param seconds: since its word before.
+        :param seconds: the time since the peer's previous report.
         """
-        seconds = max(seconds, _LEAST_GAP_SECONDS)
-        self.gap_seconds += _GAP_GAIN * (seconds - self.gap_seconds)
+        seconds = max(seconds, _MINIMUM_REPORT_INTERVAL_SECONDS)
+        self.report_interval_seconds += _REPORT_INTERVAL_GAIN * (
+            seconds - self.report_interval_seconds
+        )
 
     def list_services(self) -> list[str]:
-        """List the services that have upstreams, gone ones included."""
+        """List the services of all known upstreams."""
         return list(self._by_service)
 
     def count_busy(self) -> int:
         """Count the requests in flight of this instance's flows."""
-        return sum(standing.busy for standing in self)
+        return sum(state.busy for state in self)
 
     def count_flows(self) -> int:
         """Count the flows that this instance carries."""
-        return sum(standing.flows for standing in self)
+        return sum(state.flows for state in self)
 
     def count_evacuated(self) -> int:
-        """Count the upstreams of zones that are evacuated."""
-        return sum(standing.is_evacuated for standing in self)
+        """Count the upstreams in evacuated availability zones."""
+        return sum(state.is_evacuated for state in self)
 
     def count_warming(self, now: float) -> int:
-        """Count the upstreams that warm up after a start.
+        """Count the upstreams that are warming up.
 
         :param now: the time.
-        :returns: how many there are.
+        :returns: the number of upstreams.
         """
-        return sum(now < standing.warming_until for standing in self)
+        return sum(now < state.warming_until for state in self)
 
     def count_slow(self) -> int:
-        """Count the upstreams that are slower than others of a service."""
-        return sum(standing.speed < 1.0 for standing in self)
+        """Count the upstreams that are slower than others of their service."""
+        return sum(state.speed < 1.0 for state in self)
 
     def find_slowest(self) -> float:
-        """Find the least speed; 1 where none is slow."""
-        return min((standing.speed for standing in self), default=1.0)
+        """Return the lowest speed of an upstream; 1 if none is slow."""
+        return min((state.speed for state in self), default=1.0)
 
     def compute_busiest(self, now: float) -> float:
-        """Compute how long the longest expected wait of a service is.
+        """Compute the imbalance of the most unbalanced service.
 
         :param now: the time.
-        :returns: that of the busiest upstream over the mean of its service,
-            of the service where that is largest; 1 where there are none.
+        :returns: the largest ratio, over all services, of the longest expected
+            wait of an upstream to the mean of its service; 1 without
+            upstreams.
         """
-        most = 1.0
-        for standings in self._by_service.values():
+        largest = 1.0
+        for states in self._by_service.values():
             waits = [
-                (each.waiting + 1) / each.compute_capacity(now)
-                for each in standings
+                (each.in_flight + 1) / each.compute_capacity(now)
+                for each in states
                 if each.takes_new_flows
             ]
             if waits:
-                most = max(most, max(waits) * len(waits) / sum(waits))
-        return most
+                largest = max(largest, max(waits) * len(waits) / sum(waits))
+        return largest
 
     def replace(
         self, now: float, present: Iterable[_upstream.Upstream]
     ) -> list[EntryChange]:
-        """Take the list of all upstreams that have an entry.
+        """Replace the list of all upstreams that have an entry.
 
         :param now: the time.
-        :param present: all of them.
-        :returns: those that are seen otherwise now.
+        :param present: all upstreams with an entry.
+        :returns: the changes.
         """
         names = set()
         changes = []
         for upstream in present:
             names.add(upstream.name)
-            change = self._put(now, upstream)
+            change = self._update_entry(now, upstream)
             if change is not None:
                 changes.append(change)
-        for standing in self._by_name.values():
-            is_absent = standing.upstream.name not in names
-            if is_absent and standing.lapsed_at is None:
-                standing.lapsed_at = now
-                changes.append(EntryChange(Change.LAPSED, standing))
-        self._drop_old(now)
+        for state in self._by_name.values():
+            is_absent = state.upstream.name not in names
+            if is_absent and state.lapsed_at is None:
+                state.lapsed_at = now
+                changes.append(EntryChange(ChangeKind.LAPSED, state))
+        self._remove_expired(now)
         self._index()
         return changes
 
-    def forget(self, now: float) -> None:
-        """Drop upstreams whose last flow must have ended.
+    def remove_expired(self, now: float) -> None:
+        """Remove upstreams whose last flow must have ended.
 
         :param now: the time.
         """
-        if self._drop_old(now):
+        if self._remove_expired(now):
             self._index()
 
-    def _drop_old(self, now: float) -> bool:
+    def _remove_expired(self, now: float) -> bool:
         oldest = now - self._settings.flow_seconds
-        gone = [
+        expired = [
             name
-            for name, standing in self._by_name.items()
-            if standing.lapsed_at is not None and standing.lapsed_at < oldest
+            for name, state in self._by_name.items()
+            if state.lapsed_at is not None and state.lapsed_at < oldest
         ]
-        for name in gone:
+        for name in expired:
             del self._by_name[name]
-        return bool(gone)
+        return bool(expired)
 
-    def _put(
+    def _update_entry(
         self, now: float, upstream: _upstream.Upstream
     ) -> EntryChange | None:
-        standing = self._by_name.get(upstream.name)
-        if standing is None:
-            return self._add(now, upstream, Change.ADDED)
-        if upstream is standing.upstream and standing.lapsed_at is None:
-            # As almost all are with each change of one.
+        state = self._by_name.get(upstream.name)
+        if state is None:
+            return self._add(now, upstream, ChangeKind.ADDED)
+        if upstream is state.upstream and state.lapsed_at is None:
+            # The common case: most entries are unchanged.
             return None
-        if not upstream.is_same_start(standing.upstream):
-            standing.is_former = True
-            return self._add(now, upstream, Change.RESTARTED, standing)
-        before = standing.upstream
-        standing.take_entry(now, upstream)
-        if standing.lapsed_at is not None:
-            standing.lapsed_at = None
-            return EntryChange(Change.BACK, standing)
+        if not upstream.is_same_start(state.upstream):
+            state.is_superseded = True
+            return self._add(now, upstream, ChangeKind.RESTARTED, state)
+        before = state.upstream
+        state.update_entry(now, upstream)
+        if state.lapsed_at is not None:
+            state.lapsed_at = None
+            return EntryChange(ChangeKind.BACK, state)
         if upstream.is_draining and not before.is_draining:
-            return EntryChange(Change.DRAINING, standing)
+            return EntryChange(ChangeKind.DRAINING, state)
         return None
 
     def _add(
@@ -251,60 +258,60 @@
         now: float,
         upstream: _upstream.Upstream,
         kind: str,
-        former: _standing.Standing | None = None,
+        previous: _upstream_state.UpstreamState | None = None,
     ) -> EntryChange:
         slowness = self._slowness.get(upstream.service)
         if slowness is None:
-            slowness = _slowness.Slowness()
+            slowness = _warm_up_slowness.WarmUpSlowness()
             self._slowness[upstream.service] = slowness
-        standing = _standing.Standing(upstream, now, slowness)
-        self._by_name[upstream.name] = standing
-        return EntryChange(kind, standing, former)
+        state = _upstream_state.UpstreamState(upstream, now, slowness)
+        self._by_name[upstream.name] = state
+        return EntryChange(kind, state, previous)
 
     def _index(self) -> None:
         self._by_token = {}
         self._by_incarnation = {}
         self._by_service = {}
-        for standing in sorted(self._by_name.values(), key=_get_age):
-            upstream = standing.upstream
-            # The older upstream keeps a token that two share. The other
-            # gets no new flow, so that no packet carries a token in doubt.
-            holder = self._by_token.setdefault(upstream.token, standing)
-            standing.has_token = holder is standing and upstream.token != 0
-            self._by_incarnation.setdefault(upstream.incarnation, standing)
-            self._by_service.setdefault(upstream.service, []).append(standing)
+        for state in sorted(self._by_name.values(), key=_get_creation_key):
+            upstream = state.upstream
+            # If two upstreams share a token, the older one keeps it. The other
+            # gets no new flows, so that no packet carries an ambiguous token.
+            owner = self._by_token.setdefault(upstream.token, state)
+            state.owns_token = owner is state and upstream.token != 0
+            self._by_incarnation.setdefault(upstream.incarnation, state)
+            self._by_service.setdefault(upstream.service, []).append(state)
         self._mark_replaced()
 
     def _mark_replaced(self) -> None:
-        """Mark those whose address another process has.
+        """Mark the upstreams whose address has been given to another process.
 
-        Whose entry was written last has the address. Not when it was
-        created: an upstream that starts again at an address that it was
-        given keeps the entry of its name.
+        The entry written last owns the address. The creation revision does not
+        decide: an upstream that restarts at an address that it was given keeps
+        the entry of its name.
         """
-        holders: dict[tuple[str, int], _standing.Standing] = {}
-        for standing in self._by_name.values():
-            address = standing.upstream.address
-            holder = holders.setdefault(address, standing)
-            if holder is standing:
+        owners: dict[tuple[str, int], _upstream_state.UpstreamState] = {}
+        for state in self._by_name.values():
+            address = state.upstream.address
+            owner = owners.setdefault(address, state)
+            if owner is state:
                 continue
-            if _get_revision(standing) > _get_revision(holder):
-                holders[address] = standing
-        for standing in self._by_name.values():
-            has_address = holders[standing.upstream.address] is standing
-            is_lapsed = standing.lapsed_at is not None
-            standing.is_replaced = is_lapsed and not has_address
+            if _get_revision_key(state) > _get_revision_key(owner):
+                owners[address] = state
+        for state in self._by_name.values():
+            owns_address = owners[state.upstream.address] is state
+            is_lapsed = state.lapsed_at is not None
+            state.is_replaced = is_lapsed and not owns_address
 
 
-def _get_age(
-    standing: _standing.Standing,
+def _get_creation_key(
+    state: _upstream_state.UpstreamState,
 ) -> tuple[revisions.Revision, str]:
-    return (standing.upstream.created, standing.upstream.name)
+    return (state.upstream.created, state.upstream.name)
 
 
-def _get_revision(
-    standing: _standing.Standing,
+def _get_revision_key(
+    state: _upstream_state.UpstreamState,
 ) -> tuple[revisions.Revision, revisions.Revision, str]:
-    # Entries whose revision is not known are told apart by their creation.
-    upstream = standing.upstream
+    # Entries without a known revision are ordered by their creation.
+    upstream = state.upstream
     return (upstream.revision, upstream.created, upstream.name)
--- a/skylarkfold/flows/_load.py
+++ b/skylarkfold/flows/_load.py
@@ -1,4 +1,4 @@
-"""How loaded a service's upstreams are, as far as it is known here."""
+"""The load of a service's upstreams as known on this instance."""
 
 from __future__ import annotations
 
@@ -8,13 +8,26 @@
 from skylarkfold.flows import _settings
 from skylarkfold import service as service_module
 
-_LEAST_RAMP = 0.1
-_LEAST_WEIGHT = 1e-6
-_LEAST_FLOWS = 50
+_MINIMUM_SLOW_START_FACTOR = 0.1
+_MINIMUM_WEIGHT = 1e-6
+# With fewer flows the imbalance is mostly random.
+_MINIMUM_FLOWS_PER_UPSTREAM = 50
 
 
 @dataclasses.dataclass(slots=True)
 class _UpstreamLoad:
+    """The load of one upstream.
+
+    :param pinned: flows that this instance placed and that did not expire.
+    :param reported: flows according to the last report.
+    :param reported_at: when the last report arrived.
+    :param placed_since: flows that this instance placed since then.
+    :param healthy: whether the upstream reported itself healthy.
+    :param reachable: whether the upstream answered.
+    :param failed_at: when this instance last failed to connect to it.
+    :param slow_start_began_at: when its slow start began.
+    """
+
     pinned: int = 0
     reported: int = 0
     reported_at: float | None = None
@@ -22,15 +35,15 @@
     healthy: bool = True
     reachable: bool = True
     failed_at: float | None = None
-    cold_since: float | None = None
+    slow_start_began_at: float | None = None
 
 
 class LoadView:
-    """Flows on each upstream: reported, and placed here since.
+    """Flows of each upstream: last reported, and placed since.
 
-    All homes of a service see the same lagging reports. So that they do
-    not all fill the same upstream until the next report, each takes it
-    that the others placed as many flows there as it did itself.
+    All instances that place flows see the same delayed reports. To keep them
+    from all filling the same upstream until the next report, each assumes
+    that the others have placed as many flows there as it has itself.
 
     :param settings: the flow settings.
     """
@@ -39,50 +52,59 @@
         self._settings = settings
         self._loads: dict[str, _UpstreamLoad] = {}
 
-    def add_cold(self, now: float, name: str) -> None:
-        """Note an upstream that begins to take flows.
+    def begin_slow_start(self, now: float, name: str) -> None:
+        """Begin the slow start of a new upstream.
 
-        :param now: the time.
+        :param now: the current time.
         :param name: the upstream's name.
         """
-        self._get(name).cold_since = now
+        self._get(name).slow_start_began_at = now
 
     def count_placed(self, name: str) -> None:
-        """Note a flow that was placed here."""
+        """Count a flow that this instance placed on an upstream."""
         load = self._get(name)
         load.placed_since += 1
         load.pinned += 1
 
-    def count_expired(self, name: str, amount: int) -> None:
-        """Note flows of this instance that ended."""
+    def count_expired(self, name: str, count: int) -> None:
+        """Subtract flows of this instance that ended or expired."""
         load = self._get(name)
-        load.pinned = max(0, load.pinned - amount)
+        load.pinned = max(0, load.pinned - count)
 
-    def report(self, now: float, told: event.LoadReported) -> bool:
-        """Take what an upstream says of itself.
+    def record_report(self, now: float, report: event.LoadReported) -> bool:
+        """Record a load report of an upstream.
 
-        One that says that it is unwell gets no new flows; its own go on.
+        An upstream that reports itself unhealthy gets no new flows but keeps
+        those that it has.
 
-        :param now: the time.
-        :param told: the report.
-        :returns: whether it can be reached now and could not before, the
-            other way round, or nothing was known yet.
+        :param now: the current time.
+        :param report: the report.
+        :returns: whether it is the upstream's first report or its
+            reachability has changed.
         """
-        load = self._get(told.upstream)
-        is_news = load.reported_at is None or load.reachable != told.reachable
-        load.reachable = told.reachable
-        load.healthy = told.healthy and told.reachable
-        load.reported = told.flows
+        load = self._get(report.upstream)
+        is_change = (
+            load.reported_at is None or load.reachable != report.reachable
+        )
+        load.reachable = report.reachable
+        load.healthy = report.healthy and report.reachable
+        load.reported = report.flows
         load.reported_at = now
         load.placed_since = 0
-        return is_news
+        return is_change
 
-    def fail(self, now: float, name: str) -> None:
-        """Note that an upstream could not be reached from here."""
+    def record_failure(self, now: float, name: str) -> None:
+        """Record that this instance failed to connect to an upstream."""
         self._get(name).failed_at = now
 
     def is_usable(self, now: float, name: str) -> bool:
-        """Tell whether an upstream is taken to be reachable from here."""
+        """Return whether new flows may be placed on an upstream.
+
+        :param now: the current time.
+        :param name: the upstream's name.
+        :returns: False if it was reported unhealthy or unreachable, or failed
+            within the last ``unreachable_seconds``.
+        """
         load = self._get(name)
         if not load.healthy:
             return False
@@ -96,35 +118,42 @@
         upstreams: list[service_module.Upstream],
         owner_count: int,
     ) -> dict[str, float]:
-        """Estimate the load of upstreams that have room.
-
-        :param now: the time.
-        :param upstreams: the upstreams to weigh.
-        :param owner_count: instances that place flows of this service.
-        :returns: flows per weight by name, full upstreams left out.
+        """Estimate the load of the upstreams that have capacity left.
+
+        :param now: the current time.
+        :param upstreams: the upstreams to compare.
+        :param owner_count: the number of instances that place flows of this
+            service.
+        :returns: the number of flows divided by the weight, by upstream
+            name; full upstreams are left out.
         """
-        trusts_reports = all(self._is_fresh(now, each) for each in upstreams)
+        are_reports_fresh = all(
+            self._is_fresh(now, each) for each in upstreams
+        )
         ratios = {}
         for upstream in upstreams:
-            if not self.has_room(now, upstream, owner_count):
+            if not self.has_capacity(now, upstream, owner_count):
                 continue
             load = self._get(upstream.name)
             flows = load.pinned
-            if trusts_reports:
+            if are_reports_fresh:
                 flows = load.reported + load.placed_since * owner_count
-            weight = max(upstream.weight, _LEAST_WEIGHT)
-            ratios[upstream.name] = flows / (weight * self._ramp(now, load))
+            weight = max(upstream.weight, _MINIMUM_WEIGHT)
+            ratios[upstream.name] = flows / (
+                weight * self._compute_slow_start_factor(now, load)
+            )
         return ratios
 
-    def has_room(
+    def has_capacity(
         self, now: float, upstream: service_module.Upstream, owner_count: int
     ) -> bool:
-        """Tell whether an upstream may hold one more flow.
+        """Return whether an upstream can take one more flow.
 
-        :param now: the time.
+        :param now: the current time.
         :param upstream: the upstream.
-        :param owner_count: instances that place flows of this service.
-        :returns: False only where a fresh report says that it is full.
+        :param owner_count: the number of instances that place flows of this
+            service.
+        :returns: False only if it is full according to a fresh report.
         """
         if not self._is_fresh(now, upstream):
             return True
@@ -135,24 +164,28 @@
     def measure_imbalance(
         self, now: float, upstreams: list[service_module.Upstream]
     ) -> float | None:
-        """Compare the fullest upstream with the mean, by weight.
+        """Return the highest load divided by the mean load.
+
+        The load of an upstream is its number of flows divided by its weight.
 
-        :param now: the time.
-        :param upstreams: those that may take new flows.
-        :returns: 1.0 for an even load; None while reports are missing or
-            there are too few flows to tell.
+        :param now: the current time.
+        :param upstreams: the upstreams that may take new flows.
+        :returns: the ratio, 1.0 for an even load; None if a fresh report is
+            missing or there are too few flows to compare.
         """
         if not all(self._is_fresh(now, each) for each in upstreams):
             return None
         weights = sum(each.weight for each in upstreams)
         flows = sum(self._get(each.name).reported for each in upstreams)
-        if weights <= 0 or flows < _LEAST_FLOWS * len(upstreams):
+        if weights <= 0 or flows < _MINIMUM_FLOWS_PER_UPSTREAM * len(
+            upstreams
+        ):
             return None
-        fullest = max(
-            self._get(each.name).reported / max(each.weight, _LEAST_WEIGHT)
+        highest = max(
+            self._get(each.name).reported / max(each.weight, _MINIMUM_WEIGHT)
             for each in upstreams
         )
-        return fullest * weights / flows
+        return highest * weights / flows
 
     def _is_fresh(self, now: float, upstream: service_module.Upstream) -> bool:
         reported_at = self._get(upstream.name).reported_at
@@ -160,11 +193,15 @@
             return False
         return now - reported_at <= self._settings.load_stale_seconds
 
-    def _ramp(self, now: float, load: _UpstreamLoad) -> float:
-        if load.cold_since is None:
+    def _compute_slow_start_factor(
+        self, now: float, load: _UpstreamLoad
+    ) -> float:
+        if load.slow_start_began_at is None:
             return 1.0
-        passed = (now - load.cold_since) / self._settings.cold_ramp_seconds
-        return min(1.0, max(_LEAST_RAMP, passed))
+        elapsed = (
+            now - load.slow_start_began_at
+        ) / self._settings.cold_ramp_seconds
+        return min(1.0, max(_MINIMUM_SLOW_START_FACTOR, elapsed))
 
     def _get(self, name: str) -> _UpstreamLoad:
         load = self._loads.get(name)
--- a/skylarkfold/flows/_state.py
+++ b/skylarkfold/flows/_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows about one service's flows."""
+"""The state of one service on this instance."""
 
 from __future__ import annotations
 
@@ -16,18 +16,22 @@
 from skylarkfold.flows import _table
 from skylarkfold import service as service_module
 
-HOME_PERIOD_IDLES = 1.5
-CACHE_PERIOD_IDLES = 0.25
-REPLICA_ROUNDS = 5
-REFRESH_ROUNDS = 3
+# Rotation periods of a home's pins and of the cache, as multiples of the
+# service's idle timeout.
+HOME_PERIOD_IDLE_FACTOR = 1.5
+CACHE_PERIOD_IDLE_FACTOR = 0.25
+# Rotations of the home's pins per rotation of replicas and per refresh.
+REPLICA_PERIOD_ROTATIONS = 5
+REFRESH_PERIOD_ROTATIONS = 3
 
 
 class StoredTable:
-    """What the platform's store has of a table.
+    """The version of a table in the platform's store.
 
-    :param revision: where in the store's history it was written.
-    :param version: what the next write must expect; 0 for no table.
-    :param serial: of the table.
+    :param revision: the store's revision at which it was written.
+    :param version: the version that the next write must expect; 0 if no
+        table is stored.
+    :param serial: the table's serial.
     """
 
     __slots__ = ('revision', 'serial', 'version')
@@ -42,13 +46,31 @@
 
 
 class ServiceState:
-    """One service: its table in force, its pins, and its load.
+    """A service with its current table, its pins and its load.
 
     :param service: the service as configured.
-    :param table: its first table, while none is known to be stored.
+    :param table: the initial table, used until a stored one is known.
     :param settings: the flow settings.
-    :param is_guess: whether the service is older than this instance's
-        view of it, so that another table may be in force elsewhere.
+    :param may_be_stale: whether other instances may have applied a newer
+        table, because the service is older than this instance.
+    :ivar version: the current table's serial, 0 for the initial table.
+    :ivar stored_table: the version of the table in the platform's store.
+    :ivar applied_at: when the current table was applied.
+    :ivar prepared_version: the last table version known to be applied on all
+        instances.
+    :ivar cache: upstreams of flows as answered by other instances.
+    :ivar pins: the pins of each bucket.
+    :ivar home_pins: those of the open buckets whose home is this instance.
+    :ivar redirect_counts: recently redirected datagrams of each flow.
+    :ivar opened_at: when each bucket that is not closed got its state.
+    :ivar home_since: when this instance became the home of each bucket.
+    :ivar preparing_since: for each preparing bucket the table version and the
+        time since which it is.
+    :ivar changed_since: for each bucket the table version and the time of its
+        last change.
+    :ivar mask: the mask that turns a flow's hash into its bucket.
+    :ivar closed_routes: the upstream of each closed bucket, None for others.
+    :ivar resolved_upstreams: the upstreams of the table, by index.
     """
 
     def __init__(
@@ -56,29 +78,29 @@
         service: service_module.Service,
         table: _table.BucketTable,
         settings: _settings.FlowSettings,
-        is_guess: bool,
+        may_be_stale: bool,
     ) -> None:
         self.service = service
         self.table = table
         self.version = 0
-        self.in_store = _NOT_STORED
-        self.adopted_at: float | None = None
+        self.stored_table = _NOT_STORED
+        self.applied_at: float | None = None
         self.prepared_version = 0
-        self.is_guess = is_guess
+        self.may_be_stale = may_be_stale
         self.load = _load.LoadView(settings)
         self.cache = _pins.PinSet()
         self.pins: dict[int, _pins.PinSet] = {}
-        self.own: dict[int, _pins.PinSet] = {}
-        self.passed_on: collections.Counter[int] = collections.Counter()
+        self.home_pins: dict[int, _pins.PinSet] = {}
+        self.redirect_counts: collections.Counter[int] = collections.Counter()
         self.opened_at: dict[int, float] = {}
         self.home_since: dict[int, float] = {}
-        self.prepared: dict[int, tuple[int, float]] = {}
-        self.changed: dict[int, tuple[int, float]] = {}
+        self.preparing_since: dict[int, tuple[int, float]] = {}
+        self.changed_since: dict[int, tuple[int, float]] = {}
         self.mask = len(table.states) - 1
-        self.routes: list[service_module.Upstream | None] = []
-        self.resolved: list[service_module.Upstream] = []
+        self.closed_routes: list[service_module.Upstream | None] = []
+        self.resolved_upstreams: list[service_module.Upstream] = []
         self._salt = xxhash.xxh3_64_intdigest(service.name.encode())
-        self._compile()
+        self._rebuild_routes()
 
     @property
     def name(self) -> str:
@@ -87,16 +109,16 @@
 
     @property
     def is_provisional(self) -> bool:
-        """Tell whether no stored table is known yet."""
+        """Whether the current table is the initial one."""
         return self.version == 0
 
     @property
-    def is_lost(self) -> bool:
-        """Tell whether the store lacks the table in force.
+    def is_missing_in_store(self) -> bool:
+        """Whether the store lacks the current table.
 
-        It has come back from an older copy, or nothing was written yet.
+        It was restored from an older copy, or no table was written yet.
         """
-        return self.in_store.serial < self.version
+        return self.stored_table.serial < self.version
 
     @property
     def eligible(self) -> list[service_module.Upstream]:
@@ -105,7 +127,7 @@
         return _table.list_eligible(self.service, dead)
 
     def find_slot(self, bucket: int) -> int:
-        """Name the slot whose holders keep a bucket's pins."""
+        """Return the slot that a bucket belongs to."""
         return (bucket ^ self._salt) % _ranking.SLOT_COUNT
 
     def list_buckets(self, slot: int) -> range:
@@ -120,55 +142,56 @@
         return [each for each, state in enumerate(states) if state != closed]
 
     def find_upstream(self, index: int) -> service_module.Upstream | None:
-        """Find an upstream by its index in the table.
+        """Return an upstream by its index in the table.
 
-        :param index: the index, perhaps of a table not yet known here.
-        :returns: the upstream, or None.
+        :param index: the index; it may be from a newer table.
+        :returns: the upstream, or None if the index is unknown.
         """
-        if 0 <= index < len(self.resolved):
-            return self.resolved[index]
+        if 0 <= index < len(self.resolved_upstreams):
+            return self.resolved_upstreams[index]
         return None
 
     def is_open(self, bucket: int) -> bool:
-        """Tell whether new flows of a bucket may leave its upstream.
+        """Return whether new flows of a bucket may go to another upstream.
 
-        A home need not wait for the table that says so, once it knows
-        that all instances ask it.
+        That also holds for a preparing bucket once all instances have applied
+        the table that prepares it, because they all ask the home then.
 
         :param bucket: the bucket.
+        :returns: whether they may.
         """
         state = self.table.states[bucket]
-        if state != _table.BucketState.PREPARE:
+        if state != _table.BucketState.PREPARING:
             return state == _table.BucketState.OPEN
-        return self.prepared[bucket][0] <= self.prepared_version
+        return self.preparing_since[bucket][0] <= self.prepared_version
 
-    def learn_prepared(self, version: int) -> None:
-        """Note a version whose preparations all others have in force.
+    def record_prepared_version(self, version: int) -> None:
+        """Record a table version that all instances have applied.
 
-        An instance that does not have it trusts its own table no more
-        and asks others until it catches up.
+        If this instance has missed it, its own table is stale, and it asks
+        the others about flows until it has a newer one.
 
         :param version: the table version.
         """
         self.prepared_version = max(self.prepared_version, version)
-        self.is_guess = self.is_guess or self.version < version
+        self.may_be_stale = self.may_be_stale or self.version < version
 
-    def find_known(
+    def find_local(
         self, caller: endpoint.Endpoint
     ) -> tuple[service_module.Upstream | None, effect.Reason]:
-        """Find a flow's upstream as far as this instance knows it alone.
+        """Return a flow's upstream if it is known without asking a peer.
 
         :param caller: the flow's caller.
         :returns: the upstream or None, and the reason.
         """
-        if self.is_guess:
+        if self.may_be_stale:
             return None, effect.Reason.STALE_VIEW
         flow = flow_module.hash_caller(self.service.name, caller)
         bucket = flow & self.mask
-        upstream = self.routes[bucket]
+        upstream = self.closed_routes[bucket]
         if upstream is not None:
             return upstream, effect.Reason.CLOSED_BUCKET
-        pins = self.own.get(bucket)
+        pins = self.home_pins.get(bucket)
         if pins is None:
             index = self.cache.peek(flow)
             reason = effect.Reason.CACHED
@@ -179,12 +202,12 @@
             return None, reason
         return self.find_upstream(index), reason
 
-    def keep(self, bucket: int, flow: int, index: int) -> None:
-        """Keep a flow's pin.
+    def add_pin(self, bucket: int, flow: int, index: int) -> None:
+        """Add a pin.
 
         :param bucket: the flow's bucket.
-        :param flow: its hash.
-        :param index: its upstream's index.
+        :param flow: the flow's hash.
+        :param index: the upstream's index.
         """
         pins = self.pins.get(bucket)
         if pins is None:
@@ -192,13 +215,13 @@
         pins.put(flow, index)
 
     def count_pins(self) -> int:
-        """Count all pins kept here."""
+        """Return the number of pins on this instance."""
         return sum(map(len, self.pins.values()))
 
     def configure(self, now: float, service: service_module.Service) -> None:
-        """Take a newer configuration of the service.
+        """Apply a newer configuration of the service.
 
-        :param now: the time.
+        :param now: the current time.
         :param service: the service as configured now.
         """
         if service == self.service:
@@ -207,79 +230,83 @@
         self.service = service
         for upstream in self.eligible:
             if upstream.name not in former:
-                self.load.add_cold(now, upstream.name)
-        self._compile()
+                self.load.begin_slow_start(now, upstream.name)
+        self._rebuild_routes()
 
-    def adopt(
+    def apply_table(
         self, now: float, table: _table.BucketTable, version: int
     ) -> None:
-        """Put a newer table in force.
+        """Apply a newer table.
 
-        :param now: the time.
+        :param now: the current time.
         :param table: the table.
-        :param version: its serial.
+        :param version: the table's serial.
         """
         former = self.table
         self.table = table
         self.version = version
-        self.adopted_at = now
-        self.is_guess = version < self.prepared_version
+        self.applied_at = now
+        self.may_be_stale = version < self.prepared_version
         self.mask = len(table.states) - 1
-        self._note_changes(now, former)
-        self._forget_dead(set(table.dead) - set(former.dead))
-        self._compile()
+        self._record_changes(now, former)
+        self._drop_dead_pins(set(table.dead) - set(former.dead))
+        self._rebuild_routes()
 
-    def _note_changes(self, now: float, former: _table.BucketTable) -> None:
+    def _record_changes(self, now: float, former: _table.BucketTable) -> None:
         table = self.table
-        is_alike = len(former.states) == len(table.states)
+        has_same_size = len(former.states) == len(table.states)
         for bucket, state in enumerate(table.states):
-            if is_alike and _is_same(bucket, former, table):
+            if has_same_size and _is_unchanged(bucket, former, table):
                 continue
-            self.changed[bucket] = (self.version, now)
-            if not is_alike or former.states[bucket] != state:
-                self._note_state(now, bucket, state)
+            self.changed_since[bucket] = (self.version, now)
+            if not has_same_size or former.states[bucket] != state:
+                self._record_state_change(now, bucket, state)
 
-    def _note_state(self, now: float, bucket: int, state: int) -> None:
-        self.prepared.pop(bucket, None)
+    def _record_state_change(
+        self, now: float, bucket: int, state: int
+    ) -> None:
+        self.preparing_since.pop(bucket, None)
         if state == _table.BucketState.CLOSED:
             self.opened_at.pop(bucket, None)
             self.pins.pop(bucket, None)
             return
         self.opened_at[bucket] = now
-        if state == _table.BucketState.PREPARE:
-            self.prepared[bucket] = (self.version, now)
+        if state == _table.BucketState.PREPARING:
+            self.preparing_since[bucket] = (self.version, now)
 
-    def _forget_dead(self, dead: set[int]) -> None:
+    def _drop_dead_pins(self, dead: set[int]) -> None:
         if not dead:
             return
         for pins in (self.cache, *self.pins.values()):
             pins.remove_upstreams(dead)
 
-    def _compile(self) -> None:
+    def _rebuild_routes(self) -> None:
         table = self.table
-        self.resolved = [self._resolve(each) for each in table.upstreams]
+        self.resolved_upstreams = [
+            self._resolve(each) for each in table.upstreams
+        ]
         closed = _table.BucketState.CLOSED
-        self.routes = [
+        self.closed_routes = [
             self.find_upstream(index) if state == closed else None
             for state, index in zip(table.states, table.unpinned)
         ]
 
     def _resolve(
-        self, described: _table.TableUpstream
+        self, table_upstream: _table.TableUpstream
     ) -> service_module.Upstream:
-        configured = self.service.get_upstream(described.name)
+        configured = self.service.get_upstream(table_upstream.name)
         if configured is not None:
             return configured
         return service_module.Upstream(
-            name=described.name,
-            address=endpoint.parse_endpoint(described.address),
-            zone=described.zone,
+            name=table_upstream.name,
+            address=endpoint.parse_endpoint(table_upstream.address),
+            zone=table_upstream.zone,
             weight=0.0,
             state=service_module.UpstreamState.DRAINING,
         )
 
 
-def _is_same(
+def _is_unchanged(
     bucket: int, former: _table.BucketTable, table: _table.BucketTable
 ) -> bool:
     return (
--- a/skylarkfold/relay/_callers.py
+++ b/skylarkfold/relay/_callers.py
@@ -1,141 +1,152 @@
-"""What instances are told of callers, where a service is short of room."""
+"""Reports on callers' demand, sent while a service is short of capacity."""
 
 from __future__ import annotations
 
 from skylarkfold.relay import _effect
 from skylarkfold.relay import _messages
-from skylarkfold.relay import _pace
+from skylarkfold.relay import _rate_limiter
 
 _NEVER = float('-inf')
-# Of the bytes, what goes to the neighbours of this zone.
+# Share of the byte budget for the neighbours in this zone.
 _NEAR_SHARE = 1 / 2
-# What may be told at once when a shortage begins, in seconds of the bytes.
+# Seconds of the budget that may be sent at once when a shortage starts.
 _BURST_SECONDS = 1.0
-# What a report takes beside its words.
+# Size of a report without its demands.
 _REPORT_BYTES = 10
 
 
-class CallerWords:
-    """Passes on what is counted here and what other zones say.
+class CallerReports:
+    """Sender and receiver of reports on callers' demand.
+
+    Demands are opaque bytes here; ``shares`` writes and reads them.
 
     :param zone: this instance's availability zone.
-    :param bytes_per_second: what it may cost.
-    :param word_seconds: how long a word of other zones is passed on.
-    :ivar is_urgent: whether a shortage has just begun, which is told at once.
+    :param bytes_per_second: the budget for sent reports.
+    :param maximum_age_seconds: how long the demand in other zones is passed
+        on.
+    :ivar is_urgent: whether a shortage has just started, so that the next
+        beacons are sent at once.
     """
 
     __slots__ = (
-        '_elsewhere',
-        '_elsewhere_at',
-        '_far_pace',
-        '_near_pace',
-        '_told_at',
-        '_word',
-        '_word_seconds',
+        '_demand',
+        '_far_limiter',
+        '_maximum_age_seconds',
+        '_near_limiter',
+        '_other_zones',
+        '_other_zones_at',
+        '_sent_other_zones_at',
         '_zone',
-        '_zone_word',
+        '_zone_demand',
         'is_urgent',
     )
 
     def __init__(
-        self, zone: str, bytes_per_second: float, word_seconds: float
+        self, zone: str, bytes_per_second: float, maximum_age_seconds: float
     ) -> None:
         self._zone = zone
-        self._word_seconds = word_seconds
+        self._maximum_age_seconds = maximum_age_seconds
         near = _NEAR_SHARE * bytes_per_second
         far = bytes_per_second - near
-        self._near_pace = _pace.Pace(near, _BURST_SECONDS)
-        self._far_pace = _pace.Pace(far, _BURST_SECONDS)
+        self._near_limiter = _rate_limiter.RateLimiter(near, _BURST_SECONDS)
+        self._far_limiter = _rate_limiter.RateLimiter(far, _BURST_SECONDS)
         self.is_urgent = False
-        self._word = b''
-        self._zone_word = b''
-        self._elsewhere = b''
-        self._elsewhere_at = _NEVER
-        # When what neighbours were last told of other zones was said.
-        self._told_at = _NEVER
-
-    def put(self, word: bytes, zone_word: bytes) -> None:
-        """Take what is to be told of this instance and its zone.
-
-        :param word: what is counted here; empty where no room is short.
-        :param zone_word: the zone's sum; empty for nothing.
+        self._demand = b''
+        self._zone_demand = b''
+        self._other_zones = b''
+        self._other_zones_at = _NEVER
+        # The value of _other_zones_at in the last report to this zone.
+        self._sent_other_zones_at = _NEVER
+
+    def put(self, demand: bytes, zone_demand: bytes) -> None:
+        """Set the demand to report for this instance and its zone.
+
+        :param demand: the demand counted here; empty where no service is
+            short of capacity.
+        :param zone_demand: the zone's total demand; empty if there is none.
         """
-        self.is_urgent |= bool(word) and not self._word
-        self._word = word
-        self._zone_word = zone_word
+        self.is_urgent |= bool(demand) and not self._demand
+        self._demand = demand
+        self._zone_demand = zone_demand
 
-    def put_other_zones(self, at: float, word: bytes) -> None:
-        """Take the sum of the other zones, heard from them here.
+    def put_other_zones(self, at: float, demand: bytes) -> None:
+        """Set the total demand in other zones, as reported to this instance.
 
-        :param at: when the last of it was said.
-        :param word: the sum.
+        :param at: when the latest part of it was reported.
+        :param demand: the total demand.
         """
-        if at > self._elsewhere_at:
-            self._pass_on(at, word)
+        if at > self._other_zones_at:
+            self._set_other_zones(at, demand)
 
-    def _pass_on(self, at: float, word: bytes) -> None:
-        self.is_urgent |= not self._elsewhere
-        self._elsewhere, self._elsewhere_at = word, at
+    def _set_other_zones(self, at: float, demand: bytes) -> None:
+        self.is_urgent |= not self._other_zones
+        self._other_zones, self._other_zones_at = demand, at
 
     def choose_near(
         self, now: float, hosts: int
     ) -> _messages.CallerReport | None:
-        """Choose what goes to the neighbours of this zone now.
+        """Return the report to send to the neighbours in this zone.
 
-        :param now: the time.
-        :param hosts: how many they are.
-        :returns: the report; None for nothing.
+        :param now: the current time.
+        :param hosts: the number of neighbours.
+        :returns: the report; None if there is nothing to report or the budget
+            is spent.
         """
-        age = now - self._elsewhere_at
-        if self._elsewhere and age > self._word_seconds:
-            self._elsewhere, self._elsewhere_at = b'', _NEVER
-        is_new = self._elsewhere_at > self._told_at
-        elsewhere = self._elsewhere if is_new else b''
-        if not self._word and not elsewhere:
+        age = now - self._other_zones_at
+        if self._other_zones and age > self._maximum_age_seconds:
+            self._other_zones, self._other_zones_at = b'', _NEVER
+        is_new = self._other_zones_at > self._sent_other_zones_at
+        other_zones = self._other_zones if is_new else b''
+        if not self._demand and not other_zones:
             return None
         age = age if is_new else 0.0
-        report = _messages.CallerReport(self._word, elsewhere, age)
-        chosen = _spend(now, self._near_pace, report, hosts)
+        report = _messages.CallerReport(self._demand, other_zones, age)
+        chosen = _limit_report(now, self._near_limiter, report, hosts)
         if chosen is not None:
-            self._told_at = self._elsewhere_at
+            self._sent_other_zones_at = self._other_zones_at
         return chosen
 
     def choose_far(
         self, now: float, hosts: int
     ) -> _messages.CallerReport | None:
-        """Choose what goes to the neighbours in other zones now.
+        """Return the report to send to the neighbours in other zones.
 
-        :param now: the time.
-        :param hosts: how many they are.
-        :returns: the report; None for nothing.
+        :param now: the current time.
+        :param hosts: the number of neighbours.
+        :returns: the report; None if there is nothing to report or the budget
+            is spent.
         """
-        if not self._zone_word:
+        if not self._zone_demand:
             return None
-        report = _messages.CallerReport(self._zone_word)
-        return _spend(now, self._far_pace, report, hosts)
+        report = _messages.CallerReport(self._zone_demand)
+        return _limit_report(now, self._far_limiter, report, hosts)
 
-    def take(self, now: float, beacon: _messages.Beacon) -> list[object]:
-        """Take what a peer tells.
+    def handle_beacon(
+        self, now: float, beacon: _messages.Beacon
+    ) -> list[object]:
+        """Process the report in a peer's beacon.
 
-        :param now: the time.
-        :param beacon: its beacon.
-        :returns: effects.
+        :param now: the current time.
+        :param beacon: the beacon.
+        :returns: the effects to perform.
         """
         report = beacon.callers
         if report is None:
             return []
         if beacon.zone != self._zone:
-            word = report.demand
-            return [_effect.CallerDemandReported(beacon.zone, True, 0.0, word)]
+            demand = report.demand
+            return [
+                _effect.CallerDemandReported(beacon.zone, True, 0.0, demand)
+            ]
         effects: list[object] = []
         if report.demand:
-            told = _effect.CallerDemandReported(
+            reported = _effect.CallerDemandReported(
                 beacon.name, False, 0.0, report.demand
             )
-            effects.append(told)
+            effects.append(reported)
         at = now - report.age_seconds
-        if report.other_zones and at > self._elsewhere_at:
-            self._pass_on(at, report.other_zones)
+        if report.other_zones and at > self._other_zones_at:
+            self._set_other_zones(at, report.other_zones)
             effects.append(
                 _effect.CallerDemandReported(
                     '', True, report.age_seconds, report.other_zones
@@ -144,11 +155,14 @@
         return effects
 
 
-def _spend(
-    now: float, pace: _pace.Pace, report: _messages.CallerReport, hosts: int
+def _limit_report(
+    now: float,
+    limiter: _rate_limiter.RateLimiter,
+    report: _messages.CallerReport,
+    hosts: int,
 ) -> _messages.CallerReport | None:
-    if not pace.is_due(now):
+    if not limiter.may_send(now):
         return None
     size = _REPORT_BYTES + len(report.demand) + len(report.other_zones)
-    pace.note_bytes(now, size * hosts)
+    limiter.record_bytes(now, size * hosts)
     return report
