--- a/skylarkfold/forwarder/__init__.py
+++ b/skylarkfold/forwarder/__init__.py
@@ -6,12 +6,12 @@
 """
 
 from skylarkfold.forwarder._daemon import Forwarder
-from skylarkfold.forwarder._own import apply_machine_settings
-from skylarkfold.forwarder._own import ForwarderSettings
-from skylarkfold.forwarder._own import parse_forwarder_settings
-from skylarkfold.forwarder._own import read_forwarder_settings
 from skylarkfold.forwarder._platform import Platform
 from skylarkfold.forwarder._platform import Store
+from skylarkfold.forwarder._settings import apply_machine_settings
+from skylarkfold.forwarder._settings import ForwarderSettings
+from skylarkfold.forwarder._settings import parse_forwarder_settings
+from skylarkfold.forwarder._settings import read_forwarder_settings
 
 __all__ = [
     'Forwarder',
--- a/skylarkfold/forwarder/_daemon.py
+++ b/skylarkfold/forwarder/_daemon.py
@@ -9,19 +9,19 @@
 from skylarkfold import errors
 from skylarkfold.forwarder import _departure
 from skylarkfold.forwarder import _gauges
-from skylarkfold.forwarder import _knowledge
-from skylarkfold.forwarder import _link
 from skylarkfold.forwarder import _metrics
-from skylarkfold.forwarder import _own
+from skylarkfold.forwarder import _peer_messages
 from skylarkfold.forwarder import _peers
 from skylarkfold.forwarder import _platform
-from skylarkfold.forwarder import _precedence
 from skylarkfold.forwarder import _probe
-from skylarkfold.forwarder import _questions
 from skylarkfold.forwarder import _reporter
+from skylarkfold.forwarder import _retention_policy
 from skylarkfold.forwarder import _rhythm
+from skylarkfold.forwarder import _settings
 from skylarkfold.forwarder import _sharing
-from skylarkfold.forwarder import _store_link
+from skylarkfold.forwarder import _store_sync
+from skylarkfold.forwarder import _topics
+from skylarkfold.forwarder import _traffic
 from skylarkfold import light_imports
 from skylarkfold import machine
 from skylarkfold import reactor
@@ -59,14 +59,14 @@
         self,
         settings: machine.MachineSettings,
         file: machine.SettingsFile,
-        own: _own.ForwarderSettings,
+        own: _settings.ForwarderSettings,
         platform: _platform.Platform,
         packets: light_imports.Socket,
     ) -> None:
         self._settings = settings
         self._file = file
-        self._knowledge = _knowledge.Knowledge(platform, settings)
-        _own.apply_machine_settings(own, settings)
+        self._knowledge = _topics.Knowledge(platform, settings)
+        _settings.apply_machine_settings(own, settings)
         own.relay.topics = self._knowledge.topics
         own.relay.shared_topics = self._knowledge.shared_topics
         own.relay.lasting_topics = self._knowledge.lasting_topics
@@ -77,18 +77,18 @@
             settings.name, own.log, platform.list_counters
         )
         room = rooms.InstanceHeadroom(own.room, settings.link_bytes_per_second)
-        self._link = _link.LinkCount(room)
+        self._link = _traffic.LinkCount(room)
         self._affinity = affinity.AffinityCore(
             settings.zone, own.affinity, room
         )
-        self._questions = _questions.Questions(self._reporter)
+        self._questions = _peer_messages.Questions(self._reporter)
         self._relay = relay.RelayCore(
             settings.name,
             settings.zone,
             settings.peer_address[0],
             own.relay,
             settings.capacity,
-            _precedence.Precedence(platform, own),
+            _retention_policy.Precedence(platform, own),
         )
         self._relay.set_seeds(settings.seeds)
         self._sharing = _sharing.CallerSharing(
@@ -98,7 +98,7 @@
         self._peers = _peers.PeerSockets(
             self._loop, settings.peer_address, self
         )
-        self._store = _store_link.StoreLink(
+        self._store = _store_sync.StoreLink(
             self._loop,
             platform,
             self._knowledge,
--- a/skylarkfold/forwarder/_lines.py
+++ b/skylarkfold/forwarder/_lines.py
@@ -15,7 +15,7 @@
 import time
 
 from skylarkfold import deferred_log
-from skylarkfold.forwarder import _own
+from skylarkfold.forwarder import _settings
 from skylarkfold import token_bucket
 
 # A pipe that is ready takes this much without blocking (POSIX).
@@ -33,7 +33,7 @@
     def __init__(
         self,
         instance: str,
-        settings: _own.LogSettings,
+        settings: _settings.LogSettings,
         descriptor: int = 1,
     ) -> None:
         super().__init__()
@@ -115,7 +115,7 @@
     return text.encode() + b'\n'
 
 
-def configure(instance: str, settings: _own.LogSettings) -> LineHandler:
+def configure(instance: str, settings: _settings.LogSettings) -> LineHandler:
     """Send the package's log records to standard output.
 
     :param instance: the instance's name.
--- a/skylarkfold/forwarder/_reporter.py
+++ b/skylarkfold/forwarder/_reporter.py
@@ -8,7 +8,7 @@
 from skylarkfold import affinity
 from skylarkfold import deferred_log
 from skylarkfold.forwarder import _metrics
-from skylarkfold.forwarder import _own
+from skylarkfold.forwarder import _settings
 from skylarkfold import histogram
 
 _logger = deferred_log.LOGGER
@@ -37,7 +37,7 @@
     def __init__(
         self,
         instance: str,
-        settings: _own.LogSettings,
+        settings: _settings.LogSettings,
         list_counters: Callable[[], dict[str, int]],
     ) -> None:
         self._instance = instance
--- a/skylarkfold/forwarder/_precedence.py
+++ b/skylarkfold/forwarder/_retention_policy.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from skylarkfold.forwarder import _own
 from skylarkfold.forwarder import _platform
+from skylarkfold.forwarder import _settings
 from skylarkfold import relay
 
 
@@ -21,7 +21,7 @@
     __slots__ = ('_comparers', '_entry_seconds', '_platform', '_relay')
 
     def __init__(
-        self, platform: _platform.Platform, own: _own.ForwarderSettings
+        self, platform: _platform.Platform, own: _settings.ForwarderSettings
     ) -> None:
         self._platform = platform
         self._relay = own.relay
--- a/skylarkfold/forwarder/_own.py
+++ b/skylarkfold/forwarder/_settings.py
@@ -166,9 +166,11 @@
         elif name == 'shares':
             _check_object(value, source, place)
             # Few have it, and it takes time at the start.
-            from skylarkfold.forwarder import _own_shares
+            from skylarkfold.forwarder import _shares_settings
 
-            values[name] = _own_shares.convert_shares(value, source, place)
+            values[name] = _shares_settings.convert_shares(
+                value, source, place
+            )
         elif name == 'metrics_port':
             values[name] = _check_port(value, source, place)
         else:
--- a/skylarkfold/forwarder/_sharing.py
+++ b/skylarkfold/forwarder/_sharing.py
@@ -6,8 +6,8 @@
 from skylarkfold import deferred_log
 from skylarkfold import errors
 from skylarkfold.forwarder import _metrics
-from skylarkfold.forwarder import _own
 from skylarkfold.forwarder import _reporter
+from skylarkfold.forwarder import _settings
 from skylarkfold import relay
 
 
@@ -31,7 +31,7 @@
         self._relay = relay_core
         self._reporter = reporter
 
-    def put(self, own: _own.ForwarderSettings, is_asked: bool) -> None:
+    def put(self, own: _settings.ForwarderSettings, is_asked: bool) -> None:
         """Put settings in force.
 
         :param own: the settings of this instance.
@@ -46,7 +46,7 @@
         if self._core.shares.sharing is None:
             self._relay.announcer.callers.put(b'', b'')
 
-    def reload(self, own: _own.ForwarderSettings, is_asked: bool) -> None:
+    def reload(self, own: _settings.ForwarderSettings, is_asked: bool) -> None:
         """Read this instance's settings of shares again.
 
         What can't be used changes nothing.
@@ -55,7 +55,7 @@
         :param is_asked: as for :meth:`put`.
         """
         try:
-            own.shares = _own.read_forwarder_settings(own.path).shares
+            own.shares = _settings.read_forwarder_settings(own.path).shares
         except errors.SettingsError as error:
             self._reporter.log(
                 'settings', deferred_log.ERROR, reason='kept', error=str(error)
--- a/skylarkfold/forwarder/_store_link.py
+++ b/skylarkfold/forwarder/_store_sync.py
@@ -6,10 +6,10 @@
 import functools
 
 from skylarkfold import affinity
-from skylarkfold.forwarder import _knowledge
 from skylarkfold.forwarder import _metrics
 from skylarkfold.forwarder import _platform
 from skylarkfold.forwarder import _reporter
+from skylarkfold.forwarder import _topics
 from skylarkfold import reactor
 from skylarkfold import relay
 
@@ -45,7 +45,7 @@
         self,
         loop: reactor.Loop,
         platform: _platform.Platform,
-        knowledge: _knowledge.Knowledge,
+        knowledge: _topics.Knowledge,
         relay_core: relay.RelayCore,
         core: affinity.AffinityCore,
         reporter: _reporter.Reporter,
--- a/skylarkfold/measure/token.py
+++ b/skylarkfold/measure/token.py
@@ -17,8 +17,8 @@
 from skylarkfold import affinity
 from skylarkfold import deferred_log
 from skylarkfold.forwarder import _lines
-from skylarkfold.forwarder import _own
 from skylarkfold.forwarder import _reporter
+from skylarkfold.forwarder import _settings
 from skylarkfold.platform import _packet
 from skylarkfold.standin.packets import _wire
 
@@ -189,7 +189,7 @@
 ) -> Callable[[int], object]:
     """Place new flows and log each, as the daemon does."""
     core = _build_core(known)
-    settings = _own.LogSettings(
+    settings = _settings.LogSettings(
         lines_per_second=lines_per_second, burst_lines=lines_per_second
     )
     made = iter(range(_PACKETS * _TIMES))
--- a/skylarkfold/tests/forwarder/test_link.py
+++ b/skylarkfold/tests/forwarder/test_batching.py
@@ -3,8 +3,8 @@
 import testtools
 
 from skylarkfold import affinity
-from skylarkfold.forwarder import _link
-from skylarkfold.forwarder import _questions
+from skylarkfold.forwarder import _peer_messages
+from skylarkfold.forwarder import _traffic
 from skylarkfold import room
 from skylarkfold.tests.affinity import samples
 
@@ -14,7 +14,7 @@
 class LinkCountTest(testtools.TestCase):
     def test_packets_and_their_headers_are_noted_together(self):
         own = room.InstanceHeadroom(room.RoomSettings(), RATE)
-        count = _link.LinkCount(own)
+        count = _traffic.LinkCount(own)
         for _ in range(10):
             count.count_received(72)
         count.count_sent(80)
@@ -45,7 +45,7 @@
 class QuestionsTest(testtools.TestCase):
     def test_what_a_moment_brings_goes_in_one_beacon(self):
         announcer, reporter = Announcer(), Reporter()
-        questions = _questions.Questions(reporter)
+        questions = _peer_messages.Questions(reporter)
         self.assertEqual([], questions.send(1.0, announcer))
         first, second = (samples.build_upstream(each) for each in (7, 9))
         for upstream in (first, second, first):
--- a/skylarkfold/tests/forwarder/test_lines.py
+++ b/skylarkfold/tests/forwarder/test_lines.py
@@ -7,7 +7,7 @@
 import testtools
 
 from skylarkfold.forwarder import _lines
-from skylarkfold.forwarder import _own
+from skylarkfold.forwarder import _settings
 
 
 class LinesTest(testtools.TestCase):
@@ -18,7 +18,7 @@
         self.addCleanup(os.close, self.writer)
 
     def build(self, **fields):
-        settings = _own.LogSettings(**fields)
+        settings = _settings.LogSettings(**fields)
         return _lines.LineHandler('one', settings, self.writer)
 
     def emit(self, handler, message='m', **extra):
@@ -82,7 +82,7 @@
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
-        handler = _lines.LineHandler('one', _own.LogSettings(), writer)
+        handler = _lines.LineHandler('one', _settings.LogSettings(), writer)
         self.emit(handler)
         handler.flush()
 
--- a/skylarkfold/tests/forwarder/test_precedence.py
+++ b/skylarkfold/tests/forwarder/test_retention_policy.py
@@ -3,8 +3,8 @@
 import testtools
 
 from skylarkfold import affinity
-from skylarkfold.forwarder import _own
-from skylarkfold.forwarder import _precedence
+from skylarkfold.forwarder import _retention_policy
+from skylarkfold.forwarder import _settings
 from skylarkfold.platform import _adapter
 from skylarkfold.tests import items
 from skylarkfold.tests import machines
@@ -21,10 +21,12 @@
         settings = machines.build_settings(
             change_seconds=5.0, disturbed_seconds=15.0
         )
-        self.own = _own.ForwarderSettings()
-        _own.apply_machine_settings(self.own, settings)
+        self.own = _settings.ForwarderSettings()
+        _settings.apply_machine_settings(self.own, settings)
         platform = _adapter.Adapter(settings)
-        self.retention_policy = _precedence.Precedence(platform, self.own)
+        self.retention_policy = _retention_policy.Precedence(
+            platform, self.own
+        )
 
     def compare(self, topic, former, current, is_fresh=False):
         return self.retention_policy.compute_retention_seconds(
--- a/skylarkfold/tests/forwarder/test_sharing.py
+++ b/skylarkfold/tests/forwarder/test_sharing.py
@@ -13,8 +13,8 @@
 
 from skylarkfold import affinity
 from skylarkfold.forwarder import _gauges
-from skylarkfold.forwarder import _own
 from skylarkfold.forwarder import _reporter
+from skylarkfold.forwarder import _settings
 from skylarkfold.forwarder import _sharing
 from skylarkfold import relay
 from skylarkfold import revision as revisions
@@ -30,7 +30,7 @@
         self.addCleanup(scratch.cleanup)
         self.path = pathlib.Path(scratch.name) / 'own.json'
         self.path.write_text('{}')
-        self.own = _own.read_forwarder_settings(str(self.path))
+        self.own = _settings.read_forwarder_settings(str(self.path))
         self.core = affinity.AffinityCore('z', self.own.affinity)
         settings = relay.RelaySettings(topics=('t',))
         self.relay = relay.RelayCore('n', 'z', 'h', settings)
--- a/skylarkfold/tests/platform/test_return.py
+++ b/skylarkfold/tests/platform/test_return.py
@@ -7,9 +7,9 @@
 import testtools
 
 from skylarkfold import affinity
-from skylarkfold.forwarder import _knowledge
-from skylarkfold.forwarder import _own
-from skylarkfold.forwarder import _precedence
+from skylarkfold.forwarder import _retention_policy
+from skylarkfold.forwarder import _settings
+from skylarkfold.forwarder import _topics
 from skylarkfold.measure import _relay_fleet as fleet_module
 from skylarkfold.platform import _adapter
 from skylarkfold import relay
@@ -42,13 +42,13 @@
 
     def __init__(self):
         settings = build_settings()
-        self.own = _own.ForwarderSettings()
-        _own.apply_machine_settings(self.own, settings)
+        self.own = _settings.ForwarderSettings()
+        _settings.apply_machine_settings(self.own, settings)
         self.adapter = _adapter.Adapter(settings)
-        self.knowledge = _knowledge.Knowledge(self.adapter, settings)
+        self.knowledge = _topics.Knowledge(self.adapter, settings)
         self.own.relay.topics = self.knowledge.topics
         self.own.relay.lasting_topics = self.knowledge.lasting_topics
-        retention_policy = _precedence.Precedence(self.adapter, self.own)
+        retention_policy = _retention_policy.Precedence(self.adapter, self.own)
         self.flows = {}
         self.effects = []
         super().__init__(ZONES, self.own.relay, retention_policy)
