--- a/skylarkfold/forwarder/__init__.py
+++ b/skylarkfold/forwarder/__init__.py
@@ -1,8 +1,8 @@
-"""The daemon of instances that forward packets with tokens.
+"""The daemon of an instance that forwards packets carrying tokens.
 
-It feeds the decisions of ``affinity`` and ``relay`` from sockets, timers
-and signals, and performs their effects. Which bytes a platform's packets,
-objects and settings have is the matter of a :class:`Platform`.
+It passes input from sockets, timers and signals to the cores in ``affinity``
+and ``relay``, and performs the effects that they return. A
+:class:`Platform` translates the platform's packets and stored objects.
 """
 
 from skylarkfold.forwarder._daemon import Forwarder
--- a/skylarkfold/forwarder/_departure.py
+++ b/skylarkfold/forwarder/_departure.py
@@ -1,56 +1,62 @@
-"""A planned stop: leave rotation first, then end."""
+"""Graceful shutdown: leave rotation first, then exit."""
 
 from __future__ import annotations
 
-# How long a planned stop waits for others of the zone to be in rotation. Two
-# missed checks later, at most 1.2 s, it must be out: within 4 s in all.
-_HOLD_SECONDS = 2.2
-# It goes on forwarding until the readiness checks, two a second, have
-# missed twice and the routers have heard of it.
-_LEAVE_SECONDS = 1.6
-# Then until no packet has come for so long.
+# How long a shutdown waits for other instances of the zone to be in rotation.
+# Routers remove the instance after two failed readiness checks, which take at
+# most 1.2 s more; the limit for all of it is 4 s.
+_MAX_HOLD_SECONDS = 2.2
+# Forwarding continues until two readiness checks, at two a second, have failed
+# and the routers have been updated.
+_WITHDRAWAL_SECONDS = 1.6
+# After that, the process exits once no packet has arrived for this long.
 _QUIET_SECONDS = 0.4
-# What is left of the grace when a stop ends in any case.
-_RESERVE_SECONDS = 1.0
+# The process exits at the latest this long before the grace period ends.
+_EXIT_MARGIN_SECONDS = 1.0
 
 
 class Departure:
-    """How far a planned stop is.
+    """The progress of a graceful shutdown.
 
-    :param now: when it was asked for.
-    :param grace_seconds: how long it may take.
-    :ivar left_at: when the instance left rotation, None before.
+    :param now: the time at which it was requested.
+    :param grace_seconds: the grace period.
+    :ivar left_at: the time at which the instance left rotation; None before.
     """
 
-    __slots__ = ('_asked_at', '_grace_seconds', 'left_at')
+    __slots__ = (
+        '_grace_seconds',
+        '_requested_at',
+        'left_at',
+    )
 
     def __init__(self, now: float, grace_seconds: float) -> None:
-        self._asked_at = now
+        self._requested_at = now
         self._grace_seconds = grace_seconds
         self.left_at: float | None = None
 
     def must_leave(self, now: float, may_leave: bool) -> bool:
-        """Tell whether to leave rotation now.
+        """Return whether to leave rotation now; record it if so.
 
         :param now: the time.
-        :param may_leave: whether enough others of the zone are in it.
+        :param may_leave: whether enough other instances of the zone are in
+            rotation.
         """
         if self.left_at is not None:
             return False
-        if not may_leave and now - self._asked_at <= _HOLD_SECONDS:
+        if not may_leave and now - self._requested_at <= _MAX_HOLD_SECONDS:
             return False
         self.left_at = now
         return True
 
     def is_over(self, now: float, packet_at: float) -> bool:
-        """Tell whether the process may end.
+        """Return whether the process may exit.
 
         :param now: the time.
-        :param packet_at: when the last packet came.
+        :param packet_at: the arrival time of the last packet.
         """
-        most = self._grace_seconds - _RESERVE_SECONDS
-        if now - self._asked_at > most:
+        limit = self._grace_seconds - _EXIT_MARGIN_SECONDS
+        if now - self._requested_at > limit:
             return True
-        if self.left_at is None or now - self.left_at <= _LEAVE_SECONDS:
+        if self.left_at is None or now - self.left_at <= _WITHDRAWAL_SECONDS:
             return False
         return now - packet_at > _QUIET_SECONDS
--- a/skylarkfold/forwarder/_gauges.py
+++ b/skylarkfold/forwarder/_gauges.py
@@ -1,11 +1,11 @@
-"""Present values on the metrics address."""
+"""Gauges exported on the metrics address."""
 
 from __future__ import annotations
 
 from skylarkfold import affinity
 from skylarkfold import relay
 
-# For a topic that the store never confirmed.
+# The age of a topic that the store has never confirmed.
 _NEVER = -1.0
 
 
@@ -15,12 +15,12 @@
     relay_core: relay.RelayCore,
     is_ready: bool,
 ) -> dict[str, float]:
-    """List what the instance has and knows.
+    """Return the current values of all gauges.
 
     :param now: the time.
-    :param core: the decisions on flows.
-    :param relay_core: what the store holds.
-    :param is_ready: whether the instance takes new flows.
+    :param core: the core that places flows.
+    :param relay_core: the core that follows the store's topics.
+    :param is_ready: whether the instance accepts new flows.
     :returns: values by name.
     """
     directory = core.directory
--- a/skylarkfold/forwarder/_lines.py
+++ b/skylarkfold/forwarder/_lines.py
@@ -1,8 +1,8 @@
-"""Structured log lines that never hold up the process.
+"""Structured log lines, written without blocking the process.
 
-Lines wait in memory and are written only as far as the reader takes them.
-Decisions have a budget of lines a second. What is left out is counted, and
-the count is said in a line of its own.
+Lines are queued in memory and written as fast as the reader consumes them.
+Lines about single flows are rate-limited. Dropped lines are counted, and the
+count is logged in a line of its own.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 from skylarkfold.forwarder import _settings
 from skylarkfold import token_bucket
 
-# A pipe that is ready takes this much without blocking (POSIX).
-_PORTION_BYTES = 4096
+# POSIX: a pipe that polls writable accepts this much without blocking.
+_CHUNK_BYTES = 4096
 
 
 class LineHandler(logging.Handler):
-    """Formats records as JSON objects, one a line.
+    """Formats log records as JSON objects, one per line.
 
-    :param instance: part of each line.
-    :param settings: how much is logged.
-    :param descriptor: where lines are written.
+    :param instance: the instance's name, a field of each line.
+    :param settings: the rate limit and the size of the queue.
+    :param descriptor: the file descriptor that lines are written to.
+    :ivar dropped: how many lines were dropped.
     """
 
     def __init__(
@@ -44,14 +45,14 @@
             settings.lines_per_second, settings.burst_lines
         )
         self._lines: collections.deque[bytes] = collections.deque()
-        self._rest = b''
+        self._partial_line = b''
         self.dropped = 0
-        self._left_out_said = 0
+        self._reported_dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a record; its fields are in ``record.fields``."""
+        """Queue a record, with the fields in ``record.fields``."""
         is_full = len(self._lines) >= self._settings.waiting_lines
-        if is_full or not self._may_write(record):
+        if is_full or not self._is_within_budget(record):
             self.dropped += 1
             return
         fields = {
@@ -66,19 +67,19 @@
             fields['exception'] = formatter.formatException(record.exc_info)
         self._lines.append(_encode(fields))
 
-    def _may_write(self, record: logging.LogRecord) -> bool:
-        # Only decisions on single flows come in numbers.
+    def _is_within_budget(self, record: logging.LogRecord) -> bool:
+        # Only lines about single flows are frequent enough to be limited.
         if not getattr(record, 'is_budgeted', False):
             return True
-        # A line that was held counts for the time at which it was said.
+        # A deferred line is counted at the time at which it was logged.
         return self._budget.take(getattr(record, 'at', time.monotonic()))
 
     def flush(self) -> None:
-        """Write what the reader takes at once."""
-        self._say_left_out()
-        while self._rest or self._lines:
-            if not self._rest:
-                self._rest = self._lines.popleft()
+        """Write as many queued lines as fit without blocking."""
+        self._queue_dropped_notice()
+        while self._partial_line or self._lines:
+            if not self._partial_line:
+                self._partial_line = self._lines.popleft()
             if not self._write():
                 return
 
@@ -87,19 +88,21 @@
         if not ready:
             return False
         try:
-            written = os.write(self._descriptor, self._rest[:_PORTION_BYTES])
+            written = os.write(
+                self._descriptor, self._partial_line[:_CHUNK_BYTES]
+            )
         except OSError:
-            # The reader is gone: there is nobody to tell.
+            # The reader has closed the pipe.
             self._lines.clear()
-            self._rest = b''
+            self._partial_line = b''
             return False
-        self._rest = self._rest[written:]
+        self._partial_line = self._partial_line[written:]
         return True
 
-    def _say_left_out(self) -> None:
-        count = self.dropped - self._left_out_said
+    def _queue_dropped_notice(self) -> None:
+        count = self.dropped - self._reported_dropped
         if count and len(self._lines) < self._settings.waiting_lines:
-            self._left_out_said = self.dropped
+            self._reported_dropped = self.dropped
             fields = {
                 'time': round(time.time(), 3),
                 'level': 'warning',
@@ -116,11 +119,11 @@
 
 
 def configure(instance: str, settings: _settings.LogSettings) -> LineHandler:
-    """Send the package's log records to standard output.
+    """Write the package's log records to standard output.
 
     :param instance: the instance's name.
-    :param settings: how much is logged.
-    :returns: the handler, to be flushed now and then.
+    :param settings: the rate limit and the size of the queue.
+    :returns: the handler; the caller flushes it regularly.
     """
     handler = LineHandler(instance, settings)
     logger = logging.getLogger(deferred_log.NAME)
--- a/skylarkfold/forwarder/_peer_messages.py
+++ b/skylarkfold/forwarder/_peer_messages.py
@@ -1,4 +1,4 @@
-"""What the peers of a zone are to be asked and told of upstreams."""
+"""Batched messages about upstreams to the peers of the zone."""
 
 from __future__ import annotations
 
@@ -8,47 +8,51 @@
 from skylarkfold import relay
 
 
-class Questions:
-    """Gathers it, so that one beacon carries what a moment brings.
+class PeerMessageBatch:
+    """Collects queries and notices, so that one beacon carries all of them.
 
-    A zone that falls silent, or a link that loses packets, raises dozens of
-    questions at once; a beacon each would be a load of its own.
+    A failing zone or link raises dozens of queries at once; a beacon for each
+    would overload the peers.
 
-    :param reporter: counts questions.
+    :param reporter: counts the queries.
     """
 
-    __slots__ = ('_doubts', '_lost', '_reporter')
+    __slots__ = (
+        '_queried',
+        '_reporter',
+        '_unreachable',
+    )
 
     def __init__(self, reporter: _reporter.Reporter) -> None:
         self._reporter = reporter
-        self._doubts: dict[int, None] = {}
-        self._lost: dict[int, None] = {}
+        self._queried: dict[int, None] = {}
+        self._unreachable: dict[int, None] = {}
 
-    def ask(self, wanted: affinity.QueryPeers) -> None:
-        """Have peers asked whether they heard an upstream.
+    def add_query(self, effect: affinity.QueryPeers) -> None:
+        """Add a query: have peers received packets from an upstream?
 
-        :param wanted: names the upstream.
+        :param effect: names the upstream.
         """
         self._reporter.count(_metrics.PEERS_ASKED)
-        self._doubts[wanted.upstream.incarnation] = None
+        self._queried[effect.upstream.incarnation] = None
 
-    def tell(self, wanted: affinity.NotifyPeers) -> None:
-        """Have peers told that an upstream was found out of reach.
+    def add_notice(self, effect: affinity.NotifyPeers) -> None:
+        """Add a notice that an upstream was found unreachable.
 
-        :param wanted: names the upstream.
+        :param effect: names the upstream.
         """
-        self._lost[wanted.upstream.incarnation] = None
+        self._unreachable[effect.upstream.incarnation] = None
 
     def send(self, now: float, announcer: relay.Announcer) -> list[object]:
-        """Send what has been gathered.
+        """Build a beacon with the collected messages, and clear them.
 
         :param now: the time.
         :param announcer: builds the beacon.
-        :returns: effects; none where there is nothing to ask or tell.
+        :returns: the effects that send it; none if nothing was collected.
         """
-        if not self._doubts and not self._lost:
+        if not self._queried and not self._unreachable:
             return []
-        doubts, lost = tuple(self._doubts), tuple(self._lost)
-        self._doubts.clear()
-        self._lost.clear()
+        doubts, lost = tuple(self._queried), tuple(self._unreachable)
+        self._queried.clear()
+        self._unreachable.clear()
         return announcer.notify_zone(now, doubts, lost)
--- a/skylarkfold/forwarder/_platform.py
+++ b/skylarkfold/forwarder/_platform.py
@@ -1,4 +1,4 @@
-"""What the daemon needs of the platform that it runs on."""
+"""Interfaces that a platform implements for the daemon."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from skylarkfold import reactor
 from skylarkfold import relay
 
-Answered = Callable[[relay.Answer], object]
+AnswerCallback = Callable[[relay.Answer], object]
 
 
 class Store(light_imports.Protocol):
     """A client of the platform's store."""
 
-    def call(self, call: relay.Call, answered: Answered) -> None:
-        """Begin a call; ``answered`` gets its end, always."""
+    def call(self, call: relay.Call, on_answer: AnswerCallback) -> None:
+        """Start a call; ``on_answer`` is always called with its result."""
 
     def cancel(self, topic: str) -> None:
-        """End the call of a topic that is under way, without an answer."""
+        """Abort the pending call of a topic."""
 
     def close(self) -> None:
         """Close all connections."""
 
 
 class Platform(light_imports.Protocol):
-    """Translates between a platform's bytes and typed values.
+    """Translates between a platform's formats and typed values.
 
     :ivar routes_topic: the topic of the objects that hold routes.
-    :ivar upstreams_topic: the topic of the upstreams' entries.
-    :ivar evacuations_topic: the topic of requests to empty a zone.
+    :ivar upstreams_topic: the topic of the entries of upstreams.
+    :ivar evacuations_topic: the topic of requests to evacuate a zone.
     """
 
     routes_topic: str
@@ -40,44 +40,44 @@
     evacuations_topic: str
 
     def decode_packet(self, data: bytes) -> affinity.Packet | None:
-        """Read a caller's packet; None if it is none."""
+        """Decode a caller's packet; return None if it is malformed."""
 
     def encode_forward(
         self, upstream: affinity.Upstream, data: bytes
     ) -> bytes:
-        """Make what an upstream is sent for a caller's packet."""
+        """Encode the datagram that forwards a packet to an upstream."""
 
     def encode_reset(
         self, flow: bytes, acknowledged: int
     ) -> tuple[bytes, tuple[str, int]]:
-        """Make a reset, and tell where the caller takes it."""
+        """Encode a reset; return it with the caller's address."""
 
     def decode_routes(
         self, items: Iterable[relay.Item]
     ) -> affinity.RouteTable | None:
-        """Read the routes; None where there are none that can be used."""
+        """Decode the routes; return None if there are no usable ones."""
 
     def decode_upstreams(
         self, items: Iterable[relay.Item]
     ) -> list[affinity.Upstream]:
-        """Read the upstreams' entries; unusable ones are left out."""
+        """Decode the entries of upstreams; skip unusable ones."""
 
     def decode_upstream(self, item: relay.Item) -> affinity.Upstream | None:
-        """Read an upstream's entry; None for an unusable one."""
+        """Decode an upstream's entry; return None if it is unusable."""
 
     def read_version(self, item: relay.Item) -> int | None:
-        """Read the version of an object that holds routes; None for none."""
+        """Return the version of an object of routes; None if it has none."""
 
     def decode_evacuations(
         self, items: Iterable[relay.Item], zones: tuple[str, ...]
     ) -> affinity.Evacuations:
-        """Read which of the zones are evacuated."""
+        """Decode which of the zones are evacuated."""
 
     def asks_for_shares(self, settings: machine.MachineSettings) -> bool:
-        """Tell whether the deployment wants callers kept to shares."""
+        """Return whether the deployment limits callers to their shares."""
 
     def list_counters(self) -> dict[str, int]:
-        """List what could not be used so far, totals by name."""
+        """Return the totals of unusable input, by counter name."""
 
     def open_store(self, loop: reactor.Loop) -> Store:
-        """Make a client of the store."""
+        """Return a new client of the store."""
--- a/skylarkfold/forwarder/_probe.py
+++ b/skylarkfold/forwarder/_probe.py
@@ -1,4 +1,4 @@
-"""Probes of upstreams: do they take a TCP connection?"""
+"""Health probes that open a TCP connection to an upstream."""
 
 from __future__ import annotations
 
@@ -12,52 +12,59 @@
 
 def probe(
     loop: reactor.Loop,
-    wanted: affinity.Probe,
-    finished: Callable[[affinity.Upstream, str, bool], object],
+    effect: affinity.Probe,
+    on_result: Callable[[affinity.Upstream, str, bool], object],
 ) -> None:
-    """Open a connection and close it again.
+    """Probe an upstream by opening a connection and closing it.
 
-    A connection costs the upstream no slot, and shows that its process
-    lives, which a request would not show better.
+    That shows that the upstream's process runs, and takes none of its slots.
 
     :param loop: the event loop.
-    :param wanted: what to probe.
-    :param finished: takes the upstream, the outcome and whether it was a
-        control, once.
+    :param effect: names the upstream and the timeout.
+    :param on_result: called once with the upstream, the outcome and whether
+        it was a control probe.
     """
-    _Attempt(loop, wanted, finished)
+    _ProbeConnection(loop, effect, on_result)
 
 
-class _Attempt:
-    __slots__ = ('_finished', '_is_control', '_stream', '_timer', '_upstream')
+class _ProbeConnection:
+    __slots__ = (
+        '_is_control',
+        '_on_result',
+        '_stream',
+        '_timer',
+        '_upstream',
+    )
 
     def __init__(
         self,
         loop: reactor.Loop,
-        wanted: affinity.Probe,
-        finished: Callable[[affinity.Upstream, str, bool], object],
+        effect: affinity.Probe,
+        on_result: Callable[[affinity.Upstream, str, bool], object],
     ) -> None:
-        self._finished = finished
-        self._is_control = wanted.is_control
-        self._upstream = wanted.upstream
-        self._stream = reactor.connect(loop, wanted.upstream.address)
-        self._stream.on_open = self._succeed
-        self._stream.on_close = self._refuse
-        self._timer = loop.call_later(wanted.timeout_seconds, self._give_up)
-
-    def _succeed(self) -> None:
-        self._end(Outcome.ALIVE)
-
-    def _refuse(self, _reason: str) -> None:
-        self._end(Outcome.REFUSED)
-
-    def _give_up(self) -> None:
-        self._end(Outcome.SILENT)
-
-    def _end(self, outcome: str) -> None:
-        finished, self._finished = self._finished, None
-        if finished is None:
+        self._on_result = on_result
+        self._is_control = effect.is_control
+        self._upstream = effect.upstream
+        self._stream = reactor.connect(loop, effect.upstream.address)
+        self._stream.on_open = self._handle_open
+        self._stream.on_close = self._handle_close
+        self._timer = loop.call_later(
+            effect.timeout_seconds, self._handle_timeout
+        )
+
+    def _handle_open(self) -> None:
+        self._finish(Outcome.ALIVE)
+
+    def _handle_close(self, _reason: str) -> None:
+        self._finish(Outcome.REFUSED)
+
+    def _handle_timeout(self) -> None:
+        self._finish(Outcome.SILENT)
+
+    def _finish(self, outcome: str) -> None:
+        on_result, self._on_result = self._on_result, None
+        if on_result is None:
             return
         self._timer.cancel()
         self._stream.close()
-        finished(self._upstream, outcome, self._is_control)
+        on_result(self._upstream, outcome, self._is_control)
--- a/skylarkfold/forwarder/_reporter.py
+++ b/skylarkfold/forwarder/_reporter.py
@@ -15,20 +15,20 @@
 
 
 class Reporter:
-    """Tells what the instance decides and how it fares.
+    """Writes log lines and keeps the daemon's counters and histograms.
 
-    :param instance: its name.
-    :param settings: how much is logged.
-    :param list_counters: lists what the platform's translation counts.
+    :param instance: the instance's name.
+    :param settings: limits of the log.
+    :param list_counters: returns the counters of the platform's adapter.
 
-    Lines are held until :meth:`open`.
+    Lines are buffered until :meth:`start_writing` is called.
     """
 
     __slots__ = (
         '_handler',
         '_instance',
         '_list_counters',
-        '_lost',
+        '_lost_since',
         '_settings',
         'counters',
         'histograms',
@@ -45,7 +45,7 @@
         self._settings = settings
         self._handler: object = None
         _logger.hold(settings.waiting_lines)
-        self._lost: dict[str, float] = {}
+        self._lost_since: dict[str, float] = {}
         self.counters: collections.Counter[str] = collections.Counter()
         self.histograms = {
             name: histogram.Histogram()
@@ -53,9 +53,9 @@
         }
 
     def count(self, name: str) -> None:
-        """Count an event.
+        """Increment a counter.
 
-        :param name: one of the names in ``_metrics``.
+        :param name: the counter's name, see ``_metrics``.
         """
         self.counters[name] += 1
 
@@ -64,14 +64,14 @@
     ) -> None:
         """Write a line about the process.
 
-        :param message: what happened.
-        :param level: one of ``deferred_log``.
-        :param fields: what decided it, by name.
+        :param message: the kind of event.
+        :param level: a level of ``deferred_log``.
+        :param fields: the fields of the line.
         """
         _logger.log(level, message, fields=fields)
 
     def record(self, decision: affinity.RecordDecision) -> None:
-        """Write a line for a decision.
+        """Write a line about a decision.
 
         :param decision: the decision.
         """
@@ -88,16 +88,16 @@
             is_budgeted=bool(decision.flow),
         )
 
-    def note_dependency(self, now: float, name: str, reason: str) -> None:
-        """Write a line when a dependency is lost, and when it is back.
+    def report_dependency(self, now: float, name: str, reason: str) -> None:
+        """Write a line when a dependency becomes unavailable or available.
 
         :param now: the time.
         :param name: the dependency.
-        :param reason: why it failed; empty if it did not.
+        :param reason: why it is unavailable; empty if it is available.
         """
-        lost_at = self._lost.get(name)
+        lost_at = self._lost_since.get(name)
         if reason and lost_at is None:
-            self._lost[name] = now
+            self._lost_since[name] = now
             self.log(
                 'dependency',
                 deferred_log.WARNING,
@@ -106,12 +106,14 @@
                 cause=reason,
             )
         elif not reason and lost_at is not None:
-            del self._lost[name]
-            away = int((now - lost_at) * 1000)
-            self.log('dependency', name=name, reason='regained', away_ms=away)
+            del self._lost_since[name]
+            outage_ms = int((now - lost_at) * 1000)
+            self.log(
+                'dependency', name=name, reason='regained', away_ms=outage_ms
+            )
 
-    def open(self) -> None:
-        """Load what writes lines and hand it those that were held."""
+    def start_writing(self) -> None:
+        """Set up the log handler and write the buffered lines to it."""
         if self._handler is None:
             from skylarkfold.forwarder import _lines
 
@@ -119,17 +121,17 @@
             _logger.release()
 
     def flush(self) -> None:
-        """Write waiting lines as far as they are read."""
+        """Write queued lines as far as possible without blocking."""
         if self._handler is not None:
             self._handler.flush()
 
     def format_metrics(
         self, core: affinity.AffinityCore, gauges: dict[str, float]
     ) -> bytes:
-        """Write all metrics as text.
+        """Format all metrics.
 
-        :param core: the decisions, with counters of their own.
-        :param gauges: present values by name.
+        :param core: the affinity core, which has counters of its own.
+        :param gauges: current values by name.
         :returns: the text.
         """
         totals = self.list_totals(core)
@@ -137,9 +139,9 @@
         return _metrics.format_metrics(totals, gauges, histograms)
 
     def list_totals(self, core: affinity.AffinityCore) -> dict[str, int]:
-        """List all counters.
+        """Return the totals of all counters.
 
-        :param core: the decisions, with counters of their own.
+        :param core: the affinity core, which has counters of its own.
         :returns: totals by name.
         """
         totals = {
--- a/skylarkfold/forwarder/_retention_policy.py
+++ b/skylarkfold/forwarder/_retention_policy.py
@@ -1,7 +1,7 @@
-"""Which of two forms of an object is the later one, by what they say.
+"""Decides which of two versions of an object is the newer, by its content.
 
-Asked where the platform's store has come back from an older copy: the order
-in which it was written to tells nothing then.
+Used after the platform's store was restored from an older copy: revision
+numbers from before and after that can't be compared.
 """
 
 from __future__ import annotations
@@ -11,21 +11,24 @@
 from skylarkfold import relay
 
 
-class Precedence:
-    """Compares what was known with what the store has now.
+class ItemRetentionPolicy:
+    """Compares the former version of an object with the restored one.
 
-    :param platform: reads the objects.
-    :param own: how long each may take to be written again.
+    :param platform: decodes the objects.
+    :param forwarder_settings: how long to wait for an object to be written
+        again.
     """
 
     __slots__ = ('_comparers', '_entry_seconds', '_platform', '_relay')
 
     def __init__(
-        self, platform: _platform.Platform, own: _settings.ForwarderSettings
+        self,
+        platform: _platform.Platform,
+        forwarder_settings: _settings.ForwarderSettings,
     ) -> None:
         self._platform = platform
-        self._relay = own.relay
-        self._entry_seconds = own.affinity.entry_seconds
+        self._relay = forwarder_settings.relay
+        self._entry_seconds = forwarder_settings.affinity.entry_seconds
         self._comparers = {
             platform.routes_topic: self._compare_routes,
             platform.upstreams_topic: self._compare_upstreams,
@@ -38,13 +41,14 @@
         current: relay.Item,
         is_fresh: bool,
     ) -> float:
-        """Compute how long a form of a former era may stand for another.
+        """Compute how long a version of a former era replaces the current one.
 
-        :param topic: their topic.
-        :param former: what was known before the store came back.
-        :param current: what the store has now.
-        :param is_fresh: whether that was written since, for certain.
-        :returns: seconds; 0 where the store's form is as late.
+        :param topic: the topic of the object.
+        :param former: the version known before the store was restored.
+        :param current: the version that the store has now.
+        :param is_fresh: whether ``current`` was certainly written after the
+            store was restored.
+        :returns: seconds; 0 if ``current`` is at least as new.
         """
         compare = self._comparers.get(topic)
         if compare is None:
@@ -54,8 +58,8 @@
     def _compare_routes(
         self, former: relay.Item, current: relay.Item, _is_fresh: bool
     ) -> float:
-        # Also of what was written since: an operator may write again all
-        # that was lost, one version after the other.
+        # Fresh objects are compared as well: an operator may write all lost
+        # versions again, one after the other.
         known = self._platform.read_version(former)
         if known is None:
             return 0.0
@@ -78,6 +82,6 @@
             return 0.0 if is_later else self._relay.rewrite_seconds
         is_older = upstream.sequence <= known.sequence
         if known.is_draining and not upstream.is_draining and is_older:
-            # One that can't write any more has lapsed by then.
+            # An upstream that is gone has expired by then.
             return self._entry_seconds
         return 0.0
--- a/skylarkfold/forwarder/_rhythm.py
+++ b/skylarkfold/forwarder/_rhythm.py
@@ -1,25 +1,25 @@
-"""How often an instance looks at what is due.
+"""The interval between two ticks of an instance.
 
-Waking up costs a small machine more than what is done then: one that has
-nothing to wait for sleeps.
+On a small machine a wake-up costs more than the work of the tick, so ticks are
+rare while nothing is due.
 """
 
 from __future__ import annotations
 
-# While something waits for a time: a fraction of the patience with a first
-# packet.
+# The shortest interval, while something is due: a fraction of the timeout for
+# a first packet.
 BUSY_SECONDS = 0.01
-# Otherwise: a fraction of the pause between two beacons.
+# The longest interval: a fraction of the interval between beacons.
 REST_SECONDS = 0.05
 
 
 def compute_pause(now: float, due: float | None, is_ready: bool) -> float:
-    """Compute when to look again.
+    """Compute the delay until the next tick.
 
     :param now: the time.
-    :param due: when something waits for a time; None where nothing does.
-    :param is_ready: whether all topics are known: until then peers and the
-        store are asked within hundredths of a second.
+    :param due: when the next thing is due; None if nothing is.
+    :param is_ready: whether all topics are known; until then the interval
+        is short, since peers and the store are queried.
     :returns: seconds from now.
     """
     if not is_ready:
--- a/skylarkfold/forwarder/_settings.py
+++ b/skylarkfold/forwarder/_settings.py
@@ -1,7 +1,7 @@
-"""The settings that are skylarkfold's own, beside the platform's.
+"""Settings of the forwarder that are not in the platform's settings file.
 
-JSON with comments: lines that begin with ``//`` are left out. All fields
-may be; the defaults are those of the settings classes.
+The file is JSON with comments: lines that begin with ``//`` are ignored. All
+fields are optional; the settings classes hold the defaults.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 if light_imports.TYPE_CHECKING:
     from skylarkfold import shares
 
-_COMMENT = '//'
-# The section whose tables name networks.
-_NETWORKS = '"shares"'
-_MOST_PORT = 65535
-# Of an instance's link: the rest is for its callers.
-_SERVE_SHARE = 0.5
+_COMMENT_PREFIX = '//'
+# The section with tables keyed by network, which must not hold duplicates.
+_NETWORKS_SECTION = '"shares"'
+_MAX_PORT = 65535
+# The share of the link that may be used to serve peers.
+_PEER_SERVING_SHARE = 0.5
 
 
 class LogSettings:
-    """How much is logged.
+    """Limits of the log.
 
-    :param lines_per_second: decision lines in the long run; lines about
-        health, settings, the store and the process come on top.
-    :param burst_lines: how many may come at once after a rest.
-    :param waiting_lines: lines that wait for a reader that stands still;
-        more are left out. At 250 bytes a line, 1 MB.
+    :param lines_per_second: the average rate of lines about single flows;
+        other lines are not limited.
+    :param burst_lines: how many lines may exceed that rate in a burst.
+    :param waiting_lines: lines queued for a slow reader; more are dropped.
+        At 250 bytes a line, the default takes 1 MB.
     """
 
     __slots__ = ('burst_lines', 'lines_per_second', 'waiting_lines')
@@ -49,16 +49,15 @@
 
 
 class ForwarderSettings:
-    """All of them.
+    """The settings of a forwarder.
 
-    :param metrics_port: where metrics are shown; 0 for nowhere.
-    :param log: how much is logged.
+    :param metrics_port: the port that serves metrics; 0 to serve none.
+    :param log: limits of the log.
     :param affinity: limits of placement and health.
     :param relay: how the store's objects are followed.
-    :param room: when the instance's own link is taken to be short of room.
-    :param shares: how callers are kept to shares; None where nothing is said
-        of it.
-    :ivar path: the file that they were read from; empty for none.
+    :param room: when the instance's link counts as overloaded.
+    :param shares: how callers are limited to their shares; None if not set.
+    :ivar path: the file that the settings were read from; empty for none.
     """
 
     __slots__ = (
@@ -100,12 +99,12 @@
 
 
 def read_forwarder_settings(path: str) -> ForwarderSettings:
-    """Read the settings.
+    """Read the settings from a file.
 
-    :param path: the file; empty for all defaults.
+    :param path: the file; empty for the defaults.
     :returns: the settings.
-    :raises SettingsError: with file, place, reason and code, if they can't
-        be read or used.
+    :raises SettingsError: with the file, the field's path, a reason and a
+        code, if the file can't be read or is invalid.
     """
     if not path:
         return ForwarderSettings()
@@ -113,44 +112,48 @@
         text = files.read_bytes(path).decode()
     except UnicodeDecodeError as error:
         raise errors.SettingsUnreadableError(str(error), path) from None
-    own = parse_forwarder_settings(text, path)
-    own.path = path
-    return own
+    forwarder_settings = parse_forwarder_settings(text, path)
+    forwarder_settings.path = path
+    return forwarder_settings
 
 
 def apply_machine_settings(
-    own: ForwarderSettings, settings: machine.MachineSettings
+    forwarder_settings: ForwarderSettings, settings: machine.MachineSettings
 ) -> None:
-    """Take the bounds that the platform's settings file names.
+    """Copy limits from the platform's settings into the forwarder's.
 
-    :param own: the settings to complete.
-    :param settings: what an instance is told of its machine.
+    :param forwarder_settings: the settings to update.
+    :param settings: the settings from the platform's file.
     """
-    limits = own.affinity
-    limits.flow_seconds = settings.flow_seconds
-    limits.follows_evacuations = settings.evacuation_seconds is not None
-    limits.limits_warm_up = settings.warm_up_slack is not None
-    limits.warm_up_factor = settings.warm_up_factor
-    limits.warm_up_slack = settings.warm_up_slack or 0.0
-    link = settings.link_bytes_per_second
-    own.relay.serve_bytes_per_second = _SERVE_SHARE * link
-    # By then a change that is written again is in force everywhere.
-    own.relay.lasting_seconds = (
+    affinity_settings = forwarder_settings.affinity
+    affinity_settings.flow_seconds = settings.flow_seconds
+    affinity_settings.follows_evacuations = (
+        settings.evacuation_seconds is not None
+    )
+    affinity_settings.limits_warm_up = settings.warm_up_slack is not None
+    affinity_settings.warm_up_factor = settings.warm_up_factor
+    affinity_settings.warm_up_slack = settings.warm_up_slack or 0.0
+    link_rate = settings.link_bytes_per_second
+    forwarder_settings.relay.serve_bytes_per_second = (
+        _PEER_SERVING_SHARE * link_rate
+    )
+    # After that, a rewritten change is in force on all instances.
+    forwarder_settings.relay.lasting_seconds = (
         settings.change_seconds + settings.disturbed_seconds
     )
 
 
 def parse_forwarder_settings(text: str, source: str) -> ForwarderSettings:
-    """Read the settings from a text.
+    """Parse the settings.
 
     :param text: JSON with comment lines.
-    :param source: the file, for messages.
+    :param source: the file's name for error messages.
     :returns: the settings.
     :raises SettingsError: as :func:`read_forwarder_settings` does.
     """
-    # Comments become empty lines, so that errors name the right line.
+    # Comments become empty lines, so that errors name the right line number.
     lines = [
-        '' if line.lstrip().startswith(_COMMENT) else line
+        '' if line.lstrip().startswith(_COMMENT_PREFIX) else line
         for line in text.split('\n')
     ]
     try:
@@ -160,59 +163,67 @@
     _check_object(fields, source, '$')
     values: dict[str, object] = {}
     for name, value in fields.items():
-        place = f'$.{name}'
+        field_path = f'$.{name}'
         if name in _SECTIONS:
-            values[name] = _convert(_SECTIONS[name], value, source, place)
+            values[name] = _convert_section(
+                _SECTIONS[name], value, source, field_path
+            )
         elif name == 'shares':
-            _check_object(value, source, place)
-            # Few have it, and it takes time at the start.
+            _check_object(value, source, field_path)
+            # Imported only if used, since it slows down the start.
             from skylarkfold.forwarder import _shares_settings
 
             values[name] = _shares_settings.convert_shares(
-                value, source, place
+                value, source, field_path
             )
         elif name == 'metrics_port':
-            values[name] = _check_port(value, source, place)
+            values[name] = _check_port(value, source, field_path)
         else:
             known = ', '.join(sorted([*_SECTIONS, 'metrics_port', 'shares']))
-            raise errors.UnknownFieldError(f'known: {known}', source, place)
+            raise errors.UnknownFieldError(
+                f'known: {known}', source, field_path
+            )
     return ForwarderSettings(**values)
 
 
-def _convert(kind: type, fields: object, source: str, path: str) -> object:
+def _convert_section(
+    kind: type, fields: object, source: str, path: str
+) -> object:
     _check_object(fields, source, path)
     defaults = kind()
     values = {}
     for name, value in fields.items():
-        place = f'{path}.{name}'
+        field_path = f'{path}.{name}'
         default = getattr(defaults, name, None)
         if isinstance(default, bool) or not isinstance(default, (int, float)):
             known = ', '.join(kind.__slots__)
-            raise errors.UnknownFieldError(f'known: {known}', source, place)
-        values[name] = _check_number(value, type(default), source, place)
+            raise errors.UnknownFieldError(
+                f'known: {known}', source, field_path
+            )
+        values[name] = _check_number(value, type(default), source, field_path)
     return kind(**values)
 
 
-class _Object(dict):
-    """An object of the file.
+class _JsonObject(dict):
+    """A JSON object that remembers duplicate names.
 
-    :ivar twice: names that stand more than once in it.
+    :ivar twice: names that occur more than once in it.
     """
 
     __slots__ = ('twice',)
 
 
 def _parse(text: str) -> object:
-    """Read JSON; networks that are named twice contradict one another."""
-    if _NETWORKS not in text:
+    """Parse JSON; detect duplicate names if it has tables of networks."""
+    if _NETWORKS_SECTION not in text:
         return light_imports.parse_json(text)
     import json
 
-    return json.loads(text, object_pairs_hook=_build_object)
+    return json.loads(text, object_pairs_hook=_build_json_object)
 
 
-def _build_object(pairs: list[tuple[str, object]]) -> _Object:
-    built = _Object(pairs)
+def _build_json_object(pairs: list[tuple[str, object]]) -> _JsonObject:
+    built = _JsonObject(pairs)
     names = [name for name, _ in pairs]
     built.twice = sorted({name for name in names if names.count(name) > 1})
     return built
@@ -220,16 +231,16 @@
 
 def _check_object(value: object, source: str, path: str) -> None:
     if not isinstance(value, dict):
-        raise errors.SettingsError('an object is wanted', source, path)
+        raise errors.SettingsError('expected an object', source, path)
     for name in getattr(value, 'twice', ()):
         raise errors.DuplicateError(
-            'it stands twice', source, f'{path}.{name}'
+            'duplicate field', source, f'{path}.{name}'
         )
 
 
 def _check_port(value: object, source: str, path: str) -> int:
     port = _check_number(value, int, source, path)
-    if port > _MOST_PORT:
+    if port > _MAX_PORT:
         raise errors.SettingsError('out of range', source, path)
     return port
 
@@ -239,9 +250,9 @@
 ) -> int | float:
     is_number = isinstance(value, (int, float)) and value is not True
     if not is_number or value is False:
-        raise errors.SettingsError('a number is wanted', source, path)
+        raise errors.SettingsError('expected a number', source, path)
     if kind is int and not isinstance(value, int):
-        raise errors.SettingsError('a whole number is wanted', source, path)
+        raise errors.SettingsError('expected an integer', source, path)
     if not 0 <= value < 1e9:
         raise errors.SettingsError('out of range', source, path)
     return kind(value)
--- a/skylarkfold/forwarder/_shares_settings.py
+++ b/skylarkfold/forwarder/_shares_settings.py
@@ -1,4 +1,4 @@
-"""The section of an instance's own settings on callers' shares."""
+"""The ``shares`` section of the forwarder's settings."""
 
 from __future__ import annotations
 
@@ -6,69 +6,75 @@
 from skylarkfold import shares
 
 _IS_ENFORCED = 'is_enforced'
-# By network, each with the largest value that makes sense.
-_TABLES = {'weights': 1000.0, 'caps_per_second': 1e9}
+# Tables keyed by network, with the largest value allowed in each.
+_MAXIMUM_BY_TABLE = {'weights': 1000.0, 'caps_per_second': 1e9}
 
 
 def convert_shares(
     fields: dict[str, object], source: str, path: str
 ) -> shares.SharesSettings:
-    """Check the section.
+    """Convert the section and check its values.
 
-    :param fields: what it holds.
-    :param source: the file, for messages.
-    :param path: where in it the section stands.
+    :param fields: the section's fields.
+    :param source: the file's name for error messages.
+    :param path: the section's path in the file.
     :returns: the settings.
-    :raises SettingsError: with the field's place, if one can't be used or
+    :raises SettingsError: with the field's path, if a field is invalid or
         contradicts another.
     """
     defaults = shares.SharesSettings()
     values: dict[str, object] = {}
     for name, value in fields.items():
-        place = f'{path}.{name}'
+        field_path = f'{path}.{name}'
         if name == _IS_ENFORCED:
             if not isinstance(value, bool):
                 raise errors.SettingsError(
-                    'true or false is wanted', source, place
+                    'expected true or false', source, field_path
                 )
             values[name] = value
-        elif name in _TABLES:
-            values[name] = _convert_table(value, _TABLES[name], source, place)
+        elif name in _MAXIMUM_BY_TABLE:
+            values[name] = _convert_table(
+                value, _MAXIMUM_BY_TABLE[name], source, field_path
+            )
         elif name in shares.SharesSettings.__slots__:
             kind = type(getattr(defaults, name))
-            values[name] = _convert_number(value, kind, source, place)
+            values[name] = _convert_number(value, kind, source, field_path)
         else:
             known = ', '.join(shares.SharesSettings.__slots__)
-            raise errors.UnknownFieldError(f'known: {known}', source, place)
+            raise errors.UnknownFieldError(
+                f'known: {known}', source, field_path
+            )
     settings = shares.SharesSettings(**values)
     _check_order(settings, source, path)
     return settings
 
 
 def _convert_table(
-    value: object, most: float, source: str, path: str
+    value: object, maximum: float, source: str, path: str
 ) -> shares.NetworkTable:
     if not isinstance(value, dict):
-        raise errors.SettingsError('an object is wanted', source, path)
-    twice = getattr(value, 'twice', ())
-    if twice:
+        raise errors.SettingsError('expected an object', source, path)
+    duplicates = getattr(value, 'twice', ())
+    if duplicates:
         raise errors.DuplicateError(
-            'it stands twice', source, f'{path}.{twice[0]}'
+            'duplicate field', source, f'{path}.{duplicates[0]}'
         )
-    known: dict[tuple[int, int], str] = {}
+    seen: dict[tuple[int, int], str] = {}
     entries = []
     for text, number in value.items():
-        place = f'{path}.{text}'
+        field_path = f'{path}.{text}'
         try:
             network = shares.Network.parse(text)
         except errors.SettingsError as error:
-            raise errors.SettingsError(error.reason, source, place) from None
-        other = known.setdefault((network.base, network.length), text)
+            raise errors.SettingsError(
+                error.reason, source, field_path
+            ) from None
+        other = seen.setdefault((network.base, network.length), text)
         if other != text:
             raise errors.DuplicateError(
-                f'{other} is the same network', source, place
+                f'same network as {other}', source, field_path
             )
-        checked = _convert_number(number, float, source, place, most)
+        checked = _convert_number(number, float, source, field_path, maximum)
         entries.append((network, checked))
     return shares.NetworkTable(entries)
 
@@ -78,16 +84,16 @@
     kind: type,
     source: str,
     path: str,
-    most: float = 1e9,
+    maximum: float = 1e9,
 ) -> int | float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise errors.SettingsError('a number is wanted', source, path)
+        raise errors.SettingsError('expected a number', source, path)
     if kind is int and not isinstance(value, int):
-        raise errors.SettingsError('a whole number is wanted', source, path)
-    # What is none or negative would shut its callers out.
-    if not 0 < value <= most:
+        raise errors.SettingsError('expected an integer', source, path)
+    # With a value of 0 or less, callers would get nothing.
+    if not 0 < value <= maximum:
         raise errors.SettingsError(
-            f'a number above 0, {most:g} at most, is wanted', source, path
+            f'expected a number above 0 and at most {maximum:g}', source, path
         )
     return kind(value)
 
@@ -96,12 +102,12 @@
     settings: shares.SharesSettings, source: str, path: str
 ) -> None:
     ordered = ('joined_share', 'short_share', 'filled_share')
-    for less, more in zip(ordered, ordered[1:]):
-        if getattr(settings, less) > getattr(settings, more):
+    for lower, upper in zip(ordered, ordered[1:]):
+        if getattr(settings, lower) > getattr(settings, upper):
             raise errors.SettingsError(
-                f'it is above {more}', source, f'{path}.{less}'
+                f'must not exceed {upper}', source, f'{path}.{lower}'
             )
     if settings.told_callers > settings.callers:
         raise errors.SettingsError(
-            'it is above callers', source, f'{path}.told_callers'
+            'must not exceed callers', source, f'{path}.told_callers'
         )
--- a/skylarkfold/forwarder/_sharing.py
+++ b/skylarkfold/forwarder/_sharing.py
@@ -1,4 +1,4 @@
-"""Callers' shares between the decisions on flows and the peers."""
+"""Exchange of callers' demand between the affinity core and peers."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class CallerSharing:
-    """Exchanges what callers ask for with the other instances.
+    """Exchanges callers' demand with peers, to compute callers' shares.
 
-    :param core: the decisions on flows.
-    :param relay_core: speaks to the peers.
-    :param reporter: counts words that can't be true.
+    :param core: the core that places flows.
+    :param relay_core: the core that sends beacons to peers.
+    :param reporter: counts malformed reports.
     """
 
     __slots__ = ('_core', '_relay', '_reporter')
@@ -31,14 +31,19 @@
         self._relay = relay_core
         self._reporter = reporter
 
-    def put(self, own: _settings.ForwarderSettings, is_asked: bool) -> None:
-        """Put settings in force.
+    def apply_settings(
+        self,
+        forwarder_settings: _settings.ForwarderSettings,
+        is_enabled_by_platform: bool,
+    ) -> None:
+        """Apply the settings of shares.
 
-        :param own: the settings of this instance.
-        :param is_asked: whether the platform's settings ask for shares, too.
+        :param forwarder_settings: the settings of this instance.
+        :param is_enabled_by_platform: whether the platform's settings enable
+            shares as well.
         """
-        settings = own.shares
-        if is_asked:
+        settings = forwarder_settings.shares
+        if is_enabled_by_platform:
             from skylarkfold import shares
 
             settings = (settings or shares.SharesSettings()).enforce()
@@ -46,27 +51,33 @@
         if self._core.shares.sharing is None:
             self._relay.announcer.callers.put(b'', b'')
 
-    def reload(self, own: _settings.ForwarderSettings, is_asked: bool) -> None:
-        """Read this instance's settings of shares again.
+    def reload_settings(
+        self,
+        forwarder_settings: _settings.ForwarderSettings,
+        is_enabled_by_platform: bool,
+    ) -> None:
+        """Reload the settings of shares from their file.
 
-        What can't be used changes nothing.
+        An invalid file is logged and changes nothing.
 
-        :param own: the settings, which take the new ones.
-        :param is_asked: as for :meth:`put`.
+        :param forwarder_settings: the settings to update.
+        :param is_enabled_by_platform: as for :meth:`apply_settings`.
         """
         try:
-            own.shares = _settings.read_forwarder_settings(own.path).shares
+            forwarder_settings.shares = _settings.read_forwarder_settings(
+                forwarder_settings.path
+            ).shares
         except errors.SettingsError as error:
             self._reporter.log(
                 'settings', deferred_log.ERROR, reason='kept', error=str(error)
             )
-        self.put(own, is_asked)
+        self.apply_settings(forwarder_settings, is_enabled_by_platform)
 
     def refresh(self, now: float, zones: int) -> None:
-        """Work out the shares, and what peers are told next.
+        """Recompute the shares, and the demand announced to peers.
 
         :param now: the time.
-        :param zones: how many availability zones there are.
+        :param zones: the number of availability zones.
         """
         sharing = self._core.shares.sharing
         if sharing is None:
@@ -76,26 +87,30 @@
         mates = self._relay.peers.count_mates()
         sharing.refresh(now, shares.FleetSize(mates, zones))
         callers = sharing.callers
-        words = self._relay.announcer.callers
-        words.put(callers.demand, callers.zone_demand)
+        announced = self._relay.announcer.callers
+        announced.put(callers.demand, callers.zone_demand)
         if callers.other_zones:
-            words.put_other_zones(callers.other_zones_at, callers.other_zones)
+            announced.put_other_zones(
+                callers.other_zones_at, callers.other_zones
+            )
 
-    def take(self, now: float, wanted: relay.CallerDemandReported) -> None:
-        """Take what a peer tells of callers.
+    def handle_report(
+        self, now: float, effect: relay.CallerDemandReported
+    ) -> None:
+        """Handle a peer's report of its callers' demand.
 
         :param now: the time.
-        :param wanted: its word.
+        :param effect: the report.
         """
         sharing = self._core.shares.sharing
         if sharing is None:
             return
-        is_sound = sharing.callers.handle_report(
+        is_valid = sharing.callers.handle_report(
             now,
-            wanted.source,
-            wanted.is_zone,
-            wanted.age_seconds,
-            wanted.demand,
+            effect.source,
+            effect.is_zone,
+            effect.age_seconds,
+            effect.demand,
         )
-        if not is_sound:
+        if not is_valid:
             self._reporter.count(_metrics.CALLERS_MALFORMED)
--- a/skylarkfold/forwarder/_store_sync.py
+++ b/skylarkfold/forwarder/_store_sync.py
@@ -1,4 +1,4 @@
-"""What an instance learns of the store, put in force."""
+"""Calls the store, and applies changes of its objects."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from skylarkfold import reactor
 from skylarkfold import relay
 
-# Names of changed objects in one log line.
+# The most names of changed objects in one log line.
 _LOGGED_NAMES = 20
 
 
-class StoreLink:
-    """Calls the store, and puts what is learnt of it in force.
+class StoreSync:
+    """Calls the store, and applies changes of its topics.
 
     :param loop: the event loop.
-    :param platform: the platform's bytes.
-    :param knowledge: reads the objects.
-    :param relay_core: decides what is asked, and knows the objects.
-    :param core: the decisions on flows.
-    :param reporter: lines and counters.
+    :param platform: opens the client of the store.
+    :param topic_applier: applies the objects of a topic.
+    :param relay_core: decides which calls are made, and holds the objects.
+    :param core: the core that places flows.
+    :param reporter: writes log lines and counts.
     :param perform: performs effects.
     """
 
     __slots__ = (
         '_core',
-        '_knowledge',
         '_loop',
         '_perform',
         '_platform',
         '_relay',
         '_reporter',
         '_store',
+        '_topic_applier',
         '_was_ready',
     )
 
@@ -45,7 +45,7 @@
         self,
         loop: reactor.Loop,
         platform: _platform.Platform,
-        knowledge: _topics.Knowledge,
+        topic_applier: _topics.TopicApplier,
         relay_core: relay.RelayCore,
         core: affinity.AffinityCore,
         reporter: _reporter.Reporter,
@@ -53,7 +53,7 @@
     ) -> None:
         self._loop = loop
         self._platform = platform
-        self._knowledge = knowledge
+        self._topic_applier = topic_applier
         self._relay = relay_core
         self._core = core
         self._reporter = reporter
@@ -61,92 +61,96 @@
         self._store = platform.open_store(loop)
         self._was_ready = False
 
-    def call(self, wanted: relay.CallStore) -> None:
+    def call(self, effect: relay.CallStore) -> None:
         """Call the store.
 
-        :param wanted: the decision.
+        :param effect: the call.
         """
         self._reporter.count(_metrics.STORE_CALLS)
-        begun = self._loop.now()
-        answered = functools.partial(self._take_answer, wanted.call, begun)
-        self._store.call(wanted.call, answered)
+        started_at = self._loop.now()
+        on_answer = functools.partial(
+            self._handle_answer, effect.call, started_at
+        )
+        self._store.call(effect.call, on_answer)
 
-    def cancel(self, wanted: relay.CancelCall) -> None:
-        """End a call.
+    def cancel(self, effect: relay.CancelCall) -> None:
+        """Cancel the pending call of a topic.
 
-        :param wanted: the decision.
+        :param effect: names the topic.
         """
-        self._store.cancel(wanted.topic)
+        self._store.cancel(effect.topic)
 
     def close(self) -> None:
         """Close all connections to the store."""
         self._store.close()
 
-    def _take_answer(
-        self, call: relay.Call, begun: float, answer: relay.Answer
+    def _handle_answer(
+        self, call: relay.Call, started_at: float, answer: relay.Answer
     ) -> None:
         now = self._loop.now()
         self._reporter.count(f'{_metrics.STORE_ANSWERS}.{answer.status}')
         if call.revision is None:
-            taken = self._reporter.histograms[_metrics.STORE_SECONDS]
-            taken.observe(now - begun)
+            latency = self._reporter.histograms[_metrics.STORE_SECONDS]
+            latency.observe(now - started_at)
         if answer.status != relay.Status.ABANDONED:
-            self._note_store(now, call.topic, answer.status)
+            self._log_store_status(now, call.topic, answer.status)
         self._perform(self._relay.handle_answer(now, call, answer))
 
-    def _note_store(self, now: float, topic: str, status: str) -> None:
-        # That the history is forgotten is an answer, too.
-        is_there = status in (relay.Status.OK, relay.Status.FORGOTTEN)
-        reason = '' if is_there else status
-        self._reporter.note_dependency(now, f'store/{topic}', reason)
+    def _log_store_status(self, now: float, topic: str, status: str) -> None:
+        # A store that has discarded the requested history is available, too.
+        is_available = status in (relay.Status.OK, relay.Status.FORGOTTEN)
+        reason = '' if is_available else status
+        self._reporter.report_dependency(now, f'store/{topic}', reason)
 
-    def take_change(self, wanted: relay.TopicChanged) -> None:
-        """Put a change in force.
+    def apply_change(self, effect: relay.TopicChanged) -> None:
+        """Apply a change of a topic.
 
-        :param wanted: what has changed.
+        :param effect: the change.
         """
         self._reporter.log(
             'known',
-            topic=wanted.topic,
-            since=str(wanted.base),
-            revision=str(wanted.revision),
-            source=wanted.source or 'store',
-            within_ms=_to_ms(wanted.lag_seconds),
-            names=wanted.paths[:_LOGGED_NAMES],
+            topic=effect.topic,
+            since=str(effect.base),
+            revision=str(effect.revision),
+            source=effect.source or 'store',
+            within_ms=_to_ms(effect.lag_seconds),
+            names=effect.paths[:_LOGGED_NAMES],
         )
-        self._apply(wanted.topic)
+        self._apply(effect.topic)
         if self._core.is_ready and not self._was_ready:
             self._was_ready = True
             self._reporter.log('ready', version=self._core.version)
 
     def apply_all(self) -> None:
-        """Put all that is known in force again."""
+        """Apply all topics again."""
         if self._relay.is_ready:
-            for topic in self._knowledge.topics:
+            for topic in self._topic_applier.topics:
                 self._apply(topic)
 
     def _apply(self, topic: str) -> None:
         items = self._relay.list_items(topic)
         now = self._loop.now()
         core = self._core
-        self._perform(self._knowledge.apply(now, topic, items, core))
+        self._perform(self._topic_applier.apply(now, topic, items, core))
 
-    def note_age(self, now: float) -> None:
-        """Tell the decisions on flows how old their knowledge is.
+    def report_age(self, now: float) -> None:
+        """Tell the affinity core up to when its topics are confirmed.
 
         :param now: the time.
         """
-        routes_at = self._find_settled(now, self._platform.routes_topic)
+        routes_at = self._find_confirmed_at(now, self._platform.routes_topic)
         if routes_at is not None:
             self._core.note_confirmed(routes_at)
-        upstreams_at = self._find_settled(now, self._platform.upstreams_topic)
+        upstreams_at = self._find_confirmed_at(
+            now, self._platform.upstreams_topic
+        )
         if upstreams_at is not None:
             self._core.note_present(upstreams_at)
 
-    def _find_settled(self, now: float, topic: str) -> float | None:
-        """Find when all that there is of a topic was known.
+    def _find_confirmed_at(self, now: float, topic: str) -> float | None:
+        """Find up to when a topic is known to be complete.
 
-        :returns: the time, None where the store may lack some of it.
+        :returns: the time; None if objects of the topic may be missing.
         """
         if not self._relay.is_settled(topic):
             return None
--- a/skylarkfold/forwarder/_topics.py
+++ b/skylarkfold/forwarder/_topics.py
@@ -1,4 +1,4 @@
-"""Hands what the platform's store holds to the decisions."""
+"""Applies the objects of the store's topics to the affinity core."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from skylarkfold import relay
 
 
-class Knowledge:
-    """Reads the objects of a topic and puts them in force.
+class TopicApplier:
+    """Decodes the objects of a topic and applies them to the core.
 
-    :param platform: reads the objects.
-    :param settings: whether zones are evacuated, and which there are.
+    :param platform: decodes the objects.
+    :param settings: name the zones, and tell whether zones can be evacuated.
+    :ivar zones: all availability zones.
     """
 
     __slots__ = ('_appliers', '_platform', 'zones')
@@ -34,18 +35,18 @@
 
     @property
     def topics(self) -> tuple[str, ...]:
-        """The topics that an instance follows."""
+        """The topics that the instance follows."""
         return tuple(self._appliers)
 
     @property
     def shared_topics(self) -> tuple[str, ...]:
-        """Those that may be learnt a little later in a fault."""
+        """The topics whose changes may arrive later during a fault."""
         topic = self._platform.evacuations_topic
         return (topic,) if topic in self._appliers else ()
 
     @property
     def lasting_topics(self) -> tuple[str, ...]:
-        """Those that operators write: no beat of a program repeats them."""
+        """The topics that operators write and no program rewrites."""
         lasting = (
             self._platform.routes_topic,
             self._platform.evacuations_topic,
@@ -59,13 +60,13 @@
         items: list[relay.Item],
         core: affinity.AffinityCore,
     ) -> list[object]:
-        """Put the objects of a topic in force.
+        """Apply the objects of a topic.
 
         :param now: the time.
         :param topic: one of :attr:`topics`.
-        :param items: all of its objects.
-        :param core: the decisions.
-        :returns: their effects.
+        :param items: all objects of the topic.
+        :param core: the core to update.
+        :returns: the effects of the update.
         """
         return self._appliers[topic](now, items, core)
 
--- a/skylarkfold/forwarder/_traffic.py
+++ b/skylarkfold/forwarder/_traffic.py
@@ -1,17 +1,17 @@
-"""Counts what goes through the instance's link."""
+"""Counts the bytes sent and received on the instance's link."""
 
 from __future__ import annotations
 
 from skylarkfold import room as rooms
 
-# Of IP and UDP, which a link carries beside each packet's bytes.
+# IPv4 and UDP headers, which are not in the payload size of a datagram.
 _HEADER_BYTES = 28
 
 
-class LinkCount:
-    """Adds up packets and notes them now and then, not one by one.
+class TrafficCounter:
+    """Sums up the bytes of packets and reports the sums in batches.
 
-    :param room: told of the sums.
+    :param room: the headroom to which the sums are reported.
     """
 
     __slots__ = ('_received', '_room', '_sent')
@@ -22,21 +22,21 @@
         self._sent = 0
 
     def count_received(self, size: int) -> None:
-        """Count a packet that came.
+        """Count a received packet.
 
-        :param size: its bytes.
+        :param size: the payload's bytes.
         """
         self._received += size + _HEADER_BYTES
 
     def count_sent(self, size: int) -> None:
-        """Count a packet that was sent.
+        """Count a sent packet.
 
-        :param size: its bytes.
+        :param size: the payload's bytes.
         """
         self._sent += size + _HEADER_BYTES
 
-    def note(self, now: float) -> None:
-        """Note what has gone through since this was last called.
+    def report(self, now: float) -> None:
+        """Report the bytes counted since the last call.
 
         :param now: the time.
         """
--- a/skylarkfold/tests/forwarder/test_batching.py
+++ b/skylarkfold/tests/forwarder/test_batching.py
@@ -1,4 +1,4 @@
-"""Tests of what the daemon gathers before it notes or sends it."""
+"""Tests of what the daemon batches: traffic counts and peer messages."""
 
 import testtools
 
@@ -11,18 +11,18 @@
 RATE = 10_000.0
 
 
-class LinkCountTest(testtools.TestCase):
-    def test_packets_and_their_headers_are_noted_together(self):
-        own = room.InstanceHeadroom(room.RoomSettings(), RATE)
-        count = _traffic.LinkCount(own)
+class TrafficCounterTest(testtools.TestCase):
+    def test_packets_with_headers_are_reported_together(self):
+        headroom = room.InstanceHeadroom(room.RoomSettings(), RATE)
+        counter = _traffic.TrafficCounter(headroom)
         for _ in range(10):
-            count.count_received(72)
-        count.count_sent(80)
-        self.assertEqual(0.0, own.compute_link_share(1.0))
-        count.note(1.0)
-        self.assertAlmostEqual(0.5, own.compute_link_share(1.0))
-        count.note(1.0)
-        self.assertAlmostEqual(0.5, own.compute_link_share(1.0))
+            counter.count_received(72)
+        counter.count_sent(80)
+        self.assertEqual(0.0, headroom.compute_link_share(1.0))
+        counter.report(1.0)
+        self.assertAlmostEqual(0.5, headroom.compute_link_share(1.0))
+        counter.report(1.0)
+        self.assertAlmostEqual(0.5, headroom.compute_link_share(1.0))
 
 
 class Announcer:
@@ -42,17 +42,17 @@
         self.counted.append(name)
 
 
-class QuestionsTest(testtools.TestCase):
-    def test_what_a_moment_brings_goes_in_one_beacon(self):
+class PeerMessageBatchTest(testtools.TestCase):
+    def test_collected_messages_go_into_one_beacon(self):
         announcer, reporter = Announcer(), Reporter()
-        questions = _peer_messages.Questions(reporter)
-        self.assertEqual([], questions.send(1.0, announcer))
+        batch = _peer_messages.PeerMessageBatch(reporter)
+        self.assertEqual([], batch.send(1.0, announcer))
         first, second = (samples.build_upstream(each) for each in (7, 9))
         for upstream in (first, second, first):
-            questions.ask(affinity.QueryPeers(upstream))
-        questions.tell(affinity.NotifyPeers(second))
-        self.assertEqual(['beacon'], questions.send(2.0, announcer))
-        self.assertEqual([], questions.send(3.0, announcer))
+            batch.add_query(affinity.QueryPeers(upstream))
+        batch.add_notice(affinity.NotifyPeers(second))
+        self.assertEqual(['beacon'], batch.send(2.0, announcer))
+        self.assertEqual([], batch.send(3.0, announcer))
         doubts = (first.incarnation, second.incarnation)
         told = [(2.0, doubts, (second.incarnation,))]
         self.assertEqual(told, announcer.told)
--- a/skylarkfold/tests/forwarder/test_departure.py
+++ b/skylarkfold/tests/forwarder/test_departure.py
@@ -1,4 +1,4 @@
-"""Tests of planned stops."""
+"""Tests of graceful shutdown."""
 
 import hypothesis
 from hypothesis import strategies
@@ -6,24 +6,24 @@
 
 from skylarkfold.forwarder import _departure
 
-# It must be out of rotation 4 s after it was asked to stop, and two missed
+# An instance must be out of rotation 4 s after the request to stop; two failed
 # readiness checks, half a second apart, may take 1.2 s of that.
 LAST_READY_SECONDS = 2.8
 GRACE_SECONDS = 6.0
 
 
 class DepartureTest(testtools.TestCase):
-    def test_it_leaves_at_once_where_enough_others_are_in_rotation(self):
+    def test_leaves_at_once_if_enough_others_are_in_rotation(self):
         departure = _departure.Departure(10.0, GRACE_SECONDS)
         self.assertTrue(departure.must_leave(10.0, True))
         self.assertFalse(departure.must_leave(10.1, True))
 
-    def test_it_waits_for_others_but_not_for_long(self):
+    def test_waits_for_others_for_a_limited_time(self):
         departure = _departure.Departure(10.0, GRACE_SECONDS)
         self.assertFalse(departure.must_leave(10.5, False))
         self.assertTrue(departure.must_leave(10.0 + LAST_READY_SECONDS, False))
 
-    def test_it_forwards_until_no_packet_comes(self):
+    def test_forwards_until_packets_cease(self):
         departure = _departure.Departure(10.0, GRACE_SECONDS)
         departure.must_leave(10.0, True)
         self.assertFalse(departure.is_over(11.0, 10.0))
--- a/skylarkfold/tests/forwarder/test_lines.py
+++ b/skylarkfold/tests/forwarder/test_lines.py
@@ -1,4 +1,4 @@
-"""Tests of log lines: bounded, never blocking."""
+"""Tests of the log handler: its queue is bounded, it never blocks."""
 
 import json
 import logging
@@ -42,7 +42,7 @@
             data += part
         return [json.loads(line) for line in data.splitlines()]
 
-    def test_a_record_is_one_object(self):
+    def test_record_is_one_json_object(self):
         handler = self.build()
         self.emit(handler, fields={'reason': 'placed'})
         handler.flush()
@@ -50,7 +50,7 @@
         self.assertEqual('placed', line['reason'])
         self.assertEqual('one', line['instance'])
 
-    def test_a_reader_that_stands_still_blocks_nothing(self):
+    def test_stalled_reader_does_not_block(self):
         handler = self.build(waiting_lines=100)
         for _ in range(50):
             for _ in range(100):
@@ -66,7 +66,7 @@
         self.assertIn('lines left out', messages)
         self.assertIn('last', messages)
 
-    def test_lines_on_flows_have_a_budget_and_others_none(self):
+    def test_only_lines_about_flows_are_rate_limited(self):
         handler = self.build(lines_per_second=0.001, burst_lines=2)
         for _ in range(5):
             self.emit(handler, 'flow', is_budgeted=True)
@@ -78,7 +78,7 @@
         self.assertEqual(3, handler.dropped)
         self.assertIn('lines left out', messages)
 
-    def test_a_reader_that_is_gone_ends_nothing(self):
+    def test_closed_reader_raises_nothing(self):
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
@@ -86,14 +86,14 @@
         self.emit(handler)
         handler.flush()
 
-    def test_a_line_that_was_held_has_the_time_at_which_it_was_said(self):
+    def test_deferred_line_keeps_the_time_of_logging(self):
         handler = self.build()
         self.emit(handler, created=1000.5)
         handler.flush()
         (line,) = self.read()
         self.assertEqual(1000.5, line['time'])
 
-    def test_held_lines_have_the_budget_of_their_own_times(self):
+    def test_deferred_lines_are_limited_by_the_time_of_logging(self):
         handler = self.build(lines_per_second=1, burst_lines=1)
         for at in (1.0, 1.5, 2.0, 2.5):
             self.emit(handler, str(at), is_budgeted=True, at=at)
--- a/skylarkfold/tests/forwarder/test_metrics.py
+++ b/skylarkfold/tests/forwarder/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics' text."""
+"""Tests of the metrics text format."""
 
 import testtools
 
@@ -7,7 +7,7 @@
 
 
 class MetricsTest(testtools.TestCase):
-    def test_counters_gauges_and_histograms_are_written(self):
+    def test_counters_gauges_and_histograms_are_formatted(self):
         taken = histogram.Histogram()
         for seconds in (0.0005, 0.03, 99.0):
             taken.observe(seconds)
--- a/skylarkfold/tests/forwarder/test_retention_policy.py
+++ b/skylarkfold/tests/forwarder/test_retention_policy.py
@@ -1,4 +1,4 @@
-"""Tests of which form counts after the store has come back older."""
+"""Tests of which version wins after the store was restored from a copy."""
 
 import testtools
 
@@ -15,17 +15,17 @@
 LASTING_SECONDS = 20.0
 
 
-class PrecedenceTest(testtools.TestCase):
+class ItemRetentionPolicyTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         settings = machines.build_settings(
             change_seconds=5.0, disturbed_seconds=15.0
         )
-        self.own = _settings.ForwarderSettings()
-        _settings.apply_machine_settings(self.own, settings)
+        self.forwarder_settings = _settings.ForwarderSettings()
+        _settings.apply_machine_settings(self.forwarder_settings, settings)
         platform = _adapter.Adapter(settings)
-        self.retention_policy = _retention_policy.Precedence(
-            platform, self.own
+        self.retention_policy = _retention_policy.ItemRetentionPolicy(
+            platform, self.forwarder_settings
         )
 
     def compare(self, topic, former, current, is_fresh=False):
@@ -51,31 +51,33 @@
             'servers', {**base, **former}, {**base, **current}, is_fresh
         )
 
-    def test_a_lower_version_waits_as_long_as_a_change_may_take(self):
+    def test_lower_version_is_held_back(self):
         self.assertEqual(LASTING_SECONDS, self.compare_routes(8, 7))
         self.assertEqual(LASTING_SECONDS, self.compare_routes(8, 7, True))
 
-    def test_the_same_version_or_a_later_one_counts(self):
+    def test_same_or_higher_version_is_accepted(self):
         for version in (8, 9):
             self.assertEqual(0.0, self.compare_routes(8, version))
 
-    def test_a_configuration_that_can_t_be_read_replaces_none(self):
+    def test_unreadable_configuration_is_held_back(self):
         self.assertEqual(LASTING_SECONDS, self.compare_routes(8, 'x'))
         self.assertEqual(0.0, self.compare_routes('x', 7))
 
-    def test_one_that_leaves_goes_on_leaving(self):
-        hold = self.compare_entries(
+    def test_draining_upstream_stays_draining(self):
+        retention_seconds = self.compare_entries(
             {'state': 'draining', 'sequence': 50},
             {'state': 'ready', 'sequence': 48},
         )
-        self.assertEqual(self.own.affinity.entry_seconds, hold)
+        self.assertEqual(
+            self.forwarder_settings.affinity.entry_seconds, retention_seconds
+        )
 
-    def test_one_that_has_written_since_is_as_it_says(self):
-        hold = self.compare_entries(
+    def test_entry_written_since_the_restore_is_accepted(self):
+        retention_seconds = self.compare_entries(
             {'state': 'draining', 'sequence': 50},
             {'state': 'ready', 'sequence': 51},
         )
-        self.assertEqual(0.0, hold)
+        self.assertEqual(0.0, retention_seconds)
         fresh = self.compare_entries(
             {'state': 'draining', 'sequence': 50},
             {'state': 'ready', 'sequence': 2},
@@ -83,55 +85,57 @@
         )
         self.assertEqual(0.0, fresh)
 
-    def test_one_that_said_so_only_in_the_copy_leaves(self):
-        hold = self.compare_entries(
+    def test_draining_only_in_the_restored_entry_is_accepted(self):
+        retention_seconds = self.compare_entries(
             {'state': 'ready', 'sequence': 50},
             {'state': 'draining', 'sequence': 48},
         )
-        self.assertEqual(0.0, hold)
+        self.assertEqual(0.0, retention_seconds)
 
-    def test_a_beat_more_or_less_is_no_other_form(self):
-        hold = self.compare_entries({'sequence': 50}, {'sequence': 48})
-        self.assertEqual(0.0, hold)
+    def test_different_sequence_alone_is_accepted(self):
+        retention_seconds = self.compare_entries(
+            {'sequence': 50}, {'sequence': 48}
+        )
+        self.assertEqual(0.0, retention_seconds)
 
-    def test_an_earlier_start_does_not_replace_a_later_one(self):
+    def test_entry_of_an_earlier_start_is_held_back(self):
         later, earlier = {'born': 2000}, {'born': 1000}
         self.assertEqual(
-            self.own.relay.rewrite_seconds,
+            self.forwarder_settings.relay.rewrite_seconds,
             self.compare_entries(later, earlier),
         )
         self.assertEqual(0.0, self.compare_entries(earlier, later))
 
-    def test_an_entry_that_can_t_be_read_replaces_none_at_once(self):
+    def test_unreadable_entry_is_held_back(self):
         self.assertEqual(
-            self.own.relay.rewrite_seconds,
+            self.forwarder_settings.relay.rewrite_seconds,
             self.compare_entries({}, {'state': 'odd'}),
         )
         self.assertEqual(0.0, self.compare_entries({'state': 'odd'}, {}))
 
-    def test_evacuations_are_as_the_store_has_them(self):
+    def test_evacuations_are_accepted(self):
         self.assertEqual(0.0, self.compare('evacuations', {'a': 1}, {}))
 
 
-class VersionsTest(testtools.TestCase):
-    """A version that is gone for good gives way to a lower one."""
+class RouteVersionsTest(testtools.TestCase):
+    """A lower version is accepted in a new era of the store."""
 
     def set_routes(self, core, version, number, era):
         item = items.build_item('main', number, 3, {}, era)
         table = affinity.RouteTable(version, (), revision=item.revision)
         return core.set_routes(0.0, table)
 
-    def test_within_an_era_versions_only_rise(self):
+    def test_within_an_era_lower_versions_are_ignored(self):
         core = affinity.AffinityCore('z', affinity.AffinitySettings())
         self.set_routes(core, 8, 38, 1)
         self.assertEqual([], self.set_routes(core, 7, 39, 1))
         self.assertEqual(8, core.version)
 
-    def test_another_era_s_word_counts_whatever_its_version(self):
+    def test_in_another_era_any_version_is_accepted(self):
         core = affinity.AffinityCore('z', affinity.AffinitySettings())
         self.set_routes(core, 8, 38, 1)
         self.set_routes(core, 7, 26, 2)
         self.assertEqual(7, core.version)
-        # One that knew only the copy learns what a peer retains.
+        # The version of the former era, as retained by a peer.
         self.set_routes(core, 8, 38, 1)
         self.assertEqual(8, core.version)
--- a/skylarkfold/tests/forwarder/test_rhythm.py
+++ b/skylarkfold/tests/forwarder/test_rhythm.py
@@ -1,4 +1,4 @@
-"""Tests of how often an instance wakes up."""
+"""Tests of the interval between ticks."""
 
 import hypothesis
 from hypothesis import strategies
@@ -20,7 +20,7 @@
         if due is not None and due > now + _rhythm.BUSY_SECONDS:
             self.assertLessEqual(now + pause, due + 1e-6)
 
-    def test_until_all_is_known_it_is_short(self):
+    def test_interval_is_short_until_all_topics_are_known(self):
         pause = _rhythm.compute_pause(1.0, None, False)
         self.assertEqual(_rhythm.BUSY_SECONDS, pause)
 
@@ -31,17 +31,17 @@
         self.settings = affinity.AffinitySettings()
         self.core = samples.build_core(samples.build_upstream(1))
 
-    def test_nothing_is_due_at_rest(self):
+    def test_nothing_is_due_without_traffic(self):
         self.assertIsNone(self.core.find_due(1.0))
 
-    def test_a_first_packet_is_due_until_it_is_answered(self):
+    def test_first_packet_is_due_until_answered(self):
         self.core.handle_packet(1.0, samples.build_first(1))
         due = 1.0 + self.settings.open_patience_seconds
         self.assertEqual(due, self.core.find_due(1.0))
         self.core.handle_packet(1.01, samples.build_packet(1, 1))
         self.assertIsNone(self.core.find_due(1.01))
 
-    def test_a_request_is_due_until_it_is_answered(self):
+    def test_request_is_due_until_answered(self):
         self.core.handle_packet(1.0, samples.build_first(1))
         self.core.handle_packet(1.01, samples.build_packet(1, 1, length=10))
         due = self.core.find_due(1.01)
@@ -50,12 +50,12 @@
         self.core.handle_packet(1.03, answered)
         self.assertIsNone(self.core.find_due(1.03))
 
-    def test_what_is_in_doubt_is_due_at_once(self):
+    def test_suspected_upstream_is_due_at_once(self):
         self.core.handle_packet(1.0, samples.build_first(1))
         self.core.handle_packet(1.01, samples.build_packet(1, 1, length=10))
         self.core.tick(1.2)
         self.assertEqual(1.2, self.core.find_due(1.2))
 
-    def test_a_packet_that_waits_for_its_upstream_is_due(self):
+    def test_packet_held_for_its_upstream_is_due(self):
         self.core.handle_packet(1.0, samples.build_packet(1, 99))
         self.assertGreater(self.core.find_due(1.0), 1.0)
--- a/skylarkfold/tests/forwarder/test_settings.py
+++ b/skylarkfold/tests/forwarder/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the instances' own settings."""
+"""Tests of the forwarder settings."""
 
 import json
 import pathlib
@@ -15,11 +15,11 @@
 ROOT = pathlib.Path(__file__).parent.parent.parent.parent
 
 
-class OwnTest(testtools.TestCase):
+class ForwarderSettingsTest(testtools.TestCase):
     def parse(self, text):
         return forwarder.parse_forwarder_settings(text, 'file')
 
-    def test_what_is_left_out_has_its_default(self):
+    def test_missing_fields_have_defaults(self):
         own = self.parse('{}')
         self.assertEqual(0, own.metrics_port)
         self.assertEqual(0.04, own.affinity.open_patience_seconds)
@@ -34,18 +34,18 @@
         self.assertEqual(0.1, own.affinity.near_tolerance)
         self.assertEqual(2, own.relay.watchers)
 
-    def test_what_bulk_may_take_of_a_link_is_read(self):
+    def test_room_section_is_read(self):
         own = self.parse('{"room": {"bulk_share": 0.5, "wait_limit": 8}}')
         self.assertEqual(0.5, own.room.bulk_share)
         self.assertEqual(8, own.room.wait_limit)
         self.assertEqual(0.1, own.room.bulk_least_share)
-        error = self.complain('{"room": {"wait_limit": 0.5}}')
+        error = self.catch_error('{"room": {"wait_limit": 0.5}}')
         self.assertIn('$.room.wait_limit', str(error))
 
-    def complain(self, text):
+    def catch_error(self, text):
         return self.assertRaises(errors.SettingsError, self.parse, text)
 
-    def test_errors_name_place_and_code(self):
+    def test_errors_have_path_and_code(self):
         cases = {
             '{"x": 1}': ('settings-unknown-field', '$.x'),
             '{"affinity": {"x": 1}}': (
@@ -70,10 +70,10 @@
             '{': ('settings-syntax', '$'),
         }
         for text, (code, path) in cases.items():
-            error = self.complain(text)
+            error = self.catch_error(text)
             self.assertEqual((code, path), (error.code, error.path), text)
 
-    def test_shares_of_callers_are_read(self):
+    def test_shares_section_is_read(self):
         self.assertIsNone(self.parse('{}').shares)
         own = self.parse(
             '{"shares": {"is_enforced": true, "callers": 64,'
@@ -89,7 +89,7 @@
             50.0, own.shares.caps_per_second.find(bytes((198, 51, 100, 9)))
         )
 
-    def test_shares_that_can_t_be_used_are_named(self):
+    def test_invalid_shares_are_rejected_with_path_and_code(self):
         invalid, twice = 'settings-invalid', 'settings-duplicate'
         cases = {
             '[]': (invalid, ''),
@@ -152,11 +152,11 @@
             '{"callers": 64, "callers": 65}': (twice, '.callers'),
         }
         for text, (code, path) in cases.items():
-            error = self.complain(f'{{"shares": {text}}}')
+            error = self.catch_error(f'{{"shares": {text}}}')
             place = f'$.shares{path}'
             self.assertEqual((code, place), (error.code, error.path), text)
 
-    def test_the_check_of_a_file_tells_what_is_wrong_with_shares(self):
+    def test_check_reports_invalid_shares(self):
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
         path = pathlib.Path(scratch.name) / 'own.json'
@@ -193,11 +193,11 @@
         except errors.SettingsError as error:
             self.assertTrue(error.code.startswith('settings-'))
 
-    def test_the_files_of_this_repository_are_valid(self):
+    def test_settings_files_of_the_repository_are_valid(self):
         own = check.check(str(ROOT / 'deploy' / 'instance.json'), 'own')
         self.assertIn('valid', own)
         deploy = check.check(str(ROOT / 'deploy' / 'system.toml'), 'deploy')
         self.assertIn('1 roles', deploy)
 
-    def test_an_unknown_kind_is_said(self):
+    def test_unknown_kind_is_rejected(self):
         self.assertRaises(errors.UsageError, check.check, 'x', 'y')
--- a/skylarkfold/tests/forwarder/test_sharing.py
+++ b/skylarkfold/tests/forwarder/test_sharing.py
@@ -1,7 +1,7 @@
-"""Tests of putting callers' shares in force.
+"""Tests of applying the settings of callers' shares.
 
-Failure: settings that can't be used, at a start or while an instance runs:
-what was in force stays. Load: none of it where nothing asks for shares.
+Invalid settings must leave the previous ones in force, and the module must not
+be loaded where shares are not enabled.
 """
 
 import pathlib
@@ -30,11 +30,17 @@
         self.addCleanup(scratch.cleanup)
         self.path = pathlib.Path(scratch.name) / 'own.json'
         self.path.write_text('{}')
-        self.own = _settings.read_forwarder_settings(str(self.path))
-        self.core = affinity.AffinityCore('z', self.own.affinity)
+        self.forwarder_settings = _settings.read_forwarder_settings(
+            str(self.path)
+        )
+        self.core = affinity.AffinityCore(
+            'z', self.forwarder_settings.affinity
+        )
         settings = relay.RelaySettings(topics=('t',))
         self.relay = relay.RelayCore('n', 'z', 'h', settings)
-        self.reporter = _reporter.Reporter('n', self.own.log, dict)
+        self.reporter = _reporter.Reporter(
+            'n', self.forwarder_settings.log, dict
+        )
         self.sharing = _sharing.CallerSharing(
             self.core, self.relay, self.reporter
         )
@@ -45,20 +51,20 @@
 
     def write(self, text):
         self.path.write_text(text)
-        self.sharing.reload(self.own, True)
+        self.sharing.reload_settings(self.forwarder_settings, True)
 
-    def test_without_a_term_and_a_setting_nothing_is_loaded(self):
-        self.sharing.put(self.own, False)
+    def test_nothing_is_loaded_if_not_enabled(self):
+        self.sharing.apply_settings(self.forwarder_settings, False)
         self.assertIsNone(self.core.shares.sharing)
         self.sharing.refresh(1.0, 0)
-        word = relay.CallerDemandReported('m', False, 0.0, b'x')
-        self.sharing.take(1.0, word)
+        report = relay.CallerDemandReported('m', False, 0.0, b'x')
+        self.sharing.handle_report(1.0, report)
         self.assertEqual(0, self.reporter.counters['callers.malformed'])
         gauges = _gauges.list_gauges(1.0, self.core, self.relay, True)
         self.assertNotIn('services_short', gauges)
 
-    def test_an_instance_that_is_not_asked_does_not_load_it(self):
-        # Each module more takes time of every start.
+    def test_shares_module_is_not_imported_by_default(self):
+        # Each imported module slows down every start.
         text = (
             'import sys\n'
             'from skylarkfold import forwarder\n'
@@ -67,26 +73,26 @@
             "print([n for n in sys.modules if n.startswith('skylarkfold.sh')"
             '])\n'
         )
-        told = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-c', text],
             capture_output=True,
             check=True,
             text=True,
         )
-        self.assertEqual('[]', told.stdout.strip())
+        self.assertEqual('[]', completed.stdout.strip())
 
-    def test_the_term_or_the_setting_asks(self):
-        self.sharing.put(self.own, True)
+    def test_enabled_by_platform_or_by_settings(self):
+        self.sharing.apply_settings(self.forwarder_settings, True)
         self.assertIsNotNone(self.core.shares.sharing)
-        self.sharing.put(self.own, False)
+        self.sharing.apply_settings(self.forwarder_settings, False)
         self.assertIsNone(self.core.shares.sharing)
-        self.own.shares = shares.SharesSettings(True)
-        self.sharing.put(self.own, False)
+        self.forwarder_settings.shares = shares.SharesSettings(True)
+        self.sharing.apply_settings(self.forwarder_settings, False)
         self.assertIsNotNone(self.core.shares.sharing)
         gauges = _gauges.list_gauges(1.0, self.core, self.relay, True)
         self.assertEqual(0.0, gauges['services_short'])
 
-    def test_what_can_t_be_used_leaves_what_was_in_force(self):
+    def test_invalid_settings_change_nothing(self):
         self.write('{"shares": {"weights": {"192.0.2.0/24": 2}}}')
         callers = self.core.shares.sharing.callers
         self.assertEqual(2.0, self.find_weight())
@@ -101,21 +107,21 @@
         self.assertEqual(3.0, self.find_weight())
         self.assertIs(callers, self.core.shares.sharing.callers)
 
-    def test_a_file_that_is_gone_leaves_what_was_in_force(self):
+    def test_missing_file_changes_nothing(self):
         self.write('{"shares": {"weights": {"192.0.2.0/24": 2}}}')
         self.path.unlink()
-        self.sharing.reload(self.own, True)
+        self.sharing.reload_settings(self.forwarder_settings, True)
         self.assertEqual(2.0, self.find_weight())
 
-    def test_untrue_words_are_counted(self):
-        self.sharing.put(self.own, True)
-        self.sharing.take(
+    def test_malformed_reports_are_counted(self):
+        self.sharing.apply_settings(self.forwarder_settings, True)
+        self.sharing.handle_report(
             1.0, relay.CallerDemandReported('m', False, 0.0, b'x')
         )
         self.assertEqual(1, self.reporter.counters['callers.malformed'])
 
-    def test_what_callers_ask_for_is_told_on(self):
-        self.sharing.put(self.own, True)
+    def test_demand_is_announced_to_peers(self):
+        self.sharing.apply_settings(self.forwarder_settings, True)
         beacon = relay.Beacon(
             'm',
             'z',
--- a/skylarkfold/tests/platform/test_return.py
+++ b/skylarkfold/tests/platform/test_return.py
@@ -42,19 +42,27 @@
 
     def __init__(self):
         settings = build_settings()
-        self.own = _settings.ForwarderSettings()
-        _settings.apply_machine_settings(self.own, settings)
+        self.forwarder_settings = _settings.ForwarderSettings()
+        _settings.apply_machine_settings(self.forwarder_settings, settings)
         self.adapter = _adapter.Adapter(settings)
-        self.knowledge = _topics.Knowledge(self.adapter, settings)
-        self.own.relay.topics = self.knowledge.topics
-        self.own.relay.lasting_topics = self.knowledge.lasting_topics
-        retention_policy = _retention_policy.Precedence(self.adapter, self.own)
+        self.topic_applier = _topics.TopicApplier(self.adapter, settings)
+        self.forwarder_settings.relay.topics = self.topic_applier.topics
+        self.forwarder_settings.relay.lasting_topics = (
+            self.topic_applier.lasting_topics
+        )
+        retention_policy = _retention_policy.ItemRetentionPolicy(
+            self.adapter, self.forwarder_settings
+        )
         self.flows = {}
         self.effects = []
-        super().__init__(ZONES, self.own.relay, retention_policy)
+        super().__init__(
+            ZONES, self.forwarder_settings.relay, retention_policy
+        )
 
     def start(self, name, zone, capacity=0):
-        self.flows[name] = affinity.AffinityCore(zone, self.own.affinity)
+        self.flows[name] = affinity.AffinityCore(
+            zone, self.forwarder_settings.affinity
+        )
         super().start(name, zone, capacity)
 
     def perform(self, name, effects):
@@ -63,7 +71,7 @@
             if isinstance(wanted, relay.TopicChanged):
                 found = self.cores[name].list_items(wanted.topic)
                 self.take(
-                    self.knowledge.apply(
+                    self.topic_applier.apply(
                         self.now, wanted.topic, found, self.flows[name]
                     )
                 )
--- a/skylarkfold/tests/platform/test_settings.py
+++ b/skylarkfold/tests/platform/test_settings.py
@@ -97,10 +97,10 @@
         self.assertIsNone(settings.warm_up_slack)
         self.assertEqual(3.0, settings.change_seconds)
         self.assertEqual(12.0, settings.disturbed_seconds)
-        own = forwarder.ForwarderSettings()
-        forwarder.apply_machine_settings(own, settings)
-        self.assertFalse(own.affinity.follows_evacuations)
-        self.assertFalse(own.affinity.limits_warm_up)
+        forwarder_settings = forwarder.ForwarderSettings()
+        forwarder.apply_machine_settings(forwarder_settings, settings)
+        self.assertFalse(forwarder_settings.affinity.follows_evacuations)
+        self.assertFalse(forwarder_settings.affinity.limits_warm_up)
 
     def test_the_term_in_force_asks_for_callers_shares(self):
         fields = build_fields()
