--- a/skylarkfold/forwarder/_shares_settings.py
+++ b/skylarkfold/forwarder/_shares_settings.py
@@ -72,7 +72,7 @@
         other = seen.setdefault((network.base, network.length), text)
         if other != text:
             raise errors.DuplicateError(
-                f'same network as {other}', source, field_path
+                f'{other} names the same network', source, field_path
             )
         checked = _convert_number(number, float, source, field_path, maximum)
         entries.append((network, checked))
@@ -93,7 +93,9 @@
     # With a value of 0 or less, callers would get nothing.
     if not 0 < value <= maximum:
         raise errors.SettingsError(
-            f'expected a number above 0 and at most {maximum:g}', source, path
+            f'expected a number from 0 to {maximum:g}, excluding 0',
+            source,
+            path,
         )
     return kind(value)
 
--- a/skylarkfold/platform/_adapter.py
+++ b/skylarkfold/platform/_adapter.py
@@ -6,7 +6,7 @@
 
 from skylarkfold import affinity
 from skylarkfold import machine
-from skylarkfold.platform import _complaints
+from skylarkfold.platform import _input_errors
 from skylarkfold.platform import _objects
 from skylarkfold.platform import _packet
 from skylarkfold.platform import _store
@@ -31,7 +31,7 @@
         self._settings = settings
         self.decode_packet = _packet.decode
         self.encode_forward = _packet.encode_forward
-        self._complaints = _complaints.Complaints()
+        self._complaints = _input_errors.Complaints()
         decoder = _objects.UpstreamDecoder(self._complaints)
         self.decode_upstreams = decoder.decode
         self.decode_upstream = decoder.decode_one
--- a/skylarkfold/platform/_objects.py
+++ b/skylarkfold/platform/_objects.py
@@ -10,8 +10,8 @@
 
 from skylarkfold import affinity
 from skylarkfold import errors
-from skylarkfold.platform import _complaints
 from skylarkfold.platform import _fields
+from skylarkfold.platform import _input_errors
 from skylarkfold import relay
 from skylarkfold import revision as revisions
 
@@ -46,7 +46,7 @@
 
 def decode_routes(
     items: Iterable[relay.Item],
-    complaints: _complaints.Complaints | None = None,
+    complaints: _input_errors.Complaints | None = None,
 ) -> affinity.RouteTable | None:
     """Read the configuration.
 
@@ -56,7 +56,7 @@
         configuration with a version.
     """
     if complaints is None:
-        complaints = _complaints.Complaints()
+        complaints = _input_errors.Complaints()
     for item in items:
         if item.path == _ROUTES_NAME:
             return _RoutesReader(item, complaints).read()
@@ -80,7 +80,7 @@
 def decode_evacuations(
     items: Iterable[relay.Item],
     zones: tuple[str, ...],
-    complaints: _complaints.Complaints | None = None,
+    complaints: _input_errors.Complaints | None = None,
 ) -> affinity.Evacuations:
     """Read which availability zones operators have emptied.
 
@@ -99,7 +99,7 @@
             written[item.path] = item.revision
         elif complaints is not None:
             complaints.note(
-                _complaints.EVACUATION,
+                _input_errors.EVACUATION,
                 item.path,
                 item.revision.number,
                 'no availability zone has this name',
@@ -119,9 +119,9 @@
     __slots__ = ('_complaints', '_known')
 
     def __init__(
-        self, complaints: _complaints.Complaints | None = None
+        self, complaints: _input_errors.Complaints | None = None
     ) -> None:
-        self._complaints = complaints or _complaints.Complaints()
+        self._complaints = complaints or _input_errors.Complaints()
         self._known: dict[
             str, tuple[revisions.Revision, affinity.Upstream | None]
         ] = {}
@@ -159,7 +159,7 @@
             return _convert_upstream(item)
         except errors.DecodeError as error:
             self._complaints.note(
-                _complaints.UPSTREAM,
+                _input_errors.UPSTREAM,
                 item.path,
                 item.revision.number,
                 error.reason,
@@ -222,7 +222,7 @@
     __slots__ = ('_complaints', '_item')
 
     def __init__(
-        self, item: relay.Item, complaints: _complaints.Complaints
+        self, item: relay.Item, complaints: _input_errors.Complaints
     ) -> None:
         self._item = item
         self._complaints = complaints
@@ -237,7 +237,7 @@
             version = fields.get_count('version', 0, _MOST_COUNT)
             values = fields.get_list('routes')
         except errors.DecodeError as error:
-            self._complain(_complaints.ROUTES, error)
+            self._complain(_input_errors.ROUTES, error)
             return None
         routes = [
             route
@@ -261,7 +261,7 @@
         try:
             return _convert_route(_fields.Fields(value))
         except errors.DecodeError as error:
-            self._complain(_complaints.ROUTE, error)
+            self._complain(_input_errors.ROUTE, error)
             return None
 
     def _read_services(
@@ -270,7 +270,7 @@
         try:
             values = fields.get_list('services')
         except errors.DecodeError as error:
-            self._complain(_complaints.ROUTES, error)
+            self._complain(_input_errors.ROUTES, error)
             return
         for value in values:
             try:
@@ -278,7 +278,7 @@
                 name = service.get_text('name')
                 yield name, self._read_warm_up(service)
             except errors.DecodeError as error:
-                self._complain(_complaints.ROUTES, error)
+                self._complain(_input_errors.ROUTES, error)
 
     def _read_warm_up(self, service: _fields.Fields) -> affinity.WarmUp:
         seconds = self._read_number(service, 'warmup_s', _MOST_WARMUP_S)
@@ -293,7 +293,7 @@
         try:
             return fields.get_number(name, most)
         except errors.DecodeError as error:
-            self._complain(_complaints.ROUTES, error)
+            self._complain(_input_errors.ROUTES, error)
             return 0.0
 
     def _read_idle_seconds(self, fields: _fields.Fields) -> float:
@@ -301,7 +301,7 @@
             limits = fields.get_fields('limits')
             return limits.get_seconds('idle_timeout_ms', _MOST_TIME_MS)
         except errors.DecodeError as error:
-            self._complain(_complaints.ROUTES, error)
+            self._complain(_input_errors.ROUTES, error)
             return _IDLE_SECONDS
 
     def _complain(self, kind: str, error: errors.DecodeError) -> None:
--- a/skylarkfold/platform/_store.py
+++ b/skylarkfold/platform/_store.py
@@ -6,8 +6,8 @@
 
 from skylarkfold import errors
 from skylarkfold import light_imports
-from skylarkfold.platform import _complaints
 from skylarkfold.platform import _fields
+from skylarkfold.platform import _input_errors
 from skylarkfold.platform import _objects
 from skylarkfold import reactor
 from skylarkfold import relay
@@ -62,11 +62,11 @@
         self,
         loop: reactor.Loop,
         address: tuple[str, int],
-        complaints: _complaints.Complaints | None = None,
+        complaints: _input_errors.Complaints | None = None,
     ) -> None:
         self._loop = loop
         self._address = address
-        self._complaints = complaints or _complaints.Complaints()
+        self._complaints = complaints or _input_errors.Complaints()
         self._connections: dict[str, reactor.HttpClient] = {}
         # The topic whose call is being ended.
         self._abandoned = ''
@@ -132,13 +132,13 @@
 def _decode_reply(
     call: relay.Call,
     reply: reactor.Reply,
-    complaints: _complaints.Complaints,
+    complaints: _input_errors.Complaints,
 ) -> relay.Answer:
     try:
         era = _read_era(call, reply)
     except errors.DecodeError as error:
         # Where in the store's history it belongs can't be told.
-        complaints.note(_complaints.ANSWER, call.topic, 0, error.reason)
+        complaints.note(_input_errors.ANSWER, call.topic, 0, error.reason)
         return relay.Answer(relay.Status.UNKNOWN)
     return _decode(call, reply.status, reply.body, complaints, era)
 
@@ -154,7 +154,7 @@
     call: relay.Call,
     status: int,
     body: bytes,
-    complaints: _complaints.Complaints | None = None,
+    complaints: _input_errors.Complaints | None = None,
     era: int = 0,
 ) -> relay.Answer:
     if status == _GONE:
@@ -164,13 +164,13 @@
     if status != _OK:
         return relay.Answer(relay.Status.UNKNOWN)
     if complaints is None:
-        complaints = _complaints.Complaints()
+        complaints = _input_errors.Complaints()
     try:
         fields = _fields.Fields(_parse(body))
         return _AnswerReader(call.topic, complaints, era).read(fields)
     except (ValueError, RecursionError, errors.DecodeError) as error:
         complaints.note(
-            _complaints.ANSWER, call.topic, 0, type(error).__name__
+            _input_errors.ANSWER, call.topic, 0, type(error).__name__
         )
         return relay.Answer(relay.Status.UNKNOWN)
 
@@ -220,7 +220,7 @@
     __slots__ = ('_complaints', '_era', '_topic', '_unusable')
 
     def __init__(
-        self, topic: str, complaints: _complaints.Complaints, era: int
+        self, topic: str, complaints: _input_errors.Complaints, era: int
     ) -> None:
         self._era = era
         self._topic = topic
@@ -262,7 +262,7 @@
                 item = read(_fields.Fields(value))
             except errors.DecodeError as error:
                 self._complaints.note(
-                    _complaints.OBJECT, self._topic, 0, error.reason
+                    _input_errors.OBJECT, self._topic, 0, error.reason
                 )
                 continue
             items.append(item)
@@ -303,7 +303,7 @@
             reason = error.reason
         item.value = self._unusable
         self._complaints.note(
-            _complaints.OBJECT, item.path, item.revision.number, reason
+            _input_errors.OBJECT, item.path, item.revision.number, reason
         )
 
     def _read_event(self, fields: _fields.Fields) -> relay.Item:
@@ -323,7 +323,7 @@
             value = self._unusable
         if value is None:
             self._complaints.note(
-                _complaints.OBJECT,
+                _input_errors.OBJECT,
                 name,
                 revision.number,
                 'spec: a map is wanted',
--- a/skylarkfold/tests/platform/test_evacuations.py
+++ b/skylarkfold/tests/platform/test_evacuations.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from skylarkfold.platform import _complaints
+from skylarkfold.platform import _input_errors
 from skylarkfold.platform import _objects
 from skylarkfold.platform import _store
 from skylarkfold import relay
@@ -15,7 +15,7 @@
 class EvacuationsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.complaints = _complaints.Complaints()
+        self.complaints = _input_errors.Complaints()
         self.lines = []
         self.complaints.say = self.lines.append
 
--- a/skylarkfold/tests/platform/test_foreign.py
+++ b/skylarkfold/tests/platform/test_foreign.py
@@ -8,7 +8,7 @@
 import testtools
 
 from skylarkfold import affinity
-from skylarkfold.platform import _complaints
+from skylarkfold.platform import _input_errors
 from skylarkfold.platform import _objects
 from skylarkfold.platform import _store
 from skylarkfold import relay
@@ -150,7 +150,7 @@
         self.assertEqual([GOOD], [each.name for each in found])
 
     def test_one_that_turns_malformed_names_none_any_more(self):
-        decoder = _objects.UpstreamDecoder(_complaints.Complaints())
+        decoder = _objects.UpstreamDecoder(_input_errors.Complaints())
         good = items.build_item(GOOD, 5, 3, ENTRY)
         both = decoder.decode([items.build_item(NAME, 6, 4, ENTRY), good])
         self.assertEqual(2, len(both))
@@ -159,7 +159,7 @@
         self.assertEqual([both[1]], rest)
 
     def test_one_that_changes_with_each_beat_is_said_once(self):
-        complaints = _complaints.Complaints()
+        complaints = _input_errors.Complaints()
         decoder = _objects.UpstreamDecoder(complaints)
         lines = []
         complaints.say = lines.append
@@ -170,18 +170,18 @@
         self.assertEqual({'unusable.upstream': 50}, complaints.counters)
 
     def test_many_writers_can_t_fill_the_memory(self):
-        complaints = _complaints.Complaints()
+        complaints = _input_errors.Complaints()
         lines = []
         complaints.say = lines.append
         for number in range(10_000):
             complaints.note('upstream', f'i-x{number}', 1, 'no hex')
-        self.assertEqual(_complaints.MOST_REMEMBERED, len(lines))
+        self.assertEqual(_input_errors.MOST_REMEMBERED, len(lines))
         self.assertEqual({'unusable.upstream': 10_000}, complaints.counters)
 
 
 class RoutesTest(testtools.TestCase):
     def decode(self, value):
-        complaints = _complaints.Complaints()
+        complaints = _input_errors.Complaints()
         self.complaints = complaints
         item = items.build_item('main', 5, 3, value)
         return _objects.decode_routes([item], complaints)
@@ -238,7 +238,7 @@
 class ObjectsTest(testtools.TestCase):
     def decode(self, body):
         call = relay.Call('servers', None, '', 0.0, 1.0)
-        return _store._decode(call, 200, body, _complaints.Complaints())
+        return _store._decode(call, 200, body, _input_errors.Complaints())
 
     @staticmethod
     def wrap(name, spec, rev=5):
--- a/skylarkfold/tests/platform/test_objects.py
+++ b/skylarkfold/tests/platform/test_objects.py
@@ -8,7 +8,7 @@
 import testtools
 
 from skylarkfold import affinity
-from skylarkfold.platform import _complaints
+from skylarkfold.platform import _input_errors
 from skylarkfold.platform import _objects
 from skylarkfold.platform import _store
 from skylarkfold import reactor
@@ -150,7 +150,7 @@
 class EraTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.complaints = _complaints.Complaints()
+        self.complaints = _input_errors.Complaints()
         self.complaints.say = lambda fields: None
         meta = {'name': 'i-1', 'rev': 5, 'create_rev': 3}
         page = {
