--- a/skylarkfold/platform/__init__.py
+++ b/skylarkfold/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The users' platform: its settings file, packets, store and names.
+"""Adapter to the users' platform: its packets, store and object formats.
 
-Everything here only translates; nothing outside this folder knows the
-platform's names. ``python -m skylarkfold.platform`` runs an instance.
+Only this package knows the platform's names and formats.
+``python -m skylarkfold.platform`` runs an instance.
 """
--- a/skylarkfold/platform/__main__.py
+++ b/skylarkfold/platform/__main__.py
@@ -1,12 +1,11 @@
 """Runs one instance on the users' platform.
 
-``python -m skylarkfold.platform [OWN-SETTINGS]``; the platform's settings
-file stands in the environment.
+Usage: ``python -m skylarkfold.platform [OWN-SETTINGS]``. The environment
+variable ``SKYLARKFOLD_CONFIG`` names the platform's settings file.
 
-The packet socket is bound first and the rest of the program loaded then:
-that takes about 40 ms of processor time, a sixth of a second on the
-smallest machines, and packets that come meanwhile wait in the kernel
-instead of being lost.
+The packet socket is bound before most modules are imported: importing takes
+about 40 ms of processor time, and packets that arrive meanwhile are queued in
+the kernel instead of being lost.
 """
 
 from __future__ import annotations
@@ -28,11 +27,11 @@
 
 
 def main() -> int:
-    """Read the settings and serve until a planned stop.
+    """Read the settings and serve until a graceful shutdown.
 
     :returns: the exit status.
     """
-    # Enabled again by the forwarder; its passes take a twentieth of a start.
+    # Speeds up the start; the forwarder enables it again.
     gc.disable()
     try:
         path = os.environ.get(PATH_VARIABLE, '')
@@ -41,8 +40,8 @@
         file = machine.SettingsFile(path)
         settings = file.read()
         packets = datagram.bind(settings.packet_address)
-        own_path = sys.argv[1] if len(sys.argv) > 1 else ''
-        _serve(settings, file, own_path, packets)
+        forwarder_settings_path = sys.argv[1] if len(sys.argv) > 1 else ''
+        _serve(settings, file, forwarder_settings_path, packets)
     except errors.SettingsError as error:
         print(error, file=sys.stderr)
         return EXIT_SETTINGS
@@ -53,9 +52,9 @@
 
 
 def load() -> tuple[types.ModuleType, types.ModuleType]:
-    """Load the rest of the program.
+    """Import the modules that are loaded after the socket is bound.
 
-    :returns: the daemon, and the translation of the platform's bytes.
+    :returns: the modules of the forwarder and of the platform's adapter.
     """
     from skylarkfold import forwarder
     from skylarkfold.platform import _adapter
@@ -66,13 +65,17 @@
 def _serve(
     settings: machine.MachineSettings,
     file: machine.SettingsFile,
-    own_path: str,
+    forwarder_settings_path: str,
     packets: light_imports.Socket,
 ) -> None:
     forwarder, _adapter = load()
-    own = forwarder.read_forwarder_settings(own_path)
+    forwarder_settings = forwarder.read_forwarder_settings(
+        forwarder_settings_path
+    )
     adapter = _adapter.Adapter(settings)
-    forwarder.Forwarder(settings, file, own, adapter, packets).run()
+    forwarder.Forwarder(
+        settings, file, forwarder_settings, adapter, packets
+    ).run()
 
 
 if __name__ == '__main__':
--- a/skylarkfold/platform/_adapter.py
+++ b/skylarkfold/platform/_adapter.py
@@ -1,4 +1,4 @@
-"""The platform as the forwarding daemon sees it."""
+"""The implementation of ``forwarder.Platform`` for the users' platform."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from skylarkfold import reactor
 from skylarkfold import relay
 
-# The term of a deployment that wants callers kept to shares.
+# The term in the settings that limits callers to their shares.
 _SHARES_TERM = 'pressure'
 
 
 class Adapter:
-    """Translates the platform's bytes; see ``forwarder.Platform``.
+    """Translates packets and stored objects; see ``forwarder.Platform``.
 
-    :param settings: of the instance that it serves.
+    :param settings: the settings of the instance.
     """
 
     routes_topic = _objects.ROUTES_TOPIC
@@ -31,8 +31,8 @@
         self._settings = settings
         self.decode_packet = _packet.decode
         self.encode_forward = _packet.encode_forward
-        self._complaints = _input_errors.Complaints()
-        decoder = _objects.UpstreamDecoder(self._complaints)
+        self._input_errors = _input_errors.InputErrors()
+        decoder = _objects.UpstreamDecoder(self._input_errors)
         self.decode_upstreams = decoder.decode
         self.decode_upstream = decoder.decode_one
         self.read_version = _objects.read_version
@@ -40,32 +40,32 @@
     def decode_routes(
         self, items: Iterable[relay.Item]
     ) -> affinity.RouteTable | None:
-        """Read the routes; None where there are none that can be used."""
-        return _objects.decode_routes(items, self._complaints)
+        """Decode the routes; return None if there are no usable ones."""
+        return _objects.decode_routes(items, self._input_errors)
 
     def decode_evacuations(
         self, items: Iterable[relay.Item], zones: tuple[str, ...]
     ) -> affinity.Evacuations:
-        """Read which of the availability zones are evacuated."""
-        return _objects.decode_evacuations(items, zones, self._complaints)
+        """Decode which of the availability zones are evacuated."""
+        return _objects.decode_evacuations(items, zones, self._input_errors)
 
     def asks_for_shares(self, settings: machine.MachineSettings) -> bool:
-        """Tell whether the deployment wants callers kept to shares."""
+        """Return whether the deployment limits callers to their shares."""
         return _SHARES_TERM in settings.terms
 
     def list_counters(self) -> dict[str, int]:
-        """List what could not be used so far, totals by name."""
-        return dict(self._complaints.counters)
+        """Return the totals of unusable input, by counter name."""
+        return dict(self._input_errors.counters)
 
     def encode_reset(
         self, flow: bytes, acknowledged: int
     ) -> tuple[bytes, tuple[str, int]]:
-        """Make a reset, and tell where its caller takes it."""
+        """Encode a reset; return it with the caller's address."""
         return _packet.encode_reset(
             flow, acknowledged, self._settings.packet_address[1]
         )
 
     def open_store(self, loop: reactor.Loop) -> _store.StoreClient:
-        """Make a client of the store."""
+        """Return a new client of the store."""
         address = self._settings.store_address
-        return _store.StoreClient(loop, address, self._complaints)
+        return _store.StoreClient(loop, address, self._input_errors)
--- a/skylarkfold/platform/_input_errors.py
+++ b/skylarkfold/platform/_input_errors.py
@@ -1,4 +1,4 @@
-"""What was found in the store that can't be used."""
+"""Counters and log lines for unusable input from the store."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from skylarkfold import deferred_log
 
-# Different complaints that get a line; all later ones are only counted, so
-# that a writer who leaves new ones for ever fills neither log nor memory.
-MOST_REMEMBERED = 256
+# How many distinct errors are logged. Later ones are only counted, so that a
+# faulty writer can fill neither the log nor the memory.
+MAXIMUM_LOGGED = 256
 
-# What is complained of; the counters are named after these.
+# Kinds of unusable input, from which the counters are named.
 ANSWER = 'answer'
 OBJECT = 'object'
 UPSTREAM = 'upstream'
@@ -21,38 +21,38 @@
 _PREFIX = 'unusable'
 
 
-class Complaints:
-    """Counts what can't be used, and says each reason once.
+class InputErrors:
+    """Counts unusable input, and logs each distinct error once.
 
-    An object may change with every beat of its writer: its reason holds no
-    value of it, so that it is the same each time.
+    A reason must not contain values of the object: they may change with each
+    write, and every change would then be logged as another error.
 
     :ivar counters: totals by kind.
-    :ivar say: takes the fields of a line.
+    :ivar write_line: called with the fields of a log line.
     """
 
-    __slots__ = ('_said', 'counters', 'say')
+    __slots__ = ('_logged', 'counters', 'write_line')
 
     def __init__(self) -> None:
-        self._said: set[tuple[str, str, str]] = set()
+        self._logged: set[tuple[str, str, str]] = set()
         self.counters: collections.Counter[str] = collections.Counter()
-        self.say = _log
+        self.write_line = _write_warning
 
-    def note(self, kind: str, name: str, revision: int, reason: str) -> None:
-        """Note something that can't be used.
+    def report(self, kind: str, name: str, revision: int, reason: str) -> None:
+        """Count an error, and log it if it is new.
 
-        :param kind: what it is, one of this module's.
+        :param kind: one of this module's kinds.
         :param name: the object's name.
-        :param revision: the store's revision of it, 0 if that is unknown.
-        :param reason: what is wrong with it.
+        :param revision: the object's revision in the store; 0 if unknown.
+        :param reason: what is wrong with the object.
         """
         self.counters[f'{_PREFIX}.{kind}'] += 1
-        complaint = (kind, name, reason)
-        is_said = complaint in self._said
-        if is_said or len(self._said) >= MOST_REMEMBERED:
+        key = (kind, name, reason)
+        is_logged = key in self._logged
+        if is_logged or len(self._logged) >= MAXIMUM_LOGGED:
             return
-        self._said.add(complaint)
-        self.say(
+        self._logged.add(key)
+        self.write_line(
             {
                 'reason': 'unusable-object',
                 'kind': kind,
@@ -63,5 +63,5 @@
         )
 
 
-def _log(fields: dict[str, object]) -> None:
+def _write_warning(fields: dict[str, object]) -> None:
     deferred_log.LOGGER.warning('object', fields=fields)
--- a/skylarkfold/platform/_packet.py
+++ b/skylarkfold/platform/_packet.py
@@ -1,9 +1,8 @@
-"""The header of a packet.
+"""Codec of the packet header: 32 bytes, big-endian.
 
-32 bytes, big-endian. What misleads: ``ack`` counts copies in a first
-packet, ``sum`` does not cover ``echo``, and ``echo`` is where the token of
-the flow's upstream travels: whatever the system writes into a first
-packet, both ends repeat in all later ones.
+In the first packet of a flow, ``ack`` counts retransmissions. ``echo`` carries
+the token of the flow's upstream: both ends repeat the value that the system
+wrote into the first packet. ``sum`` does not cover ``echo``.
 """
 
 from __future__ import annotations
@@ -25,10 +24,10 @@
 
 
 def decode(data: bytes) -> affinity.Packet | None:
-    """Read a caller's packet.
+    """Decode a caller's packet.
 
     :param data: the datagram.
-    :returns: what decisions need of it; None if it is no packet.
+    :returns: the packet; None if it is malformed.
     """
     if len(data) < _HEADER.size:
         return None
@@ -60,11 +59,11 @@
 
 
 def encode_forward(upstream: affinity.Upstream, data: bytes) -> bytes:
-    """Make the datagram that carries a packet to its upstream.
+    """Encode the datagram that forwards a packet to its upstream.
 
-    :param upstream: who is meant; others at its address ignore it.
+    :param upstream: the receiver; other upstreams at its address ignore it.
     :param data: the caller's packet.
-    :returns: the upstream's number, then the packet with its token.
+    :returns: the upstream's number, followed by the packet with its token.
     """
     return b''.join(
         (
@@ -79,13 +78,13 @@
 def encode_reset(
     flow: bytes, acknowledged: int, caller_port: int
 ) -> tuple[bytes, tuple[str, int]]:
-    """Make a reset from the service's address to a caller.
+    """Encode a reset from the service's address to a caller.
 
     :param flow: the packed flow.
-    :param acknowledged: the caller's last acknowledgement, which shows
-        that the reset is none of an earlier flow.
-    :param caller_port: the port at which every caller takes packets.
-    :returns: the packet, and where to send it.
+    :param acknowledged: the caller's last acknowledgement, by which the caller
+        can tell the reset from one of an earlier flow.
+    :param caller_port: the port at which all callers receive packets.
+    :returns: the packet and the address to send it to.
     """
     caller, sport, host, port = flow[:4], flow[4:6], flow[6:10], flow[10:]
     packet = _HEADER.pack(
--- a/skylarkfold/platform/_store.py
+++ b/skylarkfold/platform/_store.py
@@ -13,48 +13,48 @@
 from skylarkfold import relay
 from skylarkfold import revision as revisions
 
-Answered = Callable[[relay.Answer], object]
+AnswerCallback = Callable[[relay.Answer], object]
 
-_PLAIN = frozenset(
+_UNRESERVED = frozenset(
     'abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~'
 )
 
 _OK = 200
 _GONE = 410
-# How often the store has come back from an older copy; in all its answers.
+# How often the store was restored from an older copy; sent in all responses.
 _ERA_HEADER = 'store-era'
-# 429 and 503 say that nothing was done.
+# Statuses by which the store refuses a request without handling it.
 _REFUSALS = (429, 503)
 
-# Texts, which may hold brackets, and brackets.
-_NESTING = r'"(?:[^"\\]|\\.)*"|[\[\]{}]'
+# Matches strings, which may contain brackets, and single brackets.
+_NESTING_TOKENS = r'"(?:[^"\\]|\\.)*"|[\[\]{}]'
 _OPENING = ('[', '{')
 _CLOSING = (']', '}')
-# An answer, its list, an object and its entry take four of these; the
-# library reads a thousand.
-_MOST_DEPTH = 64
-# The most that an object of a topic is as peers are sent it; an entry of an
-# upstream takes 200 bytes, and each instance holds 3,800 of them.
-_MOST_BYTES = {_objects.UPSTREAMS_TOPIC: 16 * 1024}
-# Objects that are measured at once: half of that as a rule.
-_CHECKED_ITEMS = 32
+# Deeper values are replaced by null. Valid responses have four levels; the
+# JSON parser fails at about a thousand.
+_MAX_DEPTH = 64
+# The largest encoded value accepted in a topic. Each instance holds about
+# 3,800 entries of upstreams, usually of 200 bytes.
+_MAX_VALUE_BYTES = {_objects.UPSTREAMS_TOPIC: 16 * 1024}
+# Values measured together; usually they take half of the limit for one.
+_CHECK_BATCH_ITEMS = 32
 
 
 class StoreClient:
-    """Calls the store, over one connection for each topic.
+    """Calls the store, using one connection per topic.
 
-    A watch occupies its connection, so that topics don't share one.
+    Topics can't share a connection, since a watch blocks it.
 
     :param loop: the event loop.
     :param address: the store's host and port.
-    :param complaints: where objects that can't be read are noted.
+    :param input_errors: records unreadable objects.
     """
 
     __slots__ = (
-        '_abandoned',
         '_address',
-        '_complaints',
+        '_cancelled_topic',
         '_connections',
+        '_input_errors',
         '_loop',
     )
 
@@ -62,20 +62,20 @@
         self,
         loop: reactor.Loop,
         address: tuple[str, int],
-        complaints: _input_errors.Complaints | None = None,
+        input_errors: _input_errors.InputErrors | None = None,
     ) -> None:
         self._loop = loop
         self._address = address
-        self._complaints = complaints or _input_errors.Complaints()
+        self._input_errors = input_errors or _input_errors.InputErrors()
         self._connections: dict[str, reactor.HttpClient] = {}
-        # The topic whose call is being ended.
-        self._abandoned = ''
+        # The topic whose call is being cancelled, during cancel().
+        self._cancelled_topic = ''
 
-    def call(self, call: relay.Call, answered: Answered) -> None:
-        """Begin a call.
+    def call(self, call: relay.Call, on_answer: AnswerCallback) -> None:
+        """Start a call.
 
-        :param call: what to read.
-        :param answered: gets the answer.
+        :param call: the call.
+        :param on_answer: called with the answer.
         """
         connection = self._connections.get(call.topic)
         if connection is None:
@@ -86,24 +86,24 @@
             _build_path(call),
             b'',
             call.timeout_seconds,
-            lambda reply: answered(self._decode(call, reply)),
+            lambda reply: on_answer(self._decode(call, reply)),
         )
 
     def _decode(self, call: relay.Call, reply: reactor.Reply) -> relay.Answer:
-        if self._abandoned == call.topic:
+        if self._cancelled_topic == call.topic:
             return relay.Answer(relay.Status.ABANDONED)
-        return _decode_reply(call, reply, self._complaints)
+        return _decode_reply(call, reply, self._input_errors)
 
     def cancel(self, topic: str) -> None:
-        """End the call of a topic that is under way, without an answer.
+        """Abort the pending call of a topic; it is answered as abandoned.
 
         :param topic: the topic.
         """
         connection = self._connections.get(topic)
         if connection is not None:
-            self._abandoned = topic
+            self._cancelled_topic = topic
             connection.close()
-            self._abandoned = ''
+            self._cancelled_topic = ''
 
     def close(self) -> None:
         """Close all connections."""
@@ -122,9 +122,9 @@
 
 
 def _quote(name: str) -> str:
-    # Importing urllib.parse for it would take 4 ms of each start.
+    # Importing urllib.parse would add 4 ms to each start.
     return ''.join(
-        chr(byte) if chr(byte) in _PLAIN else f'%{byte:02X}'
+        chr(byte) if chr(byte) in _UNRESERVED else f'%{byte:02X}'
         for byte in name.encode()
     )
 
@@ -132,15 +132,15 @@
 def _decode_reply(
     call: relay.Call,
     reply: reactor.Reply,
-    complaints: _input_errors.Complaints,
+    input_errors: _input_errors.InputErrors,
 ) -> relay.Answer:
     try:
         era = _read_era(call, reply)
     except errors.DecodeError as error:
-        # Where in the store's history it belongs can't be told.
-        complaints.note(_input_errors.ANSWER, call.topic, 0, error.reason)
+        # Without its era, the response can't be ordered against others.
+        input_errors.report(_input_errors.ANSWER, call.topic, 0, error.reason)
         return relay.Answer(relay.Status.UNKNOWN)
-    return _decode(call, reply.status, reply.body, complaints, era)
+    return _decode(call, reply.status, reply.body, input_errors, era)
 
 
 def _read_era(call: relay.Call, reply: reactor.Reply) -> int:
@@ -154,7 +154,7 @@
     call: relay.Call,
     status: int,
     body: bytes,
-    complaints: _input_errors.Complaints | None = None,
+    input_errors: _input_errors.InputErrors | None = None,
     era: int = 0,
 ) -> relay.Answer:
     if status == _GONE:
@@ -163,13 +163,13 @@
         return relay.Answer(relay.Status.REFUSED)
     if status != _OK:
         return relay.Answer(relay.Status.UNKNOWN)
-    if complaints is None:
-        complaints = _input_errors.Complaints()
+    if input_errors is None:
+        input_errors = _input_errors.InputErrors()
     try:
         fields = _fields.Fields(_parse(body))
-        return _AnswerReader(call.topic, complaints, era).read(fields)
+        return _AnswerDecoder(call.topic, input_errors, era).read(fields)
     except (ValueError, RecursionError, errors.DecodeError) as error:
-        complaints.note(
+        input_errors.report(
             _input_errors.ANSWER, call.topic, 0, type(error).__name__
         )
         return relay.Answer(relay.Status.UNKNOWN)
@@ -179,65 +179,70 @@
     try:
         return light_imports.parse_json(body)
     except (UnicodeDecodeError, RecursionError):
-        # Bytes that are no text become characters that no text may hold:
-        # only the objects that have them are unusable then.
+        # Invalid UTF-8 becomes lone surrogates, so that only the objects
+        # that contain them are unusable.
         text = body.decode('utf-8', 'surrogateescape')
-        return light_imports.parse_json(_flatten(text))
+        return light_imports.parse_json(_truncate_nesting(text))
 
 
-def _flatten(text: str) -> str:
-    """Put null in place of all that is nested too deeply to be read.
+def _truncate_nesting(text: str) -> str:
+    """Replace values that are nested too deeply with null.
 
     :param text: JSON.
-    :returns: JSON that the library reads, whoever wrote it.
+    :returns: JSON that the parser can read.
     """
-    # Hardly any answer needs it, and each start would pay for it.
+    # Imported only if needed, to keep the start fast.
     import re
 
     parts = []
     depth = begin = 0
-    for found in re.finditer(_NESTING, text):
-        mark = found.group()
-        if mark in _OPENING:
+    for match in re.finditer(_NESTING_TOKENS, text):
+        token = match.group()
+        if token in _OPENING:
             depth += 1
-            if depth == _MOST_DEPTH:
-                parts += (text[begin : found.start()], 'null')
-        elif mark in _CLOSING:
-            if depth == _MOST_DEPTH:
-                begin = found.end()
+            if depth == _MAX_DEPTH:
+                parts += (text[begin : match.start()], 'null')
+        elif token in _CLOSING:
+            if depth == _MAX_DEPTH:
+                begin = match.end()
             depth -= 1
     return ''.join((*parts, text[begin:]))
 
 
-class _AnswerReader:
-    """Reads the objects of an answer; those that it can't are left out.
+class _AnswerDecoder:
+    """Decodes the objects of a response, and skips unreadable ones.
 
-    :param topic: the topic that was asked for.
-    :param complaints: where these are noted.
-    :param era: the store's era when it answered.
+    :param topic: the topic of the call.
+    :param input_errors: records unreadable objects.
+    :param era: the store's era when it responded.
     """
 
-    __slots__ = ('_complaints', '_era', '_topic', '_unusable')
+    __slots__ = (
+        '_era',
+        '_input_errors',
+        '_topic',
+        '_unusable_value',
+    )
 
     def __init__(
-        self, topic: str, complaints: _input_errors.Complaints, era: int
+        self, topic: str, input_errors: _input_errors.InputErrors, era: int
     ) -> None:
         self._era = era
         self._topic = topic
-        self._complaints = complaints
-        # An empty entry names nothing to use, but of an evacuation the name
-        # says all: one that can't be read counts as none.
-        is_said_by_name = topic == _objects.EVACUATIONS_TOPIC
-        self._unusable: dict[str, object] | None = (
-            None if is_said_by_name else {}
+        self._input_errors = input_errors
+        # An unusable value becomes an empty one, which later decoding
+        # rejects. An empty evacuation would be valid, so it is deleted.
+        is_identified_by_name = topic == _objects.EVACUATIONS_TOPIC
+        self._unusable_value: dict[str, object] | None = (
+            None if is_identified_by_name else {}
         )
 
     def read(self, fields: _fields.Fields) -> relay.Answer:
-        """Read an answer.
+        """Decode a response.
 
-        :param fields: what it holds.
+        :param fields: the fields of the response.
         :returns: the answer.
-        :raises DecodeError: if it is no listing and no list of events.
+        :raises DecodeError: if it is neither a listing nor a list of events.
         """
         revision = self._read_revision(fields, 'current_rev')
         if fields.has('events'):
@@ -246,9 +251,9 @@
         items = self._read_all(fields.get_list('items'), self._read_object)
         is_truncated = fields.is_set('truncated')
         if is_truncated and not items:
-            # Where the next page begins is not known; as it stands, all
-            # that it holds would pass for deleted.
-            raise errors.DecodeError('a page without an object')
+            # The start of the next page is unknown, and using this page
+            # would delete the objects after it.
+            raise errors.DecodeError('truncated page without readable objects')
         return relay.Answer(relay.Status.OK, items, revision, is_truncated)
 
     def _read_all(
@@ -261,34 +266,36 @@
             try:
                 item = read(_fields.Fields(value))
             except errors.DecodeError as error:
-                self._complaints.note(
+                self._input_errors.report(
                     _input_errors.OBJECT, self._topic, 0, error.reason
                 )
                 continue
             items.append(item)
-        for begin in range(0, len(items), _CHECKED_ITEMS):
-            self._check_values(items[begin : begin + _CHECKED_ITEMS])
+        for begin in range(0, len(items), _CHECK_BATCH_ITEMS):
+            self._clear_unsendable_values(
+                items[begin : begin + _CHECK_BATCH_ITEMS]
+            )
         return items
 
-    def _check_values(self, items: list[relay.Item]) -> None:
-        """Empty values that peers could not be sent.
+    def _clear_unsendable_values(self, items: list[relay.Item]) -> None:
+        """Replace values that can't be sent to peers.
 
-        :param items: some objects. If all of them together are no larger
-            than one may be, none is looked at alone.
+        :param items: some objects. They are measured one by one only if
+            together they exceed the limit for one value.
         """
         values = [each.value for each in items if each.value is not None]
         try:
             size = relay.measure_values(values)
-            if size <= _MOST_BYTES.get(self._topic, size):
+            if size <= _MAX_VALUE_BYTES.get(self._topic, size):
                 return
         except errors.DecodeError:
-            # One of them at least is looked for below.
+            # Find the offending objects below.
             pass
         for item in items:
-            self._check_value(item)
+            self._clear_unsendable_value(item)
 
-    def _check_value(self, item: relay.Item) -> None:
-        """Empty a value that peers could not be sent.
+    def _clear_unsendable_value(self, item: relay.Item) -> None:
+        """Replace a value that can't be sent to peers.
 
         :param item: the object.
         """
@@ -296,13 +303,13 @@
             return
         try:
             size = relay.measure_values([item.value])
-            if size <= _MOST_BYTES.get(self._topic, size):
+            if size <= _MAX_VALUE_BYTES.get(self._topic, size):
                 return
             reason = 'the value is too large'
         except errors.DecodeError as error:
             reason = error.reason
-        item.value = self._unusable
-        self._complaints.note(
+        item.value = self._unusable_value
+        self._input_errors.report(
             _input_errors.OBJECT, item.path, item.revision.number, reason
         )
 
@@ -316,17 +323,17 @@
         meta = fields.get_fields('meta')
         name = meta.get_text('name')
         if not name.isprintable():
-            raise errors.DecodeError('name: printable text is wanted')
+            raise errors.DecodeError('name: expected printable text')
         revision = self._read_revision(meta, 'rev')
         value = fields.get_map('spec')
         if value is None:
-            value = self._unusable
+            value = self._unusable_value
         if value is None:
-            self._complaints.note(
+            self._input_errors.report(
                 _input_errors.OBJECT,
                 name,
                 revision.number,
-                'spec: a map is wanted',
+                'spec: expected an object',
             )
         created = self._read_revision(meta, 'create_rev')
         return relay.Item(name, revision, created, value)
@@ -334,5 +341,5 @@
     def _read_revision(
         self, fields: _fields.Fields, name: str
     ) -> revisions.Revision:
-        number = fields.get_count(name, 0, revisions.MAXIMUM_NUMBER)
+        number = fields.get_integer(name, 0, revisions.MAXIMUM_NUMBER)
         return revisions.Revision(number, self._era)
--- a/skylarkfold/platform/check.py
+++ b/skylarkfold/platform/check.py
@@ -1,4 +1,4 @@
-"""Checks of the files that an instance on the users' platform reads."""
+"""Validation of the settings files of an instance on the users' platform."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from skylarkfold import forwarder
 from skylarkfold import machine
 
-# What starts an instance: a script, or a module of this name. A role's own
-# settings stand after it.
+# The script or module that runs an instance; in a role's command line, the
+# path of the forwarder settings follows it.
 _PROGRAMS = ('deploy/start.py', 'skylarkfold.platform')
 
 
@@ -20,9 +20,10 @@
 
     :param path: the file.
     :param kind: ``own``, ``platform`` or ``deploy``.
-    :returns: what was found, in a few words.
-    :raises SettingsError: with file, place, reason and code.
-    :raises UsageError: if there is no such kind.
+    :returns: a one-line summary.
+    :raises SettingsError: with the file, the field's path, a reason and a
+        code, if the file is invalid.
+    :raises UsageError: if the kind is unknown.
     """
     if kind == 'own':
         own = forwarder.read_forwarder_settings(path)
@@ -44,26 +45,26 @@
     if not isinstance(roles, dict) or not roles:
         raise errors.MissingFieldError('no role', path, '$.roles')
     if not isinstance(fields.get('build'), str):
-        raise errors.MissingFieldError('a text is wanted', path, '$.build')
+        raise errors.MissingFieldError('expected a string', path, '$.build')
     for name, role in roles.items():
         _check_role(path, f'$.roles.{name}', role)
     return f'valid deploy file, {len(roles)} roles'
 
 
-def _check_role(path: str, place: str, role: object) -> None:
+def _check_role(path: str, field_path: str, role: object) -> None:
     if not isinstance(role, dict):
-        raise errors.SettingsError('a table is wanted', path, place)
-    words = str(role.get('run', '')).split()
-    program = next((each for each in words if each in _PROGRAMS), None)
+        raise errors.SettingsError('expected a table', path, field_path)
+    command = str(role.get('run', '')).split()
+    program = next((each for each in command if each in _PROGRAMS), None)
     if program is None:
         reason = f'it runs none of {", ".join(_PROGRAMS)}'
-        raise errors.SettingsError(reason, path, f'{place}.run')
+        raise errors.SettingsError(reason, path, f'{field_path}.run')
     root = pathlib.Path(path).parent.parent
     template = str(role.get('template', ''))
     if not template or not (root / template).is_file():
         reason = 'it names no template of this repository'
-        raise errors.SettingsError(reason, path, f'{place}.template')
-    own = words[words.index(program) + 1 :]
+        raise errors.SettingsError(reason, path, f'{field_path}.template')
+    own = command[command.index(program) + 1 :]
     metrics = str(role.get('metrics', ''))
     settings = forwarder.ForwarderSettings()
     if own:
@@ -71,4 +72,4 @@
     port = metrics.partition('/')[0]
     if metrics and port != str(settings.metrics_port):
         reason = f'own settings have port {settings.metrics_port}'
-        raise errors.SettingsError(reason, path, f'{place}.metrics')
+        raise errors.SettingsError(reason, path, f'{field_path}.metrics')
--- a/skylarkfold/reactor/__init__.py
+++ b/skylarkfold/reactor/__init__.py
@@ -1,9 +1,8 @@
 """Sockets, timers and HTTP for processes that must start fast.
 
-The kernel's epoll, without asyncio: importing asyncio and
-uvloop takes about 90 ms of processor time, which on a fifth of a core
-keeps a restarted instance from its packets for almost half a second
-(``skylarkfold measure start``).
+Built directly on epoll. Importing asyncio and uvloop takes about 90 ms of
+processor time, which on a fifth of a core delays a restarted instance by
+almost half a second (``skylarkfold measure start``).
 """
 
 from skylarkfold.reactor._http import HttpClient
--- a/skylarkfold/reactor/_http.py
+++ b/skylarkfold/reactor/_http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on streams: one client connection, one small server."""
+"""HTTP/1.1 on streams: a client with one connection, and a small server."""
 
 from __future__ import annotations
 
@@ -9,33 +9,32 @@
 from skylarkfold.reactor import _loop
 from skylarkfold.reactor import _stream
 
-# An answer larger than this ends the connection: the store's pages are
-# about 1 MB, its values 1 MB at most.
+# Larger response bodies close the connection. The store's pages take about
+# 1 MB, its values 1 MB at most.
 MAXIMUM_BODY_BYTES = 8 * 1024 * 1024
-# A request of a health check has some hundred bytes.
+# Larger requests close the connection; health checks send some 100 bytes.
 MAXIMUM_REQUEST_BYTES = 16 * 1024
-# A client of the server that sends no whole request for so long is cut
-# off; health checks send theirs at once.
+# The server closes a connection that has not sent a whole request by then.
 _REQUEST_SECONDS = 5.0
 
-# A connection that has idled for longer may be silent for good. Pauses
-# between the calls of one who has a duty are shorter.
+# A connection that was idle for longer may be dead and is opened again.
+# Regular users of a connection send requests more often.
 _IDLE_SECONDS = 1.5
 
-# Stands for the status where no answer came.
-_NO_ANSWER = 0
-# More headers than these are no answer of a store or a health check.
-_MOST_HEADERS = 64
+# The status of a reply that stands for a failed request.
+_NO_REPLY = 0
+# Further headers of a response are ignored.
+_MAX_HEADERS = 64
 _REASONS = {200: 'OK', 404: 'Not Found', 503: 'Service Unavailable'}
 
 _logger = deferred_log.LOGGER
 
 
 class Reply:
-    """The answer to a request.
+    """The reply to a request.
 
-    :param status: the status; 0 where no answer came.
-    :param headers: values by name in lower case.
+    :param status: the HTTP status; 0 if the request failed.
+    :param headers: header values by lower-case name.
     :param body: the body.
     """
 
@@ -52,28 +51,28 @@
         self.body = body
 
 
-Answered = Callable[[Reply], object]
+ReplyCallback = Callable[[Reply], object]
 
 
 class HttpClient:
     """One connection to a server, with one request at a time.
 
-    Opened at the first request, again after it ended, and where it has
-    idled: an open connection may fall silent without an end.
+    The connection is opened with the first request, and again after it was
+    closed or was idle: an idle connection may be dead without notice.
 
     :param loop: the event loop.
     :param address: the server's host and port.
-    :param idle_seconds: a connection that was not used for so long is not
-        trusted any more.
+    :param idle_seconds: a connection that was not used for this long is
+        closed and opened again.
     """
 
     __slots__ = (
         '_address',
-        '_answered',
         '_connection',
         '_host',
         '_idle_seconds',
         '_loop',
+        '_on_reply',
         '_timer',
         '_used_at',
     )
@@ -90,13 +89,13 @@
         self._used_at = loop.now()
         self._host = f'{address[0]}:{address[1]}'
         self._connection: _Connection | None = None
-        self._answered: Answered | None = None
+        self._on_reply: ReplyCallback | None = None
         self._timer: _loop.Timer | None = None
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request waits for its answer."""
-        return self._answered is not None
+        """Whether a request is pending."""
+        return self._on_reply is not None
 
     def request(
         self,
@@ -104,28 +103,30 @@
         path: str,
         body: bytes,
         timeout_seconds: float,
-        answered: Answered,
+        on_reply: ReplyCallback,
     ) -> None:
         """Send a request.
 
         :param method: for example ``GET``.
-        :param path: with its query.
-        :param body: JSON; empty for none.
-        :param timeout_seconds: how long to wait for the whole answer; then
-            the connection is closed, since what comes on it belongs to
-            nothing any more.
-        :param answered: takes the answer, always.
-        :raises RuntimeError: if the last request is not answered yet.
+        :param path: the path with the query.
+        :param body: a JSON document; empty for none.
+        :param timeout_seconds: how long to wait for the whole reply; then the
+            connection is closed, since a late reply would be taken for the
+            next request's.
+        :param on_reply: always called, with the reply.
+        :raises RuntimeError: if a request is pending.
         """
         if self.is_busy:
-            raise RuntimeError('the last request is not answered')
+            raise RuntimeError('another request is pending')
         if self._loop.now() - self._used_at >= self._idle_seconds:
             self.close()
-        self._answered = answered
-        self._timer = self._loop.call_later(timeout_seconds, self._time_out)
+        self._on_reply = on_reply
+        self._timer = self._loop.call_later(
+            timeout_seconds, self._handle_timeout
+        )
         if self._connection is None:
             stream = _stream.connect(self._loop, self._address)
-            self._connection = _Connection(stream, self._handle_answer)
+            self._connection = _Connection(stream, self._handle_reply)
         head = f'{method} {path} HTTP/1.1\r\nHost: {self._host}\r\n'
         if body:
             head += 'Content-Type: application/json\r\n'
@@ -133,38 +134,38 @@
         self._connection.write(head.encode('ascii') + b'\r\n' + body)
 
     def close(self) -> None:
-        """Close the connection; a waiting request gets no answer."""
+        """Close the connection; a pending request fails."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.abandon()
-        self._end_request(Reply(_NO_ANSWER))
+        self._end_request(Reply(_NO_REPLY))
 
-    def _time_out(self) -> None:
+    def _handle_timeout(self) -> None:
         self._timer = None
         self.close()
 
-    def _handle_answer(self, reply: Reply, is_last: bool) -> None:
+    def _handle_reply(self, reply: Reply, is_last: bool) -> None:
         if is_last:
             connection, self._connection = self._connection, None
             connection.abandon()
         self._end_request(reply)
 
     def _end_request(self, reply: Reply) -> None:
-        answered, self._answered = self._answered, None
+        on_reply, self._on_reply = self._on_reply, None
         self._used_at = self._loop.now()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if answered is not None:
-            answered(reply)
+        if on_reply is not None:
+            on_reply(reply)
 
 
 class _Connection:
-    """A client's connection with the parser of its answers."""
+    """A client's connection with its response parser."""
 
     __slots__ = (
         '_body',
-        '_handle_answer',
+        '_handle_reply',
         '_headers',
         '_parser',
         '_size',
@@ -177,83 +178,84 @@
         handle_answer: Callable[[Reply, bool], object],
     ) -> None:
         self._stream = stream
-        self._handle_answer = handle_answer
+        self._handle_reply = handle_answer
         self._body: list[bytes] = []
         self._headers: dict[str, str] = {}
         self._size = 0
         self._parser = light_imports.http_parser.HttpResponseParser(self)
-        stream.on_data = self._take
-        stream.on_close = self._lose
+        stream.on_data = self._handle_data
+        stream.on_close = self._fail
 
     def write(self, data: bytes) -> None:
         self._stream.write(data)
 
     def abandon(self) -> None:
-        """Close it; nothing that is still in it is handed over."""
-        self._handle_answer = _ignore_answer
+        """Close the connection and discard further data."""
+        self._handle_reply = _ignore_reply
         self._stream.close()
 
-    def _take(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         try:
             self._parser.feed_data(data)
         except light_imports.http_parser.HttpParserError as error:
-            _logger.warning('a server sent no HTTP: %s', error)
-            self._lose('no HTTP')
+            _logger.warning('malformed HTTP response: %s', error)
+            self._fail('no HTTP')
 
-    def _lose(self, _reason: str) -> None:
-        self._handle_answer(Reply(_NO_ANSWER), True)
+    def _fail(self, _reason: str) -> None:
+        self._handle_reply(Reply(_NO_REPLY), True)
 
     def on_message_begin(self) -> None:
-        """Begin to collect an answer; called by the parser."""
+        """Reset the state for a new response; called by the parser."""
         self._body, self._headers, self._size = [], {}, 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header; called by the parser."""
-        if len(self._headers) < _MOST_HEADERS:
+        """Store a header; called by the parser."""
+        if len(self._headers) < _MAX_HEADERS:
             key = name.decode('latin-1').lower()
             self._headers[key] = value.decode('latin-1')
 
     def on_body(self, part: bytes) -> None:
-        """Collect a part of the body; called by the parser."""
+        """Store a part of the body; called by the parser."""
         self._size += len(part)
         if self._size <= MAXIMUM_BODY_BYTES:
             self._body.append(part)
 
     def on_message_complete(self) -> None:
-        """Hand the answer over; called by the parser."""
+        """Pass the complete response on; called by the parser."""
         if self._size > MAXIMUM_BODY_BYTES:
-            self._lose('too large')
+            self._fail('too large')
             return
         is_last = not self._parser.should_keep_alive()
         status = self._parser.get_status_code()
         reply = Reply(status, self._headers, b''.join(self._body))
-        self._handle_answer(reply, is_last)
+        self._handle_reply(reply, is_last)
 
 
 class HttpServer:
-    """Answers small requests, each on a connection of its own.
+    """Serves small requests, each on a new connection.
 
     :param loop: the event loop.
-    :param address: where to listen.
-    :param answer: takes a path and gives status and body.
+    :param address: the address to listen on.
+    :param handle_request: called with a path; returns the status and the
+        body.
     :raises OSError: if the address can't be bound.
     """
 
-    __slots__ = ('_answer', '_listener', '_loop')
+    __slots__ = ('_handle_request', '_listener', '_loop')
 
     def __init__(
         self,
         loop: _loop.Loop,
         address: tuple[str, int],
-        answer: Callable[[str], tuple[int, bytes]],
+        handle_request: Callable[[str], tuple[int, bytes]],
     ) -> None:
         self._loop = loop
-        self._answer = answer
+        self._handle_request = handle_request
         self._listener = _stream.Listener(loop, address, self._accept)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address that the server listens on."""
         return self._listener.address
 
     def close(self) -> None:
@@ -261,30 +263,37 @@
         self._listener.close()
 
     def _accept(self, stream: _stream.Stream) -> None:
-        _Exchange(self._loop, stream, self._answer)
+        _Exchange(self._loop, stream, self._handle_request)
 
 
 class _Exchange:
-    """One request and its answer."""
+    """One request and its response."""
 
-    __slots__ = ('_answer', '_parser', '_path', '_size', '_stream', '_timer')
+    __slots__ = (
+        '_handle_request',
+        '_parser',
+        '_path',
+        '_size',
+        '_stream',
+        '_timer',
+    )
 
     def __init__(
         self,
         loop: _loop.Loop,
         stream: _stream.Stream,
-        answer: Callable[[str], tuple[int, bytes]],
+        handle_request: Callable[[str], tuple[int, bytes]],
     ) -> None:
         self._stream = stream
-        self._answer = answer
+        self._handle_request = handle_request
         self._path = b''
         self._size = 0
         self._parser = light_imports.http_parser.HttpRequestParser(self)
         self._timer = loop.call_later(_REQUEST_SECONDS, stream.close)
-        stream.on_data = self._take
-        stream.on_close = self._end
+        stream.on_data = self._handle_data
+        stream.on_close = self._handle_close
 
-    def _take(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         self._size += len(data)
         if self._size > MAXIMUM_REQUEST_BYTES:
             self._stream.close('too large')
@@ -294,17 +303,17 @@
         except light_imports.http_parser.HttpParserError:
             self._stream.close('no HTTP')
 
-    def _end(self, _reason: str) -> None:
+    def _handle_close(self, _reason: str) -> None:
         self._timer.cancel()
 
     def on_url(self, path: bytes) -> None:
-        """Collect the path; called by the parser."""
+        """Store a part of the path; called by the parser."""
         self._path += path
 
     def on_message_complete(self) -> None:
-        """Answer; called by the parser."""
+        """Send the response; called by the parser."""
         path = self._path.decode('latin-1').partition('?')[0]
-        status, body = self._answer(path)
+        status, body = self._handle_request(path)
         head = (
             f'HTTP/1.1 {status} {_REASONS.get(status, "Answer")}\r\n'
             'Content-Type: text/plain\r\n'
@@ -314,5 +323,5 @@
         self._stream.finish()
 
 
-def _ignore_answer(_reply: Reply, _is_last: bool) -> None:
-    """Take what a connection brings that was given up."""
+def _ignore_reply(_reply: Reply, _is_last: bool) -> None:
+    """Discard a reply on an abandoned connection."""
--- a/skylarkfold/reactor/_loop.py
+++ b/skylarkfold/reactor/_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: ready sockets, due timers and signals."""
+"""An event loop for sockets, timers and signals."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 _logger = deferred_log.LOGGER
 
-# Wakes a loop without timers; nothing depends on the value.
-_LONGEST_WAIT_SECONDS = 10.0
+# The longest time that a loop without timers blocks.
+_MAX_WAIT_SECONDS = 10.0
 
 
 class Timer:
-    """A call that is due at some time.
+    """A scheduled callback.
 
-    :param due: when, in seconds of the loop's clock.
-    :param callback: what to call; None once it is cancelled.
+    :param due: when it is due, in seconds of the loop's clock.
+    :param callback: the callback; None after it was cancelled.
     """
 
     __slots__ = ('callback', 'due')
@@ -36,36 +36,35 @@
         return self.due < other.due
 
     def cancel(self) -> None:
-        """Never call it."""
+        """Cancel the callback."""
         self.callback = None
 
 
 class Loop:
-    """Calls back for ready sockets, due timers and signals.
+    """Runs callbacks for ready sockets, due timers and signals.
 
-    A callback that raises is logged; the loop goes on, since one event
-    that can't be handled must not end the process.
+    An exception of a callback is logged and does not stop the loop.
 
-    :ivar failures: how many callbacks raised.
-    :ivar lag: how late the last due timer was, in seconds: a process
-        that is starved of processor time sees it rise.
+    :ivar failures: how many callbacks have raised an exception.
+    :ivar lag: how late the last due timer was, in seconds; it rises if the
+        process gets too little processor time.
     """
 
     __slots__ = (
+        '_callbacks_by_descriptor',
+        '_epoll',
         '_is_stopped',
-        '_poll',
         '_signals',
         '_timers',
         '_wakeup',
-        '_watched',
         'failures',
         'lag',
     )
 
     def __init__(self) -> None:
-        self._poll = select.epoll()
+        self._epoll = select.epoll()
         # Events and callbacks by descriptor.
-        self._watched: dict[int, tuple[int, Callable]] = {}
+        self._callbacks_by_descriptor: dict[int, tuple[int, Callable]] = {}
         self._timers: list[Timer] = []
         self._signals: dict[int, Callable[[], object]] = {}
         self._wakeup: (
@@ -76,41 +75,41 @@
         self.lag = 0.0
 
     def now(self) -> float:
-        """Read the clock: seconds that never go back."""
+        """Return the time of a monotonic clock, in seconds."""
         return time.monotonic()
 
     def watch(
         self, ready: light_imports.Socket, events: int, callback: Callable
     ) -> None:
-        """Call back when a socket is ready.
+        """Run a callback whenever a socket is ready.
 
-        :param ready: the socket; one that is watched already changes its
-            events and its callback.
+        :param ready: the socket; if it is watched already, its events and its
+            callback are replaced.
         :param events: ``READ``, ``WRITE`` or both.
-        :param callback: takes the events that are ready.
+        :param callback: called with the events that are ready.
         """
         number = ready.fileno()
-        before = self._watched.get(number)
-        if before is None:
-            self._poll.register(number, events)
-        elif before[0] != events:
-            self._poll.modify(number, events)
-        self._watched[number] = (events, callback)
+        previous = self._callbacks_by_descriptor.get(number)
+        if previous is None:
+            self._epoll.register(number, events)
+        elif previous[0] != events:
+            self._epoll.modify(number, events)
+        self._callbacks_by_descriptor[number] = (events, callback)
 
     def unwatch(self, ready: light_imports.Socket) -> None:
-        """Stop watching a socket; one that is not watched is ignored."""
+        """Stop watching a socket, if it is watched."""
         number = ready.fileno()
-        if self._watched.pop(number, None) is not None:
-            self._poll.unregister(number)
+        if self._callbacks_by_descriptor.pop(number, None) is not None:
+            self._epoll.unregister(number)
 
     def call_later(
         self, seconds: float, callback: Callable[[], object]
     ) -> Timer:
-        """Call back once, after a while.
+        """Schedule a callback.
 
-        :param seconds: the pause.
-        :param callback: what to call.
-        :returns: the timer, to cancel it.
+        :param seconds: the delay.
+        :param callback: the callback.
+        :returns: the timer, by which it can be cancelled.
         """
         timer = Timer(self.now() + seconds, callback)
         heapq.heappush(self._timers, timer)
@@ -119,10 +118,10 @@
     def call_every(
         self, seconds: float, callback: Callable[[], object]
     ) -> None:
-        """Call back again and again.
+        """Run a callback periodically.
 
-        :param seconds: the pause between two calls.
-        :param callback: what to call.
+        :param seconds: the interval between calls.
+        :param callback: the callback.
         """
 
         def repeat() -> None:
@@ -132,10 +131,10 @@
         self.call_later(seconds, repeat)
 
     def on_signal(self, number: int, callback: Callable[[], object]) -> None:
-        """Call back from the loop when a signal arrives.
+        """Run a callback from the loop when a signal arrives.
 
-        :param number: the signal.
-        :param callback: what to call.
+        :param number: the signal's number.
+        :param callback: the callback.
         """
         if self._wakeup is None:
             self._open_wakeup()
@@ -148,42 +147,45 @@
         sender.setblocking(False)
         self._wakeup = (receiver, sender)
         light_imports.set_wakeup_fd(sender.fileno(), warn_on_full_buffer=False)
-        self.watch(receiver, READ, self._take_signals)
+        self.watch(receiver, READ, self._dispatch_signals)
 
-    def _take_signals(self, _events: int) -> None:
+    def _dispatch_signals(self, _events: int) -> None:
         for number in self._wakeup[0].recv(64):
             callback = self._signals.get(number)
             if callback is not None:
                 callback()
 
     def stop(self) -> None:
-        """End :meth:`run` after the present callbacks."""
+        """Make :meth:`run` return after the current callbacks."""
         self._is_stopped = True
 
     def run(self) -> None:
-        """Call back until :meth:`stop` is called; may be called again."""
+        """Run callbacks until :meth:`stop` is called; may be run again."""
         self._is_stopped = False
         while not self._is_stopped:
-            ready = self._poll.poll(self._find_wait())
-            # Timers that fall due while the callbacks run wait for the
-            # next turn: what they watch for may have arrived meanwhile.
-            due = self._take_due()
-            watched = [(*self._watched[at], found) for at, found in ready]
+            ready = self._epoll.poll(self._compute_wait())
+            # Timers that become due during the callbacks run in the next
+            # iteration, since the data that they guard may have arrived.
+            due = self._pop_due_timers()
+            watched = [
+                (*self._callbacks_by_descriptor[at], found)
+                for at, found in ready
+            ]
             for events, callback, found in watched:
-                self._call(callback, _select(events, found))
+                self._run_callback(callback, _filter_events(events, found))
             for timer in due:
                 if timer.callback is not None:
-                    self._call(timer.callback)
+                    self._run_callback(timer.callback)
 
-    def _find_wait(self) -> float:
+    def _compute_wait(self) -> float:
         while self._timers and self._timers[0].callback is None:
             heapq.heappop(self._timers)
         if not self._timers:
-            return _LONGEST_WAIT_SECONDS
+            return _MAX_WAIT_SECONDS
         wait = self._timers[0].due - self.now()
-        return min(max(wait, 0.0), _LONGEST_WAIT_SECONDS)
+        return min(max(wait, 0.0), _MAX_WAIT_SECONDS)
 
-    def _take_due(self) -> list[Timer]:
+    def _pop_due_timers(self) -> list[Timer]:
         now = self.now()
         due: list[Timer] = []
         while self._timers and self._timers[0].due <= now:
@@ -192,7 +194,7 @@
             self.lag = now - due[0].due
         return due
 
-    def _call(self, callback: Callable, *arguments: object) -> None:
+    def _run_callback(self, callback: Callable, *arguments: object) -> None:
         try:
             callback(*arguments)
         except Exception:
@@ -200,20 +202,20 @@
             _logger.exception('a callback failed')
 
     def close(self) -> None:
-        """Give its descriptors back."""
+        """Close the loop's file descriptors."""
         if self._wakeup is not None:
             light_imports.set_wakeup_fd(-1)
             for each in self._wakeup:
                 each.close()
-        self._poll.close()
+        self._epoll.close()
 
 
-def _select(wanted: int, found: int) -> int:
-    """Tell which of the events that are watched for are there.
+def _filter_events(wanted: int, found: int) -> int:
+    """Return the events to pass to a callback.
 
-    :param wanted: those that are watched for.
-    :param found: what the kernel found; an end or an error is a reason to
-        read and to write.
+    :param wanted: the events that are watched.
+    :param found: the events reported by epoll; on an error or a hang-up, all
+        watched events are passed.
     :returns: the events.
     """
     if found & ~(READ | WRITE):
@@ -222,4 +224,4 @@
 
 
 def _ignore_signal(_number: int, _frame: object) -> None:
-    """Leave the signal to the loop, which is woken by its number."""
+    """Do nothing: the loop handles signals through the wakeup socket."""
--- a/skylarkfold/reactor/_stream.py
+++ b/skylarkfold/reactor/_stream.py
@@ -1,4 +1,4 @@
-"""TCP streams that never block."""
+"""Non-blocking TCP streams."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 from skylarkfold import light_imports
 from skylarkfold.reactor import _loop
 
-_PORTION_BYTES = 64 * 1024
-# Connections that wait to be accepted. An opening packet that finds the
-# queue full is sent again after a second or more.
+_RECEIVE_BYTES = 64 * 1024
+# The length of the accept queue. If it is full, the kernel drops SYN packets,
+# and clients retry after a second or more.
 _BACKLOG = 256
-# What may wait for a peer that does not read; more ends the stream.
+# A stream with more unsent data than this is closed.
 MAXIMUM_WAITING_BYTES = 4 * 1024 * 1024
 
 _logger = deferred_log.LOGGER
 
 
 class Stream:
-    """One TCP connection.
+    """A TCP connection.
 
     :param loop: the event loop.
     :param connection: a non-blocking socket, connected or connecting.
     :param is_connected: whether it is connected already.
-    :ivar on_open: called once it is connected.
-    :ivar on_data: called with bytes that arrived.
-    :ivar on_close: called once when it ended, with the reason: empty for
-        an orderly end by the other side.
+    :ivar on_open: called when the connection is established.
+    :ivar on_data: called with received data.
+    :ivar on_close: called once when the stream is closed, with the reason:
+        empty for an orderly close by the other side.
     """
 
     __slots__ = (
         '_connection',
         '_is_connected',
+        '_is_finishing',
         '_loop',
-        '_must_close',
         '_output',
         'is_closed',
         'on_close',
@@ -52,7 +52,7 @@
         self._loop = loop
         self._connection = connection
         self._is_connected = is_connected
-        self._must_close = False
+        self._is_finishing = False
         self._output = bytearray()
         self.is_closed = False
         self.on_open: Callable[[], object] = _do_nothing
@@ -62,22 +62,22 @@
             light_imports.IPPROTO_TCP, light_imports.TCP_NODELAY, 1
         )
         events = _loop.READ if is_connected else _loop.WRITE
-        loop.watch(connection, events, self._take_events)
+        loop.watch(connection, events, self._handle_events)
 
     @property
     def peer_host(self) -> str:
-        """The other side's address; empty once it is gone."""
+        """The remote address; empty if the connection is closed."""
         try:
             return self._connection.getpeername()[0]
         except OSError:
             return ''
 
     def write(self, data: bytes) -> None:
-        """Send bytes, now or as soon as the other side takes them.
+        """Send data, buffering what can't be sent immediately.
 
-        :param data: the bytes; ignored once the stream is closed.
+        :param data: the data; ignored if the stream is closed or finishing.
         """
-        if self.is_closed or self._must_close:
+        if self.is_closed or self._is_finishing:
             return
         self._output += data
         if len(self._output) > MAXIMUM_WAITING_BYTES:
@@ -87,15 +87,15 @@
             self._flush()
 
     def finish(self) -> None:
-        """Close the stream once everything written was sent."""
-        self._must_close = True
+        """Close the stream after all written data was sent."""
+        self._is_finishing = True
         if self._is_connected and not self._output:
             self.close('')
 
     def close(self, reason: str = '') -> None:
-        """End the stream at once.
+        """Close the stream immediately.
 
-        :param reason: handed to ``on_close``.
+        :param reason: passed to ``on_close``.
         """
         if self.is_closed:
             return
@@ -104,30 +104,30 @@
         self._connection.close()
         self.on_close(reason)
 
-    def _take_events(self, events: int) -> None:
+    def _handle_events(self, events: int) -> None:
         try:
             if not self._is_connected:
-                self._end_connecting()
+                self._finish_connecting()
             if events & _loop.WRITE and not self.is_closed:
                 self._flush()
             if events & _loop.READ and not self.is_closed:
                 self._read()
         except OSError as error:
-            self.close(_describe(error))
+            self.close(_format_error(error))
 
-    def _end_connecting(self) -> None:
+    def _finish_connecting(self) -> None:
         code = self._connection.getsockopt(
             light_imports.SOL_SOCKET, light_imports.SO_ERROR
         )
         if code:
             raise OSError(code, errno.errorcode.get(code, str(code)))
         self._is_connected = True
-        self._loop.watch(self._connection, _loop.READ, self._take_events)
+        self._loop.watch(self._connection, _loop.READ, self._handle_events)
         self.on_open()
 
     def _read(self) -> None:
         try:
-            data = self._connection.recv(_PORTION_BYTES)
+            data = self._connection.recv(_RECEIVE_BYTES)
         except BlockingIOError:
             return
         if data:
@@ -141,16 +141,16 @@
                 sent = self._connection.send(self._output)
                 del self._output[:sent]
             except BlockingIOError:
-                _logger.debug('a stream is full')
+                _logger.debug('the send buffer of a stream is full')
             except OSError as error:
-                self.close(_describe(error))
+                self.close(_format_error(error))
                 return
         if self._output:
             events = _loop.READ | _loop.WRITE
         else:
             events = _loop.READ
-        self._loop.watch(self._connection, events, self._take_events)
-        if self._must_close and not self._output:
+        self._loop.watch(self._connection, events, self._handle_events)
+        if self._is_finishing and not self._output:
             self.close('')
 
 
@@ -159,7 +159,7 @@
 
     :param loop: the event loop.
     :param address: host and port.
-    :param accept: called with the stream of each connection.
+    :param accept: called with the stream of each accepted connection.
     :raises OSError: if the address can't be bound.
     """
 
@@ -182,39 +182,39 @@
         self._socket.setblocking(False)
         self._socket.bind(address)
         self._socket.listen(_BACKLOG)
-        loop.watch(self._socket, _loop.READ, self._take_connections)
+        loop.watch(self._socket, _loop.READ, self._accept_connections)
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address that the socket is bound to."""
         return self._socket.getsockname()
 
-    def _take_connections(self, _events: int) -> None:
+    def _accept_connections(self, _events: int) -> None:
         while True:
             try:
                 connection = light_imports.accept(self._socket)
             except BlockingIOError:
                 return
             except OSError as error:
-                # No descriptors are left, or the caller went away.
-                _logger.warning('accept failed: %s', _describe(error))
+                # Out of file descriptors, or the client closed the connection.
+                _logger.warning('accept failed: %s', _format_error(error))
                 return
             connection.setblocking(False)
             self._accept(Stream(self._loop, connection))
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting connections."""
         self._loop.unwatch(self._socket)
         self._socket.close()
 
 
 def connect(loop: _loop.Loop, address: tuple[str, int]) -> Stream:
-    """Open a connection.
+    """Start to open a connection.
 
     :param loop: the event loop.
     :param address: host and port.
-    :returns: the stream; its ``on_close`` is called if it can't be
-        opened, after this function returned.
+    :returns: the stream. If the connection fails, its ``on_close`` is called
+        after this function has returned.
     """
     connection = light_imports.Socket(
         light_imports.AF_INET, light_imports.SOCK_STREAM
@@ -228,9 +228,9 @@
     return stream
 
 
-def _describe(error: OSError) -> str:
+def _format_error(error: OSError) -> str:
     return errno.errorcode.get(error.errno or 0, str(error))
 
 
 def _do_nothing(*_arguments: object) -> None:
-    """Stand in until a callback is set."""
+    """Do nothing; the default of the callbacks."""
--- a/skylarkfold/tests/platform/test_evacuations.py
+++ b/skylarkfold/tests/platform/test_evacuations.py
@@ -15,9 +15,9 @@
 class EvacuationsTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.complaints = _input_errors.Complaints()
+        self.input_errors = _input_errors.InputErrors()
         self.lines = []
-        self.complaints.say = self.lines.append
+        self.input_errors.write_line = self.lines.append
 
     def read(self, *objects, kind='evacuations'):
         """Read a listing as an instance does, from bytes to values."""
@@ -33,11 +33,11 @@
 
     def read_bytes(self, body, kind='evacuations'):
         call = relay.Call(kind, None, '', 0.0, 1.0)
-        return _store._decode(call, 200, body, self.complaints).items
+        return _store._decode(call, 200, body, self.input_errors).items
 
     def decode(self, items):
         present = [each for each in items if each.value is not None]
-        return _objects.decode_evacuations(present, ZONES, self.complaints)
+        return _objects.decode_evacuations(present, ZONES, self.input_errors)
 
     def test_an_entry_empties_the_zone_of_its_name(self):
         found = self.decode(self.read(('hall-a', {'spec': {}})))
@@ -56,7 +56,7 @@
                 self.read(('hall-a', {'spec': odd}), ('hall-b', {'spec': {}}))
             )
             self.assertEqual(['hall-b'], list(found), odd)
-        self.assertEqual(7, self.complaints.counters['unusable.object'])
+        self.assertEqual(7, self.input_errors.counters['unusable.object'])
         self.assertEqual(1, len(self.lines))
 
     def test_no_value_at_all_empties_nothing(self):
@@ -84,7 +84,7 @@
             self.read(('hall-x', {'spec': {}}), ('hall-a', {'spec': {}}))
         )
         self.assertEqual(['hall-a'], list(found))
-        self.assertEqual(1, self.complaints.counters['unusable.evacuation'])
+        self.assertEqual(1, self.input_errors.counters['unusable.evacuation'])
         self.assertEqual(1, len(self.lines))
 
     def test_one_that_becomes_unusable_is_as_good_as_removed(self):
@@ -97,7 +97,7 @@
         }
         body = json.dumps({'events': [event], 'current_rev': 9}).encode()
         call = relay.Call('evacuations', 5, '', 1.0, 1.0)
-        (item,) = _store._decode(call, 200, body, self.complaints).items
+        (item,) = _store._decode(call, 200, body, self.input_errors).items
         self.assertIsNone(item.value)
         self.assertEqual(9, item.revision)
 
--- a/skylarkfold/tests/platform/test_foreign.py
+++ b/skylarkfold/tests/platform/test_foreign.py
@@ -150,7 +150,7 @@
         self.assertEqual([GOOD], [each.name for each in found])
 
     def test_one_that_turns_malformed_names_none_any_more(self):
-        decoder = _objects.UpstreamDecoder(_input_errors.Complaints())
+        decoder = _objects.UpstreamDecoder(_input_errors.InputErrors())
         good = items.build_item(GOOD, 5, 3, ENTRY)
         both = decoder.decode([items.build_item(NAME, 6, 4, ENTRY), good])
         self.assertEqual(2, len(both))
@@ -159,32 +159,32 @@
         self.assertEqual([both[1]], rest)
 
     def test_one_that_changes_with_each_beat_is_said_once(self):
-        complaints = _input_errors.Complaints()
-        decoder = _objects.UpstreamDecoder(complaints)
+        input_errors = _input_errors.InputErrors()
+        decoder = _objects.UpstreamDecoder(input_errors)
         lines = []
-        complaints.say = lines.append
+        input_errors.write_line = lines.append
         for beat in range(50):
             bad = {**build_entry('state', 'paused'), 'sequence': beat}
             decoder.decode([items.build_item(NAME, 10 + beat, 4, bad)])
         self.assertEqual(1, len(lines))
-        self.assertEqual({'unusable.upstream': 50}, complaints.counters)
+        self.assertEqual({'unusable.upstream': 50}, input_errors.counters)
 
     def test_many_writers_can_t_fill_the_memory(self):
-        complaints = _input_errors.Complaints()
+        input_errors = _input_errors.InputErrors()
         lines = []
-        complaints.say = lines.append
+        input_errors.write_line = lines.append
         for number in range(10_000):
-            complaints.note('upstream', f'i-x{number}', 1, 'no hex')
-        self.assertEqual(_input_errors.MOST_REMEMBERED, len(lines))
-        self.assertEqual({'unusable.upstream': 10_000}, complaints.counters)
+            input_errors.report('upstream', f'i-x{number}', 1, 'no hex')
+        self.assertEqual(_input_errors.MAXIMUM_LOGGED, len(lines))
+        self.assertEqual({'unusable.upstream': 10_000}, input_errors.counters)
 
 
 class RoutesTest(testtools.TestCase):
     def decode(self, value):
-        complaints = _input_errors.Complaints()
-        self.complaints = complaints
+        input_errors = _input_errors.InputErrors()
+        self.input_errors = input_errors
         item = items.build_item('main', 5, 3, value)
-        return _objects.decode_routes([item], complaints)
+        return _objects.decode_routes([item], input_errors)
 
     def test_one_unusable_route_does_not_hide_the_others(self):
         odd = (
@@ -211,7 +211,7 @@
         table = self.decode({**test_objects.CONFIGURATION, 'routes': routes})
         self.assertEqual(2, len(table))
         self.assertEqual(
-            {'unusable.route': len(odd)}, self.complaints.counters
+            {'unusable.route': len(odd)}, self.input_errors.counters
         )
 
     def test_limits_that_can_t_be_read_have_a_default(self):
@@ -238,7 +238,7 @@
 class ObjectsTest(testtools.TestCase):
     def decode(self, body):
         call = relay.Call('servers', None, '', 0.0, 1.0)
-        return _store._decode(call, 200, body, _input_errors.Complaints())
+        return _store._decode(call, 200, body, _input_errors.InputErrors())
 
     @staticmethod
     def wrap(name, spec, rev=5):
--- a/skylarkfold/tests/platform/test_objects.py
+++ b/skylarkfold/tests/platform/test_objects.py
@@ -150,8 +150,8 @@
 class EraTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.complaints = _input_errors.Complaints()
-        self.complaints.say = lambda fields: None
+        self.input_errors = _input_errors.InputErrors()
+        self.input_errors.write_line = lambda fields: None
         meta = {'name': 'i-1', 'rev': 5, 'create_rev': 3}
         page = {
             'items': [{'meta': meta, 'spec': ENTRY, 'status': None}],
@@ -166,7 +166,7 @@
             name.replace('_', '-'): value for name, value in headers.items()
         }
         reply = reactor.Reply(200, named, self.body)
-        return _store._decode_reply(call, reply, self.complaints)
+        return _store._decode_reply(call, reply, self.input_errors)
 
     def test_the_header_tells_the_era_of_all_that_is_in_the_answer(self):
         answer = self.decode(store_era='3')
@@ -183,7 +183,7 @@
         for text in ('', 'two', '-1', '1.0', '²', '1' * 20):
             answer = self.decode(store_era=text)
             self.assertEqual(relay.Status.UNKNOWN, answer.status, text)
-        self.assertEqual(6, self.complaints.counters['unusable.answer'])
+        self.assertEqual(6, self.input_errors.counters['unusable.answer'])
 
     def test_the_store_is_asked_by_the_number_alone(self):
         call = relay.Call('servers', revisions.Revision(9, 3), '', 3.0, 3.5)
--- a/skylarkfold/tests/reactor/test_loop.py
+++ b/skylarkfold/tests/reactor/test_loop.py
@@ -64,9 +64,9 @@
         self.addCleanup(loop.close)
         first = loop.call_later(5.0, loop.stop)
         loop.call_later(100.0, loop.stop)
-        self.assertLessEqual(loop._find_wait(), 5.0)
+        self.assertLessEqual(loop._compute_wait(), 5.0)
         first.cancel()
-        self.assertEqual(10.0, loop._find_wait())
+        self.assertEqual(10.0, loop._compute_wait())
 
 
 class HttpTest(testtools.TestCase):
