--- a/skylarkfold/platform/_objects.py
+++ b/skylarkfold/platform/_objects.py
@@ -102,7 +102,7 @@
                 _input_errors.EVACUATION,
                 item.path,
                 item.revision.number,
-                'unknown availability zone',
+                'no availability zone has this name',
             )
     return affinity.Evacuations(written)
 
--- a/skylarkfold/platform/_store.py
+++ b/skylarkfold/platform/_store.py
@@ -333,7 +333,7 @@
                 _input_errors.OBJECT,
                 name,
                 revision.number,
-                'spec: expected an object',
+                'spec: a map is wanted',
             )
         created = self._read_revision(meta, 'create_rev')
         return relay.Item(name, revision, created, value)
--- a/skylarkfold/tests/platform/test_evacuations.py
+++ b/skylarkfold/tests/platform/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of the entries that ask to empty a zone, whoever wrote them."""
+"""Tests of decoding requests to evacuate a zone, including faulty ones."""
 
 import json
 
@@ -20,7 +20,7 @@
         self.input_errors.write_line = self.lines.append
 
     def read(self, *objects, kind='evacuations'):
-        """Read a listing as an instance does, from bytes to values."""
+        """Decode a listing of the given objects."""
         items = [
             {
                 'meta': {'name': name, 'rev': 5 + place, 'create_rev': 3},
@@ -39,18 +39,18 @@
         present = [each for each in items if each.value is not None]
         return _objects.decode_evacuations(present, ZONES, self.input_errors)
 
-    def test_an_entry_empties_the_zone_of_its_name(self):
+    def test_entry_evacuates_the_zone_of_its_name(self):
         found = self.decode(self.read(('hall-a', {'spec': {}})))
         self.assertEqual(['hall-a'], list(found))
         self.assertEqual(5, found.get_revision('hall-a'))
         self.assertEqual([], self.lines)
 
-    def test_any_map_will_do(self):
+    def test_value_may_be_any_object(self):
         spec = {'why': ['a', 1], 'until': None}
         found = self.decode(self.read(('hall-b', {'spec': spec})))
         self.assertEqual(['hall-b'], list(found))
 
-    def test_a_value_that_is_no_map_empties_nothing(self):
+    def test_value_that_is_not_an_object_evacuates_nothing(self):
         for odd in (None, 'x', 7, True, [], ['hall-a'], 1.5):
             found = self.decode(
                 self.read(('hall-a', {'spec': odd}), ('hall-b', {'spec': {}}))
@@ -59,10 +59,10 @@
         self.assertEqual(7, self.input_errors.counters['unusable.object'])
         self.assertEqual(1, len(self.lines))
 
-    def test_no_value_at_all_empties_nothing(self):
+    def test_missing_value_evacuates_nothing(self):
         self.assertEqual([], list(self.decode(self.read(('hall-a', {})))))
 
-    def test_bytes_that_are_no_text_empty_nothing(self):
+    def test_invalid_utf8_evacuates_nothing(self):
         body = json.dumps(
             {
                 'items': [
@@ -79,7 +79,7 @@
         body = body.replace(b'"why": "hall-a"', b'"why": "\xff\xfe"')
         self.assertEqual(['hall-b'], list(self.decode(self.read_bytes(body))))
 
-    def test_a_name_that_is_no_zone_empties_nothing(self):
+    def test_unknown_zone_evacuates_nothing(self):
         found = self.decode(
             self.read(('hall-x', {'spec': {}}), ('hall-a', {'spec': {}}))
         )
@@ -87,7 +87,7 @@
         self.assertEqual(1, self.input_errors.counters['unusable.evacuation'])
         self.assertEqual(1, len(self.lines))
 
-    def test_one_that_becomes_unusable_is_as_good_as_removed(self):
+    def test_entry_that_becomes_unusable_counts_as_deleted(self):
         event = {
             'object': {
                 'meta': {'name': 'hall-a', 'rev': 9, 'create_rev': 3},
@@ -101,6 +101,6 @@
         self.assertIsNone(item.value)
         self.assertEqual(9, item.revision)
 
-    def test_other_kinds_keep_an_empty_value(self):
+    def test_unusable_value_in_other_topics_becomes_empty(self):
         (item,) = self.read(('i-1', {'spec': 'no map'}), kind='servers')
         self.assertEqual({}, item.value)
--- a/skylarkfold/tests/platform/test_foreign.py
+++ b/skylarkfold/tests/platform/test_foreign.py
@@ -1,4 +1,4 @@
-"""Entries, routes and objects as another writer may leave them."""
+"""Tests of decoding faulty objects that other programs wrote."""
 
 import json
 
@@ -22,7 +22,7 @@
 ENTRY = {**test_objects.ENTRY, 'born': BORN}
 MISSING = object()
 
-# Each names no upstream: a field and what stands there.
+# Invalid values of an entry: the field and its value.
 MALFORMED = (
     ('state', 'paused'),
     ('state', 'READY'),
@@ -85,7 +85,7 @@
     ('born', [BORN]),
     ('born', 2**64),
 )
-# Names that hold no number of an upstream.
+# Names without a valid number of an upstream.
 NAMES = (
     'i-+a1',
     'i-0x_a1',
@@ -99,12 +99,12 @@
     'i-a1\n',
     'i-10000000000000000',
 )
-# Values that JSON may hold and MessagePack, or a later text, can't.
+# Values that JSON can encode but MessagePack or UTF-8 can't.
 UNSENDABLE = (2**64, -(2**63) - 1, '\ud800', {'\ud800': 1}, [[2**70]])
 
 
 def build_entry(field, value):
-    """Build an entry of which one field is another writer's."""
+    """Build a valid entry but for one field."""
     entry = {**ENTRY, field: value}
     if value is MISSING:
         del entry[field]
@@ -112,26 +112,26 @@
 
 
 def decode(*items):
-    """Read entries."""
+    """Decode entries."""
     return _objects.UpstreamDecoder().decode(items)
 
 
 class EntriesTest(testtools.TestCase):
-    def test_an_entry_of_the_pages_is_read(self):
+    def test_valid_entry_is_decoded(self):
         (upstream,) = decode(items.build_item(NAME, 5, 3, ENTRY))
         self.assertEqual(BORN, upstream.born)
         self.assertEqual(5, upstream.revision)
 
-    def test_the_start_may_be_left_unsaid(self):
+    def test_born_is_optional(self):
         (upstream,) = decode(items.build_item(NAME, 5, 3, test_objects.ENTRY))
         self.assertIsNone(upstream.born)
         self.assertEqual(upstream.token, upstream.incarnation)
 
-    def test_fields_that_nobody_knows_are_no_fault(self):
+    def test_unknown_fields_are_ignored(self):
         entry = {**ENTRY, 'rack': {'row': [1]}}
         self.assertEqual(1, len(decode(items.build_item(NAME, 5, 3, entry))))
 
-    def test_what_is_malformed_names_no_upstream(self):
+    def test_malformed_entries_are_skipped(self):
         taken = []
         for field, value in MALFORMED:
             bad = items.build_item(NAME, 9, 8, build_entry(field, value))
@@ -142,14 +142,14 @@
                 taken.append((field, value))
         self.assertEqual([], taken)
 
-    def test_names_without_a_number_name_no_upstream(self):
+    def test_entries_without_a_number_are_skipped(self):
         found = decode(
             *(items.build_item(name, 9, 8, ENTRY) for name in NAMES),
             items.build_item(GOOD, 5, 3, ENTRY),
         )
         self.assertEqual([GOOD], [each.name for each in found])
 
-    def test_one_that_turns_malformed_names_none_any_more(self):
+    def test_entry_that_becomes_malformed_is_dropped(self):
         decoder = _objects.UpstreamDecoder(_input_errors.InputErrors())
         good = items.build_item(GOOD, 5, 3, ENTRY)
         both = decoder.decode([items.build_item(NAME, 6, 4, ENTRY), good])
@@ -158,7 +158,7 @@
         rest = decoder.decode([items.build_item(NAME, 7, 4, bad), good])
         self.assertEqual([both[1]], rest)
 
-    def test_one_that_changes_with_each_beat_is_said_once(self):
+    def test_error_of_a_changing_entry_is_logged_once(self):
         input_errors = _input_errors.InputErrors()
         decoder = _objects.UpstreamDecoder(input_errors)
         lines = []
@@ -169,7 +169,7 @@
         self.assertEqual(1, len(lines))
         self.assertEqual({'unusable.upstream': 50}, input_errors.counters)
 
-    def test_many_writers_can_t_fill_the_memory(self):
+    def test_number_of_logged_errors_is_bounded(self):
         input_errors = _input_errors.InputErrors()
         lines = []
         input_errors.write_line = lines.append
@@ -214,7 +214,7 @@
             {'unusable.route': len(odd)}, self.input_errors.counters
         )
 
-    def test_limits_that_can_t_be_read_have_a_default(self):
+    def test_invalid_limits_have_a_default(self):
         for limits in (None, {}, {'idle_timeout_ms': 'long'}, {'x': 1}):
             table = self.decode(
                 {**test_objects.CONFIGURATION, 'limits': limits}
@@ -222,12 +222,12 @@
             self.assertEqual(2, len(table))
             self.assertEqual(60.0, table.idle_seconds)
 
-    def test_without_a_version_there_are_no_routes(self):
+    def test_routes_without_a_version_are_rejected(self):
         for version in (None, True, -1, '7', 7.0, 2**70):
             value = {**test_objects.CONFIGURATION, 'version': version}
             self.assertIsNone(self.decode(value))
 
-    def test_the_services_are_those_that_are_declared_or_used(self):
+    def test_services_are_those_declared_or_used(self):
         services = [{'name': 'caer'}, {'name': 4}, None]
         table = self.decode(
             {**test_objects.CONFIGURATION, 'services': services}
@@ -249,7 +249,7 @@
         body = {'items': objects, 'truncated': False, 'current_rev': 9}
         return self.decode(json.dumps(body).encode())
 
-    def test_one_unreadable_object_does_not_hide_the_others(self):
+    def test_unreadable_object_does_not_affect_the_others(self):
         good = self.wrap(GOOD, ENTRY)
         odd = (
             None,
@@ -271,14 +271,14 @@
             self.assertEqual(relay.Status.OK, answer.status, each)
             self.assertEqual([GOOD], [item.path for item in answer.items])
 
-    def test_a_page_of_unreadable_objects_is_not_the_end_of_a_listing(self):
+    def test_truncated_page_without_readable_objects_is_rejected(self):
         body = {'items': [None, {}], 'truncated': True, 'current_rev': 9}
         answer = self.decode(json.dumps(body).encode())
         self.assertEqual(relay.Status.UNKNOWN, answer.status)
         answer = self.list_page(None, {})
         self.assertEqual(relay.Status.OK, answer.status)
 
-    def test_one_unreadable_event_does_not_hide_the_others(self):
+    def test_unreadable_event_does_not_affect_the_others(self):
         events = [
             {'object': None, 'deleted': False},
             {'deleted': False},
@@ -290,13 +290,13 @@
         answer = self.decode(json.dumps(body).encode())
         self.assertEqual([GOOD], [item.path for item in answer.items])
 
-    def test_a_value_that_is_none_stands_for_one_that_is_unusable(self):
+    def test_value_that_is_not_an_object_becomes_empty(self):
         for spec in (None, 'text', 7, [], [1], True):
             answer = self.list_page(self.wrap('i-2', spec))
             self.assertEqual([{}], [item.value for item in answer.items])
             self.assertEqual([], decode(*answer.items))
 
-    def test_what_can_t_be_sent_to_peers_never_reaches_them(self):
+    def test_values_that_can_t_be_sent_to_peers_become_empty(self):
         for value in UNSENDABLE:
             spec = {**ENTRY, 'more': value}
             answer = self.list_page(self.wrap('i-2', spec))
@@ -306,8 +306,8 @@
             read = relay.decode_page(relay.encode_page(page))
             self.assertEqual([{}], [item.value for item in read.items])
 
-    def test_deep_values_do_not_hide_the_others(self):
-        # Beyond what the library reads, with brackets in texts.
+    def test_deeply_nested_value_does_not_affect_the_others(self):
+        # Deeper than the JSON parser supports, with brackets in strings.
         deep = '[{"]": "[", "x": ' * 30_000 + '"}"' + '}]' * 30_000
         spec = json.dumps(ENTRY)[:-1] + ', "more": ' + deep + '}'
         text = json.dumps(
@@ -323,7 +323,7 @@
         )
         self.assertEqual(ENTRY, answer.items[1].value)
 
-    def test_bytes_that_are_no_text_spoil_their_own_object_only(self):
+    def test_invalid_utf8_affects_only_its_own_object(self):
         spec = {**ENTRY, 'zone': 'hall-MARK'}
         text = json.dumps(
             {
--- a/skylarkfold/tests/platform/test_objects.py
+++ b/skylarkfold/tests/platform/test_objects.py
@@ -1,4 +1,4 @@
-"""Tests of the store's objects, with any shape."""
+"""Tests of decoding the store's objects and responses."""
 
 import copy
 import json
@@ -81,7 +81,7 @@
 
 
 class ObjectsTest(testtools.TestCase):
-    def test_routes_are_read(self):
+    def test_routes_are_decoded(self):
         routes = _objects.decode_routes([build_item(CONFIGURATION)])
         self.assertEqual(7, routes.version)
         self.assertEqual(15.0, routes.idle_seconds)
@@ -92,7 +92,7 @@
         other = routes.get(affinity.pack_address('198.18.0.2', 8080))
         self.assertFalse(other.is_idempotent)
 
-    def test_an_entry_is_read(self):
+    def test_entry_is_decoded(self):
         (upstream,) = _objects.UpstreamDecoder().decode(
             [build_item(ENTRY, 'i-007f3a91c2')]
         )
@@ -102,7 +102,7 @@
         self.assertEqual(2.0, upstream.warm_up_seconds)
         self.assertFalse(upstream.is_draining)
 
-    def test_only_what_has_changed_is_read_again(self):
+    def test_unchanged_entries_come_from_the_cache(self):
         decoder = _objects.UpstreamDecoder()
         first = items.build_item('i-1', 5, 3, ENTRY)
         second = items.build_item('i-2', 6, 4, ENTRY)
@@ -113,7 +113,7 @@
         self.assertIsNot(two, changed)
         self.assertTrue(changed.is_draining)
 
-    def test_a_number_that_is_given_out_again_is_no_known_form(self):
+    def test_same_revision_number_of_another_era_is_not_cached(self):
         decoder = _objects.UpstreamDecoder()
         decoder.decode([items.build_item('i-1', 5, 3, ENTRY, era=1)])
         leaving = {**ENTRY, 'state': 'draining'}
@@ -122,14 +122,14 @@
         self.assertTrue(upstream.is_draining)
         self.assertEqual(revisions.Revision(5, 2), upstream.revision)
 
-    def test_one_that_left_and_came_back_is_read_again(self):
+    def test_entry_that_was_deleted_and_recreated_is_decoded_again(self):
         decoder = _objects.UpstreamDecoder()
         decoder.decode([items.build_item('i-1', 5, 3, ENTRY)])
         self.assertEqual([], decoder.decode([]))
         (upstream,) = decoder.decode([items.build_item('i-1', 9, 8, ENTRY)])
         self.assertEqual(8, upstream.created)
 
-    def test_one_unusable_entry_does_not_hide_the_others(self):
+    def test_unusable_entry_does_not_affect_the_others(self):
         found = _objects.UpstreamDecoder().decode(
             [build_item({}, 'i-1'), build_item(ENTRY, 'i-2')]
         )
@@ -168,24 +168,24 @@
         reply = reactor.Reply(200, named, self.body)
         return _store._decode_reply(call, reply, self.input_errors)
 
-    def test_the_header_tells_the_era_of_all_that_is_in_the_answer(self):
+    def test_era_header_applies_to_all_revisions(self):
         answer = self.decode(store_era='3')
         self.assertEqual(revisions.Revision(9, 3), answer.revision)
         (item,) = answer.items
         self.assertEqual(revisions.Revision(5, 3), item.revision)
         self.assertEqual(revisions.Revision(3, 3), item.created)
 
-    def test_an_answer_that_tells_none_is_of_the_one_that_is_known(self):
+    def test_without_the_header_the_known_era_applies(self):
         answer = self.decode(known=2)
         self.assertEqual(revisions.Revision(9, 2), answer.revision)
 
-    def test_an_era_that_is_no_number_makes_the_answer_useless(self):
+    def test_invalid_era_makes_the_answer_unknown(self):
         for text in ('', 'two', '-1', '1.0', '²', '1' * 20):
             answer = self.decode(store_era=text)
             self.assertEqual(relay.Status.UNKNOWN, answer.status, text)
         self.assertEqual(6, self.input_errors.counters['unusable.answer'])
 
-    def test_the_store_is_asked_by_the_number_alone(self):
+    def test_request_path_has_the_number_without_the_era(self):
         call = relay.Call('servers', revisions.Revision(9, 3), '', 3.0, 3.5)
         self.assertEqual(
             '/objects/servers?watch=9&wait_ms=3000', _store._build_path(call)
@@ -197,7 +197,7 @@
         call = relay.Call('kind', None, '', 0.0, 1.0)
         return _store._decode(call, status, body)
 
-    def test_a_page_is_read(self):
+    def test_page_is_decoded(self):
         meta = {'name': 'i-1', 'rev': 5, 'create_rev': 3}
         body = {
             'items': [{'meta': meta, 'spec': ENTRY, 'status': None}],
@@ -211,14 +211,14 @@
         self.assertEqual('i-1', answer.items[0].path)
         self.assertEqual(3, answer.items[0].created)
 
-    def test_a_deletion_is_read(self):
+    def test_deletion_is_decoded(self):
         meta = {'name': 'i-1', 'rev': 5, 'create_rev': 3}
         event = {'object': {'meta': meta, 'spec': ENTRY}, 'deleted': True}
         body = {'events': [event], 'current_rev': 9}
         answer = self.decode(json.dumps(body).encode())
         self.assertIsNone(answer.items[0].value)
 
-    def test_statuses_are_told_apart(self):
+    def test_http_statuses_are_mapped(self):
         statuses = {
             status: self.decode(b'', status).status
             for status in (0, 410, 429, 503, 500)
--- a/skylarkfold/tests/platform/test_packet.py
+++ b/skylarkfold/tests/platform/test_packet.py
@@ -1,4 +1,4 @@
-"""Tests of the packet header, with the page's examples."""
+"""Tests of the packet codec, with the examples of the platform's docs."""
 
 import hypothesis
 from hypothesis import strategies
@@ -20,7 +20,7 @@
 
 
 class PacketTest(testtools.TestCase):
-    def test_the_example_is_read(self):
+    def test_example_packet_is_decoded(self):
         packet = _packet.decode(FIRST)
         self.assertEqual(
             '100.64.0.7:40001>198.18.0.1:443',
@@ -32,7 +32,7 @@
             affinity.pack_address('198.18.0.1', 443), packet.address
         )
 
-    def test_the_example_of_a_reset_is_written(self):
+    def test_example_reset_is_encoded(self):
         packet = _packet.decode(FIRST)
         data, caller = _packet.encode_reset(packet.flow, 0, 8172)
         self.assertEqual(RESET, data)
--- a/skylarkfold/tests/platform/test_processes.py
+++ b/skylarkfold/tests/platform/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes over loopback: open, carry, drain, replace, restart."""
+"""Tests of instances as processes on the loopback interface."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 from skylarkfold.soak import _world
 from skylarkfold.standin import packets
 
-# No assertion depends on it: it bounds a run that hangs.
+# Limits a run that hangs.
 LONGEST_SECONDS = 60.0
 
 
@@ -28,7 +28,7 @@
         )
         self.addCleanup(self.world.end)
         self.limit = self.world.loop.now() + LONGEST_SECONDS
-        # Nobody reads what this instance writes.
+        # The output of this instance is never read.
         unread, output = os.pipe()
         self.addCleanup(os.close, unread)
         self.addCleanup(os.close, output)
@@ -38,7 +38,7 @@
         self.caller = self.world.callers[0]
 
     def run_until(self, condition):
-        """Run until a condition holds, within bounds."""
+        """Run the loop until a condition holds or time is up."""
 
         def look():
             if condition() or self.world.loop.now() > self.limit:
@@ -68,7 +68,7 @@
         address, _, _ = _world.ROUTES[0]
         return self.caller.open(address)
 
-    def test_a_flow_is_carried_through_a_restart_of_everything(self):
+    def test_flow_survives_a_restart_of_all_instances(self):
         self.wait_for_rotation()
         flow = self.open()
         self.assertEqual(packets.ANSWERED, self.ask(flow).outcome)
@@ -78,7 +78,7 @@
         self.assertEqual('desk', again.answer)
         self.assertEqual([], flow.resets)
 
-    def test_a_drained_upstream_keeps_its_flows_and_gets_no_new_one(self):
+    def test_draining_upstream_keeps_flows_and_gets_no_new_ones(self):
         self.wait_for_rotation()
         flow = self.open()
         self.ask(flow)
@@ -101,7 +101,7 @@
         flow.finish()
         return self.world.find_upstream(flow.upstream_echo)
 
-    def test_an_address_that_changes_hands_ends_the_old_flows(self):
+    def test_flows_are_reset_when_an_address_is_reused(self):
         self.wait_for_rotation()
         flow = self.open()
         self.ask(flow)
@@ -113,7 +113,7 @@
         self.assertEqual('reset', exchange.outcome)
         self.assertEqual([], new.runs)
 
-    def test_a_planned_stop_loses_no_request(self):
+    def test_graceful_shutdown_loses_no_request(self):
         self.wait_for_rotation()
         self.world.instances[0].send(signal.SIGTERM)
         flows = [self.open() for _ in range(10)]
@@ -122,7 +122,7 @@
                 self.assertEqual(packets.ANSWERED, self.ask(flow).outcome)
         self.assertEqual([], self.world.instances[0].own_ends)
 
-    def test_a_torn_settings_file_keeps_the_last_good_one(self):
+    def test_truncated_settings_file_keeps_the_previous_settings(self):
         self.wait_for_rotation()
         instance = self.world.instances[0]
         instance.tear_settings(30.0)
@@ -142,7 +142,7 @@
         self.assertEqual(200, reply.status)
         return reply.body.decode()
 
-    def test_metrics_show_what_was_done(self):
+    def test_metrics_count_placed_flows(self):
         self.wait_for_rotation()
         for _ in range(5):
             self._open_once()
@@ -158,7 +158,7 @@
         )
         self.assertEqual(5, sum(int(each) for each in placed))
 
-    def test_callers_have_shares_from_when_settings_ask_for_them(self):
+    def test_shares_are_enabled_by_reloaded_settings(self):
         self.wait_for_rotation()
         instance = self.world.instances[0]
         address = instance.metrics_address
@@ -168,10 +168,10 @@
         instance._path.write_text(json.dumps(settings))
         self.run_until(lambda: '"reason":"reloaded"' in instance.read_log())
         self.assertIn('skylarkfold_services_short 0', self.fetch(address))
-        # What can't be used is named, and changes nothing.
-        own = json.loads(instance._own_path.read_text())
-        own['shares'] = {'weights': {'192.0.2.0/24': 0}}
-        instance._own_path.write_text(json.dumps(own))
+        # Invalid settings are logged and change nothing.
+        forwarder_settings = json.loads(instance._own_path.read_text())
+        forwarder_settings['shares'] = {'weights': {'192.0.2.0/24': 0}}
+        instance._own_path.write_text(json.dumps(forwarder_settings))
         instance.send(signal.SIGHUP)
         place = '$.shares.weights.192.0.2.0/24'
         self.run_until(lambda: place in instance.read_log())
@@ -180,11 +180,11 @@
             self.assertEqual(packets.ANSWERED, self.ask(self.open()).outcome)
         self.assertEqual([], instance.own_ends)
 
-    def test_lines_that_nobody_reads_hold_up_nothing(self):
+    def test_unread_log_does_not_block_the_instance(self):
         self.wait_for_rotation()
         (caller,) = [each for each in self.world.callers if each.zone == 'b']
         address, _, _ = _world.ROUTES[0]
-        # Some hundred lines of some hundred bytes fill a pipe.
+        # A few hundred lines fill the pipe.
         for _ in range(600):
             caller.open(address).finish()
         flow = caller.open(address)
@@ -192,7 +192,7 @@
         text = self.fetch(self.world.instances[2].metrics_address)
         self.assertIn('skylarkfold_ready 1', text)
 
-    def test_a_flow_s_story_can_be_told_from_the_logs(self):
+    def test_history_of_a_flow_is_built_from_logs(self):
         self.wait_for_rotation()
         flow = self.open()
         self.ask(flow)
--- a/skylarkfold/tests/platform/test_restored_store.py
+++ b/skylarkfold/tests/platform/test_restored_store.py
@@ -1,7 +1,6 @@
-"""New and open flows while the store has come back from an older copy.
+"""Tests of new and open flows after the store was restored from a copy.
 
-Instances with all their decisions on a virtual clock; the store's objects are
-the platform's.
+Several instances run on a virtual clock with objects in the platform's format.
 """
 
 import testtools
@@ -38,7 +37,7 @@
 
 
 class Fleet(fleet_module.Fleet):
-    """Instances that put what they learn in force."""
+    """Instances that apply the changes of their topics."""
 
     def __init__(self):
         settings = build_settings()
@@ -67,22 +66,22 @@
 
     def perform(self, name, effects):
         super().perform(name, effects)
-        for wanted in effects:
-            if isinstance(wanted, relay.TopicChanged):
-                found = self.cores[name].list_items(wanted.topic)
-                self.take(
+        for effect in effects:
+            if isinstance(effect, relay.TopicChanged):
+                found = self.cores[name].list_items(effect.topic)
+                self.record_effects(
                     self.topic_applier.apply(
-                        self.now, wanted.topic, found, self.flows[name]
+                        self.now, effect.topic, found, self.flows[name]
                     )
                 )
 
-    def take(self, effects):
-        """Keep what the decisions on flows bring about."""
+    def record_effects(self, effects):
+        """Record the effects of the affinity cores."""
         self.effects += effects
         return effects
 
 
-class ReturnTest(testtools.TestCase):
+class RestoredStoreTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.fleet = Fleet()
@@ -135,11 +134,11 @@
             },
         )
 
-    def come_back(self):
-        """Have the store come back from the copy, and all know it."""
+    def restore_store(self):
+        """Restore the store from the copy; wait until all instances know."""
         self.fleet.run(HEARD_SECONDS)
         self.fleet.is_store_down = True
-        # No watch of before is under way any more.
+        # By then, no earlier watch is pending.
         self.fleet.run(AWAY_SECONDS)
         self.store.restore(self.saved)
         self.fleet.is_store_down = False
@@ -151,7 +150,7 @@
         self.assertEqual({2}, eras)
 
     def open_flows(self, count=12):
-        """Open flows at all instances; list the upstreams that get them."""
+        """Open flows at all instances; return the upstreams they reach."""
         used = set()
         for core in self.fleet.flows.values():
             for _ in range(count):
@@ -161,7 +160,7 @@
         return used
 
     def open_flow(self, name):
-        """Open a flow that an upstream has; give its port and instance."""
+        """Open a flow to an upstream; return instance, port and token."""
         for instance, core in self.fleet.flows.items():
             for _ in range(20):
                 port = next(self.ports)
@@ -178,17 +177,17 @@
     def list_versions(self):
         return {core.version for core in self.fleet.flows.values()}
 
-    def test_one_that_leaves_gets_no_new_flow_through_the_return(self):
+    def test_draining_upstream_gets_no_new_flows(self):
         self.register('i-0a1', state='draining')
-        self.come_back()
+        self.restore_store()
         for _ in range(8):
             self.assertEqual({'i-0a2'}, self.open_flows())
             self.fleet.run(0.5)
 
-    def test_one_that_has_not_written_again_that_it_leaves_ends(self):
-        # Its process has ended; the store removes what it had of it.
+    def test_draining_upstream_that_never_writes_again_lapses(self):
+        # The process has ended, so the store deletes its restored entry.
         self.register('i-0a1', state='draining')
-        self.come_back()
+        self.restore_store()
         self.fleet.run(2.6)
         self.store.put(SERVERS, 'i-0a1', None)
         self.fleet.run(HEARD_SECONDS)
@@ -196,18 +195,18 @@
             standing = core.directory.get('i-0a1')
             self.assertIsNotNone(standing.lapsed_at)
 
-    def test_one_that_serves_on_is_taken_at_its_word(self):
+    def test_upstream_that_stopped_draining_gets_new_flows(self):
         self.register('i-0a1', state='draining')
-        self.come_back()
+        self.restore_store()
         self.register('i-0a1')
         self.fleet.run(HEARD_SECONDS)
         self.assertEqual({'i-0a1', 'i-0a2'}, self.open_flows())
 
-    def test_one_that_the_copy_lacks_keeps_its_flows_and_gets_new_ones(self):
+    def test_upstream_missing_in_the_copy_stays_in_use(self):
         self.register('i-0a3')
         self.fleet.run(HEARD_SECONDS)
         instance, port, token = self.open_flow('i-0a3')
-        self.come_back()
+        self.restore_store()
         self.assertIn('i-0a3', self.open_flows())
         packet = samples.build_packet(port, token, sequence=102)
         effects = self.fleet.flows[instance].handle_packet(
@@ -224,25 +223,25 @@
         ]
         self.assertEqual([], lapses)
 
-    def test_a_start_that_the_copy_has_not_heard_of_keeps_its_flows(self):
+    def test_restarted_upstream_older_in_the_copy_keeps_its_flows(self):
         self.register('i-0a1', born=BORN + 9000)
         self.fleet.run(HEARD_SECONDS)
         self.fleet.run(8.0)
         self.open_flow('i-0a1')
         self.fleet.effects.clear()
-        self.come_back()
+        self.restore_store()
         self.register('i-0a1', born=BORN + 9000)
         self.fleet.run(8.0)
         self.assertEqual([], samples.list_resets(self.fleet.effects))
 
-    def test_a_gone_one_does_not_take_back_its_address(self):
+    def test_removed_upstream_does_not_regain_its_address(self):
         self.store.put(SERVERS, 'i-0a1', None)
         self.fleet.run(HEARD_SECONDS)
         self.register('i-0b1', address='10.0.0.161:8080')
         self.fleet.run(HEARD_SECONDS)
         self.open_flow('i-0b1')
         self.fleet.effects.clear()
-        self.come_back()
+        self.restore_store()
         used = self.open_flows()
         self.assertNotIn('i-0a1', used)
         self.assertIn('i-0b1', used)
@@ -250,10 +249,10 @@
         self.fleet.run(4.0)
         self.assertEqual([], samples.list_resets(self.fleet.effects))
 
-    def test_routes_don_t_go_back(self):
+    def test_routes_keep_the_highest_version(self):
         self.configure(5)
         self.configure(8, (PORT, 8443))
-        self.come_back()
+        self.restore_store()
         self.assertEqual({8}, self.list_versions())
         for version in (5, 8):
             self.configure(version)
@@ -263,9 +262,9 @@
         self.fleet.run(HEARD_SECONDS)
         self.assertEqual({9}, self.list_versions())
 
-    def test_routes_that_are_gone_for_good_end(self):
+    def test_lost_routes_expire(self):
         self.configure(8)
-        self.come_back()
+        self.restore_store()
         self.fleet.run(15.0 + HEARD_SECONDS)
         self.assertEqual({3}, self.list_versions())
 
@@ -275,11 +274,11 @@
             for core in self.fleet.flows.values()
         }
 
-    def test_an_evacuated_zone_stays_so_until_it_is_written_again(self):
+    def test_zone_stays_evacuated_until_the_entry_is_rewritten(self):
         self.register('i-0a4')
         self.saved = self.store.copy()
         self.store.put(EVACUATIONS, samples.ZONE, {})
-        self.come_back()
+        self.restore_store()
         self.assertEqual({3}, self.list_evacuated())
         self.store.put(EVACUATIONS, samples.ZONE, {})
         self.fleet.run(16.0)
@@ -288,29 +287,29 @@
         self.fleet.run(HEARD_SECONDS)
         self.assertEqual({0}, self.list_evacuated())
 
-    def test_one_that_is_never_written_again_ends(self):
+    def test_lost_evacuation_expires(self):
         self.store.put(EVACUATIONS, samples.ZONE, {})
-        self.come_back()
+        self.restore_store()
         self.assertEqual({2}, self.list_evacuated())
         self.fleet.run(10.0)
         self.assertEqual({2}, self.list_evacuated())
         self.fleet.run(5.0 + HEARD_SECONDS)
         self.assertEqual({0}, self.list_evacuated())
 
-    def test_a_zone_that_was_taken_back_stays_in_use(self):
+    def test_ended_evacuation_is_not_restored(self):
         self.store.put(EVACUATIONS, samples.ZONE, {})
         self.fleet.run(HEARD_SECONDS)
         self.saved = self.store.copy()
         self.store.put(EVACUATIONS, samples.ZONE, None)
-        self.come_back()
+        self.restore_store()
         self.assertEqual({0}, self.list_evacuated())
 
-    def test_one_that_is_evacuated_anew_is_emptied_at_once(self):
+    def test_new_evacuation_applies_at_once(self):
         self.store.put(EVACUATIONS, samples.ZONE, {})
         self.fleet.run(HEARD_SECONDS)
         self.saved = self.store.copy()
         self.store.put(EVACUATIONS, samples.ZONE, None)
-        self.come_back()
+        self.restore_store()
         self.store.put(EVACUATIONS, samples.ZONE, None)
         self.store.put(EVACUATIONS, samples.ZONE, {})
         self.fleet.run(HEARD_SECONDS)
--- a/skylarkfold/tests/platform/test_settings.py
+++ b/skylarkfold/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file that the platform fills in."""
+"""Tests of the settings file that the platform generates."""
 
 import json
 import pathlib
@@ -49,7 +49,7 @@
         self.addCleanup(scratch.cleanup)
         return pathlib.Path(scratch.name)
 
-    def test_the_template_translates_all_names(self):
+    def test_template_maps_all_fields(self):
         settings = self.read(build_fields())
         self.assertEqual('one', settings.name)
         self.assertEqual('a', settings.zone)
@@ -63,7 +63,7 @@
         self.assertEqual(6.0, settings.grace_seconds)
         self.assertEqual(60.0, settings.flow_seconds)
 
-    def test_what_the_platform_leaves_out_has_its_default(self):
+    def test_missing_fields_have_defaults(self):
         fields = build_fields()
         del fields['bounds'], fields['limits'], fields['seeds']
         settings = self.read(fields)
@@ -71,7 +71,7 @@
         self.assertEqual(60.0, settings.flow_seconds)
         self.assertEqual(1.0, settings.cores)
 
-    def test_zones_and_bounds_are_translated(self):
+    def test_zones_and_bounds_are_mapped(self):
         fields = build_fields()
         fields['bounds'] = {
             'evacuate_ms': 4000,
@@ -88,7 +88,7 @@
         self.assertEqual(5.0, settings.change_seconds)
         self.assertEqual(15.0, settings.disturbed_seconds)
 
-    def test_what_is_not_bounded_is_not_followed(self):
+    def test_features_without_bounds_are_disabled(self):
         fields = build_fields()
         del fields['bounds'], fields['zones']
         settings = self.read(fields)
@@ -102,7 +102,7 @@
         self.assertFalse(forwarder_settings.affinity.follows_evacuations)
         self.assertFalse(forwarder_settings.affinity.limits_warm_up)
 
-    def test_the_term_in_force_asks_for_callers_shares(self):
+    def test_pressure_term_enables_shares(self):
         fields = build_fields()
         self.assertEqual((), self.read(fields).terms)
         for terms, is_asked in (
@@ -118,12 +118,12 @@
             self.assertEqual(tuple(terms or ()), settings.terms)
             self.assertEqual(is_asked, adapter.asks_for_shares(settings))
 
-    def test_a_machine_without_a_share_is_said(self):
+    def test_cpu_share_of_several_cores(self):
         fields = build_fields()
         fields['limits'] = {'cpu_share': 0.25, 'cores': 2}
         self.assertEqual(0.5, self.read(fields).cores)
 
-    def test_errors_name_the_place(self):
+    def test_errors_have_the_field_path(self):
         whole = json.loads(packets.fill(self.template, build_fields()))
         cases = {
             'name': 7,
@@ -157,7 +157,7 @@
         except errors.SettingsError as error:
             self.assertTrue(error.path.startswith('$'))
 
-    def test_a_file_cut_off_anywhere_is_an_error(self):
+    def test_truncated_file_is_an_error(self):
         text = packets.fill(self.template, build_fields())
         folder = self.make_folder()
         path = folder / 'settings'
@@ -167,7 +167,7 @@
                 errors.SettingsError, machine.read_settings, str(path)
             )
 
-    def test_a_missing_template_is_said(self):
+    def test_missing_template_is_an_error(self):
         folder = self.make_folder()
         (folder / 'deploy').mkdir()
         path = folder / 'deploy' / 'system.toml'
--- a/skylarkfold/tests/platform/test_start.py
+++ b/skylarkfold/tests/platform/test_start.py
@@ -1,9 +1,7 @@
-"""What an instance has loaded when it says that it is ready.
+"""Tests of which modules an instance has imported when it becomes ready.
 
-Answers a restart of everything: callers come back at once, and until an
-instance is ready each of its milliseconds of processor time is up to eight
-of theirs. Modules are named instead of time, which no test can rely on:
-a library that is loaded for a small part of it shows here.
+Guards against slow starts. Import time itself can't be tested reliably, so the
+tests list the modules.
 """
 
 import os
@@ -19,10 +17,10 @@
 
 _ROOT = pathlib.Path(__file__).parent.parent.parent.parent
 _HOST = '127.0.0.29'
-# No assertion depends on it: it bounds a run that hangs.
+# Limits a run that hangs.
 _LONGEST_SECONDS = 60.0
 
-# Says what is loaded in place of the line that says that it is ready.
+# Prints the imported modules when the instance logs that it is ready.
 _PROGRAM = """
 import os
 from skylarkfold import deferred_log
@@ -37,8 +35,7 @@
 sys.exit(__main__.main())
 """
 
-# Each takes as long as many of ours, and nothing needs it until callers are
-# served.
+# Slow imports that must not happen before callers are served.
 _LATER = (
     'asyncio',
     'contextlib',
@@ -55,8 +52,8 @@
     'typing',
     'warnings',
 )
-# All that may be there beside what is ours, with parts of packages and what
-# is written in C under a library's name. Whatever comes is to be weighed.
+# The libraries that may be imported by then, with their uses. Entries also
+# cover C modules of that name with leading underscores.
 _NEEDED = {
     '__future__': 'the language',
     '_json': 'objects and settings',
@@ -111,7 +108,7 @@
         )
 
     def list_loaded(self):
-        """Start an instance and list what it has loaded once it is ready."""
+        """Start an instance; return the modules imported when it is ready."""
         environment = dict(
             os.environ,
             SKYLARKFOLD_CONFIG=str(self.path),
@@ -135,12 +132,12 @@
         return process.stdout.read().decode().split()
 
     def list_bare(self):
-        """List what the interpreter itself has loaded."""
+        """Return the modules that the bare interpreter imports."""
         command = [sys.executable, '-S', '-c', _INTERPRETER]
         found = subprocess.run(command, capture_output=True, check=True)
         return found.stdout.decode().split()
 
-    def test_no_library_is_loaded_unseen(self):
+    def test_only_known_libraries_are_imported(self):
         names = set(self.list_loaded()) - set(self.list_bare())
         libraries = {each.partition('.')[0] for each in names}
         libraries.discard('skylarkfold')
@@ -153,7 +150,7 @@
         }
         self.assertEqual(set(), unseen)
 
-    def test_what_is_not_needed_for_the_first_packet_is_loaded_later(self):
+    def test_slow_libraries_are_imported_later(self):
         loaded = self.list_loaded()
         self.assertIn('skylarkfold.forwarder._daemon', loaded)
         self.assertEqual([], [each for each in _LATER if each in loaded])
--- a/skylarkfold/tests/reactor/test_http.py
+++ b/skylarkfold/tests/reactor/test_http.py
@@ -4,7 +4,7 @@
 
 from skylarkfold import reactor
 
-# Longer than any test runs.
+# Longer than any test.
 LONG_SECONDS = 600.0
 GIVE_UP_SECONDS = 20.0
 
@@ -42,21 +42,21 @@
         self.loop.run()
         return self.answers[-1]
 
-    def test_a_connection_in_use_is_kept(self):
+    def test_connection_in_use_is_reused(self):
         client = self.build_client(LONG_SECONDS)
         self.assertEqual((200, b'ok'), self.ask(client))
         self.assertEqual((200, b'ok'), self.ask(client))
         self.assertEqual(1, len(self.streams))
 
-    def test_a_connection_that_idled_is_not_trusted(self):
-        # It may have fallen silent meanwhile, which nothing shows.
+    def test_idle_connection_is_opened_again(self):
+        # An idle connection may be dead without notice.
         client = self.build_client(0.0)
         self.ask(client)
         self.streams[0].on_data = lambda _: None
         self.assertEqual((200, b'ok'), self.ask(client))
         self.assertEqual(2, len(self.streams))
 
-    def test_one_that_does_not_answer_is_given_up(self):
+    def test_request_without_a_reply_times_out(self):
         client = self.build_client(LONG_SECONDS)
         answer, self.answer = self.answer, b''
         self.assertEqual((0, b''), self.ask(client, 0.05))
@@ -64,12 +64,12 @@
         self.assertEqual((200, b'ok'), self.ask(client))
         self.assertEqual(2, len(self.streams))
 
-    def test_what_is_no_http_is_no_answer(self):
+    def test_malformed_response_fails_the_request(self):
         client = self.build_client(LONG_SECONDS)
         self.answer = b'nonsense\r\n\r\n'
         self.assertEqual((0, b''), self.ask(client))
 
-    def test_an_answer_that_ends_early_is_no_answer(self):
+    def test_truncated_response_fails_the_request(self):
         client = self.build_client(LONG_SECONDS)
         self.answer = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok'
 
@@ -88,7 +88,7 @@
         self.addCleanup(client.close)
         self.assertEqual((0, b''), self.ask(client))
 
-    def test_a_server_answers_by_path(self):
+    def test_server_handles_the_path(self):
         server = reactor.HttpServer(
             self.loop, ('127.0.0.1', 0), lambda path: (200, path.encode())
         )
--- a/skylarkfold/tests/reactor/test_loop.py
+++ b/skylarkfold/tests/reactor/test_loop.py
@@ -14,11 +14,11 @@
         self.loop = reactor.Loop()
 
     def run_until_stopped(self):
-        # Bounded, so that a fault fails the test instead of hanging it.
+        # Bounded, so that a fault does not hang the test.
         self.loop.call_later(10.0, self.loop.stop)
         self.loop.run()
 
-    def test_timers_are_called_in_order(self):
+    def test_timers_run_in_order(self):
         called = []
         self.loop.call_later(0.02, self.loop.stop)
         self.loop.call_later(0.01, lambda: called.append('second'))
@@ -28,15 +28,15 @@
         self.run_until_stopped()
         self.assertEqual(['first', 'second'], called)
 
-    def test_a_failing_callback_does_not_end_the_loop(self):
+    def test_exception_in_a_callback_does_not_stop_the_loop(self):
         self.loop.call_later(0.0, lambda: 1 / 0)
         self.loop.call_later(0.01, self.loop.stop)
         self.run_until_stopped()
         self.assertEqual(1, self.loop.failures)
 
-    def test_what_arrived_goes_before_a_timer_that_fell_due_meanwhile(self):
-        # A callback that takes long must not make a time-out fire whose
-        # answer is already there.
+    def test_received_data_is_handled_before_timers_due_meanwhile(self):
+        # After a slow callback, a timeout must not fire if the awaited data
+        # has already arrived.
         receiver, sender = socket.socketpair()
         self.addCleanup(receiver.close)
         self.addCleanup(sender.close)
@@ -59,7 +59,7 @@
 
 
 class CancelTest(testtools.TestCase):
-    def test_a_timer_that_was_cancelled_wakes_nobody(self):
+    def test_cancelled_timer_does_not_wake_the_loop(self):
         loop = reactor.Loop()
         self.addCleanup(loop.close)
         first = loop.call_later(5.0, loop.stop)
@@ -89,7 +89,7 @@
         self.run_until_stopped()
         client.close()
 
-    def test_a_server_answers_a_client(self):
+    def test_server_replies_to_a_client(self):
         paths = []
 
         def answer(path):
@@ -114,28 +114,28 @@
         self.addCleanup(listener.close)
         return listener.address
 
-    def test_a_server_that_is_not_there_gives_no_answer(self):
+    def test_refused_connection_fails_the_request(self):
         unused = socket.socket()
         unused.bind(('127.0.0.1', 0))
         self.addCleanup(unused.close)
         self.ask(unused.getsockname())
         self.assertEqual([(0, b'')], self.answers)
 
-    def test_nonsense_is_no_answer(self):
+    def test_malformed_response_fails_the_request(self):
         self.ask(self.listen(b'\x00\x01nonsense\r\n\r\n'))
         self.assertEqual([(0, b'')], self.answers)
 
-    def test_an_answer_that_ends_early_is_none(self):
+    def test_truncated_response_fails_the_request(self):
         reply = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
         self.ask(self.listen(reply))
         self.assertEqual([(0, b'')], self.answers)
 
-    def test_an_answer_too_many_belongs_to_nothing(self):
+    def test_surplus_response_is_discarded(self):
         one = b'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n'
         self.ask(self.listen(one + b'a' + one + b'b'))
         self.assertEqual([(200, b'a')], self.answers)
 
-    def test_silence_ends_with_the_time_out(self):
+    def test_silent_server_times_out(self):
         silent = reactor.Listener(
             self.loop, ('127.0.0.1', 0), lambda stream: None
         )
@@ -143,7 +143,7 @@
         self.ask(silent.address, timeout_seconds=0.05)
         self.assertEqual([(0, b'')], self.answers)
 
-    def test_a_request_of_nonsense_ends_its_connection_only(self):
+    def test_malformed_request_closes_only_its_connection(self):
         server = reactor.HttpServer(
             self.loop, ('127.0.0.1', 0), lambda path: (200, b'')
         )
