--- a/skylarkfold/forwarder/_retention_policy.py
+++ b/skylarkfold/forwarder/_retention_policy.py
@@ -60,28 +60,32 @@
     ) -> float:
         # Fresh objects are compared as well: an operator may write all lost
         # versions again, one after the other.
-        known = self._platform.read_version(former)
-        if known is None:
+        former_version = self._platform.read_version(former)
+        if former_version is None:
             return 0.0
         version = self._platform.read_version(current)
-        if version is not None and version >= known:
+        if version is not None and version >= former_version:
             return 0.0
         return self._relay.lasting_seconds
 
     def _compare_upstreams(
         self, former: relay.Item, current: relay.Item, is_fresh: bool
     ) -> float:
-        known = self._platform.decode_upstream(former)
-        if known is None or is_fresh:
+        former_upstream = self._platform.decode_upstream(former)
+        if former_upstream is None or is_fresh:
             return 0.0
         upstream = self._platform.decode_upstream(current)
         if upstream is None:
             return self._relay.rewrite_seconds
-        if not upstream.is_same_start(known):
-            is_later = (upstream.born or 0) > (known.born or 0)
+        if not upstream.is_same_start(former_upstream):
+            is_later = (upstream.born or 0) > (former_upstream.born or 0)
             return 0.0 if is_later else self._relay.rewrite_seconds
-        is_older = upstream.sequence <= known.sequence
-        if known.is_draining and not upstream.is_draining and is_older:
+        has_older_sequence = upstream.sequence <= former_upstream.sequence
+        if (
+            former_upstream.is_draining
+            and not upstream.is_draining
+            and has_older_sequence
+        ):
             # An upstream that is gone has expired by then.
             return self._entry_seconds
         return 0.0
--- a/skylarkfold/platform/check.py
+++ b/skylarkfold/platform/check.py
@@ -26,8 +26,11 @@
     :raises UsageError: if the kind is unknown.
     """
     if kind == 'own':
-        own = forwarder.read_forwarder_settings(path)
-        return f'valid own settings, metrics at port {own.metrics_port}'
+        forwarder_settings = forwarder.read_forwarder_settings(path)
+        return (
+            'valid own settings, '
+            f'metrics at port {forwarder_settings.metrics_port}'
+        )
     if kind == 'platform':
         settings = machine.read_settings(path)
         return f'valid platform settings of {settings.name}'
@@ -64,11 +67,11 @@
     if not template or not (root / template).is_file():
         reason = 'it names no template of this repository'
         raise errors.SettingsError(reason, path, f'{field_path}.template')
-    own = command[command.index(program) + 1 :]
+    arguments = command[command.index(program) + 1 :]
     metrics = str(role.get('metrics', ''))
     settings = forwarder.ForwarderSettings()
-    if own:
-        settings = forwarder.read_forwarder_settings(str(root / own[0]))
+    if arguments:
+        settings = forwarder.read_forwarder_settings(str(root / arguments[0]))
     port = metrics.partition('/')[0]
     if metrics and port != str(settings.metrics_port):
         reason = f'own settings have port {settings.metrics_port}'
--- a/skylarkfold/reactor/_loop.py
+++ b/skylarkfold/reactor/_loop.py
@@ -168,11 +168,11 @@
             # iteration, since the data that they guard may have arrived.
             due = self._pop_due_timers()
             watched = [
-                (*self._callbacks_by_descriptor[at], found)
-                for at, found in ready
+                (*self._callbacks_by_descriptor[at], reported)
+                for at, reported in ready
             ]
-            for events, callback, found in watched:
-                self._run_callback(callback, _filter_events(events, found))
+            for events, callback, reported in watched:
+                self._run_callback(callback, _filter_events(events, reported))
             for timer in due:
                 if timer.callback is not None:
                     self._run_callback(timer.callback)
@@ -210,17 +210,17 @@
         self._epoll.close()
 
 
-def _filter_events(wanted: int, found: int) -> int:
+def _filter_events(watched: int, reported: int) -> int:
     """Return the events to pass to a callback.
 
-    :param wanted: the events that are watched.
-    :param found: the events reported by epoll; on an error or a hang-up, all
-        watched events are passed.
+    :param watched: the events that are watched.
+    :param reported: the events reported by epoll; on an error or a hang-up,
+        all watched events are passed.
     :returns: the events.
     """
-    if found & ~(READ | WRITE):
-        return wanted
-    return wanted & found
+    if reported & ~(READ | WRITE):
+        return watched
+    return watched & reported
 
 
 def _ignore_signal(_number: int, _frame: object) -> None:
--- a/skylarkfold/tests/platform/test_views.py
+++ b/skylarkfold/tests/platform/test_views.py
@@ -1,8 +1,8 @@
-"""Views of the store on several instances against an oracle.
+"""Stateful test of the instances' views of the store against a model.
 
-Upstreams start, crash, start again under their names and lapse; another
-writer leaves entries of its own; instances hear of it all from listings,
-events and one another, in any order.
+Upstreams start, crash, restart and lapse, and another program writes faulty
+entries. Instances learn of that from listings, events and each other, in any
+order, and must end with the same view and never misdirect a packet.
 """
 
 import itertools
@@ -25,12 +25,12 @@
 INSTANCE = strategies.sampled_from(INSTANCES)
 NAMES = ('i-a1', 'i-a2', 'i-a3')
 ADDRESSES = tuple(f'10.0.0.{number}:80' for number in range(1, 5))
-# Entries of one name each; the last one is an upstream's own.
+# Names under which another program writes; the last is an upstream's.
 FOREIGN_NAMES = ('i-f1', 'i-0x_f2', 'i-0', NAMES[0])
-# The store removes an entry so long after the last word of its process.
+# The store deletes an entry this long after the last write of its process.
 LAPSE_SECONDS = 4.6
 STEP_SECONDS = 0.5
-# Every so many steps callers open flows and send on them.
+# The number of steps between two rounds of traffic.
 TRAFFIC_STEPS = 4
 REQUEST_BYTES = 100
 
@@ -57,7 +57,7 @@
 
 
 class Flow:
-    """A caller's flow and the start that holds it."""
+    """A caller's flow and the upstream process that holds it."""
 
     def __init__(self, number):
         self.number = number
--- a/skylarkfold/tests/reactor/test_http.py
+++ b/skylarkfold/tests/reactor/test_http.py
@@ -15,8 +15,8 @@
         self.loop = reactor.Loop()
         self.addCleanup(self.loop.close)
         self.streams = []
-        self.answers = []
-        self.answer = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+        self.replies = []
+        self.response = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
         self.listener = reactor.Listener(
             self.loop, ('127.0.0.1', 0), self.accept
         )
@@ -24,7 +24,7 @@
 
     def accept(self, stream):
         self.streams.append(stream)
-        stream.on_data = lambda _: stream.write(self.answer)
+        stream.on_data = lambda _: stream.write(self.response)
 
     def build_client(self, idle_seconds):
         client = reactor.HttpClient(
@@ -33,49 +33,49 @@
         self.addCleanup(client.close)
         return client
 
-    def ask(self, client, timeout_seconds=GIVE_UP_SECONDS):
-        def answered(reply):
-            self.answers.append((reply.status, reply.body))
+    def send_request(self, client, timeout_seconds=GIVE_UP_SECONDS):
+        def on_reply(reply):
+            self.replies.append((reply.status, reply.body))
             self.loop.stop()
 
-        client.request('GET', '/', b'', timeout_seconds, answered)
+        client.request('GET', '/', b'', timeout_seconds, on_reply)
         self.loop.run()
-        return self.answers[-1]
+        return self.replies[-1]
 
     def test_connection_in_use_is_reused(self):
         client = self.build_client(LONG_SECONDS)
-        self.assertEqual((200, b'ok'), self.ask(client))
-        self.assertEqual((200, b'ok'), self.ask(client))
+        self.assertEqual((200, b'ok'), self.send_request(client))
+        self.assertEqual((200, b'ok'), self.send_request(client))
         self.assertEqual(1, len(self.streams))
 
     def test_idle_connection_is_opened_again(self):
         # An idle connection may be dead without notice.
         client = self.build_client(0.0)
-        self.ask(client)
+        self.send_request(client)
         self.streams[0].on_data = lambda _: None
-        self.assertEqual((200, b'ok'), self.ask(client))
+        self.assertEqual((200, b'ok'), self.send_request(client))
         self.assertEqual(2, len(self.streams))
 
     def test_request_without_a_reply_times_out(self):
         client = self.build_client(LONG_SECONDS)
-        answer, self.answer = self.answer, b''
-        self.assertEqual((0, b''), self.ask(client, 0.05))
-        self.answer = answer
-        self.assertEqual((200, b'ok'), self.ask(client))
+        response, self.response = self.response, b''
+        self.assertEqual((0, b''), self.send_request(client, 0.05))
+        self.response = response
+        self.assertEqual((200, b'ok'), self.send_request(client))
         self.assertEqual(2, len(self.streams))
 
     def test_malformed_response_fails_the_request(self):
         client = self.build_client(LONG_SECONDS)
-        self.answer = b'nonsense\r\n\r\n'
-        self.assertEqual((0, b''), self.ask(client))
+        self.response = b'nonsense\r\n\r\n'
+        self.assertEqual((0, b''), self.send_request(client))
 
     def test_truncated_response_fails_the_request(self):
         client = self.build_client(LONG_SECONDS)
-        self.answer = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok'
+        self.response = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok'
 
         def accept_and_end(stream):
             def end(_data):
-                stream.write(self.answer)
+                stream.write(self.response)
                 stream.finish()
 
             stream.on_data = end
@@ -86,7 +86,7 @@
         self.addCleanup(listener.close)
         client = reactor.HttpClient(self.loop, listener.address, LONG_SECONDS)
         self.addCleanup(client.close)
-        self.assertEqual((0, b''), self.ask(client))
+        self.assertEqual((0, b''), self.send_request(client))
 
     def test_server_handles_the_path(self):
         server = reactor.HttpServer(
@@ -95,4 +95,4 @@
         self.addCleanup(server.close)
         client = reactor.HttpClient(self.loop, server.address, LONG_SECONDS)
         self.addCleanup(client.close)
-        self.assertEqual((200, b'/'), self.ask(client))
+        self.assertEqual((200, b'/'), self.send_request(client))
--- a/skylarkfold/tests/reactor/test_loop.py
+++ b/skylarkfold/tests/reactor/test_loop.py
@@ -73,17 +73,17 @@
     def setUp(self):
         super().setUp()
         self.loop = reactor.Loop()
-        self.answers = []
+        self.replies = []
 
     def take(self, reply):
-        self.answers.append((reply.status, reply.body))
+        self.replies.append((reply.status, reply.body))
         self.loop.stop()
 
     def run_until_stopped(self):
         self.loop.call_later(10.0, self.loop.stop)
         self.loop.run()
 
-    def ask(self, address, timeout_seconds=5.0):
+    def send_request(self, address, timeout_seconds=5.0):
         client = reactor.HttpClient(self.loop, address)
         client.request('GET', '/ready?x=1', b'', timeout_seconds, self.take)
         self.run_until_stopped()
@@ -97,9 +97,9 @@
             return 200, b'body'
 
         server = reactor.HttpServer(self.loop, ('127.0.0.1', 0), answer)
-        self.ask(server.address)
+        self.send_request(server.address)
         server.close()
-        self.assertEqual([(200, b'body')], self.answers)
+        self.assertEqual([(200, b'body')], self.replies)
         self.assertEqual(['/ready'], paths)
 
     def listen(self, reply):
@@ -118,30 +118,30 @@
         unused = socket.socket()
         unused.bind(('127.0.0.1', 0))
         self.addCleanup(unused.close)
-        self.ask(unused.getsockname())
-        self.assertEqual([(0, b'')], self.answers)
+        self.send_request(unused.getsockname())
+        self.assertEqual([(0, b'')], self.replies)
 
     def test_malformed_response_fails_the_request(self):
-        self.ask(self.listen(b'\x00\x01nonsense\r\n\r\n'))
-        self.assertEqual([(0, b'')], self.answers)
+        self.send_request(self.listen(b'\x00\x01nonsense\r\n\r\n'))
+        self.assertEqual([(0, b'')], self.replies)
 
     def test_truncated_response_fails_the_request(self):
         reply = b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf'
-        self.ask(self.listen(reply))
-        self.assertEqual([(0, b'')], self.answers)
+        self.send_request(self.listen(reply))
+        self.assertEqual([(0, b'')], self.replies)
 
     def test_surplus_response_is_discarded(self):
         one = b'HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n'
-        self.ask(self.listen(one + b'a' + one + b'b'))
-        self.assertEqual([(200, b'a')], self.answers)
+        self.send_request(self.listen(one + b'a' + one + b'b'))
+        self.assertEqual([(200, b'a')], self.replies)
 
     def test_silent_server_times_out(self):
         silent = reactor.Listener(
             self.loop, ('127.0.0.1', 0), lambda stream: None
         )
         self.addCleanup(silent.close)
-        self.ask(silent.address, timeout_seconds=0.05)
-        self.assertEqual([(0, b'')], self.answers)
+        self.send_request(silent.address, timeout_seconds=0.05)
+        self.assertEqual([(0, b'')], self.replies)
 
     def test_malformed_request_closes_only_its_connection(self):
         server = reactor.HttpServer(
