--- a/skylarkfold/room/_gate.py
+++ b/skylarkfold/room/_admission.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Container
 
-from skylarkfold.room import _instance
+from skylarkfold.room import _headroom
 from skylarkfold.room import _packet
 from skylarkfold.room import _settings
 from skylarkfold.room import _transfer
-from skylarkfold.room import _transfers
-from skylarkfold.room import _waiting
+from skylarkfold.room import _transfer_tracker
+from skylarkfold.room import _wait_queue
 
 # How long its caller has waited when it sends a copy of a first packet: the
 # first one, and all later ones.
@@ -78,13 +78,15 @@
     def __init__(
         self,
         settings: _settings.RoomSettings,
-        room: _instance.InstanceHeadroom,
+        room: _headroom.InstanceHeadroom,
     ) -> None:
         self._settings = settings
         self._room = room
         self._queue_bytes = settings.queue_seconds * room.bytes_per_second
-        self._waiting = _waiting.Waiting()
-        self.transfers = _transfers.Transfers(settings, room.bytes_per_second)
+        self._waiting = _wait_queue.Waiting()
+        self.transfers = _transfer_tracker.Transfers(
+            settings, room.bytes_per_second
+        )
 
     @property
     def waiting_count(self) -> int:
@@ -132,7 +134,7 @@
         if wait > limit or is_full:
             return self._describe(now, BulkDecision.REFUSED, wait, limit)
         verdict = self._describe(now, BulkDecision.WAITS, wait, limit)
-        self._waiting.add(_waiting.Waiter(packet, size, now, now + limit))
+        self._waiting.add(_wait_queue.Waiter(packet, size, now, now + limit))
         return verdict
 
     def begin(self, now: float, packet: _packet.CallerPacket) -> None:
@@ -164,7 +166,7 @@
             self._waiting.remove(packet.flow)
         self.transfers.handle_packet(now, packet, address, is_start)
 
-    def pop_ready(self, now: float) -> _waiting.Waiter | None:
+    def pop_ready(self, now: float) -> _wait_queue.Waiter | None:
         """Take out the next first packet that is let in.
 
         :param now: the time.
@@ -176,7 +178,7 @@
             return None
         return self._waiting.pop_first()
 
-    def pop_late(self, now: float) -> _waiting.Waiter | None:
+    def pop_late(self, now: float) -> _wait_queue.Waiter | None:
         """Take out the next first packet that has waited for too long.
 
         :param now: the time.
@@ -186,7 +188,7 @@
             return None
         return self._waiting.pop_first()
 
-    def describe(self, now: float, waiter: _waiting.Waiter) -> BulkDecision:
+    def describe(self, now: float, waiter: _wait_queue.Waiter) -> BulkDecision:
         """Tell why one that has waited is refused.
 
         :param now: the time.
--- a/skylarkfold/shares/__init__.py
+++ b/skylarkfold/shares/__init__.py
@@ -5,16 +5,16 @@
 instances, as far as their words arrive. Pure decisions: time is an argument.
 """
 
-from skylarkfold.shares._callers import CallerShares
-from skylarkfold.shares._callers import Capacity
-from skylarkfold.shares._callers import hash_service
-from skylarkfold.shares._level import compute_fill_level
-from skylarkfold.shares._level import ShareRequest
+from skylarkfold.shares._caller_shares import CallerShares
+from skylarkfold.shares._caller_shares import Capacity
+from skylarkfold.shares._caller_shares import hash_service
+from skylarkfold.shares._demand_view import FleetSize
+from skylarkfold.shares._fill_level import compute_fill_level
+from skylarkfold.shares._fill_level import ShareRequest
 from skylarkfold.shares._network import Network
 from skylarkfold.shares._network import NetworkTable
+from skylarkfold.shares._over_share import OverShare
 from skylarkfold.shares._settings import SharesSettings
-from skylarkfold.shares._share import OverShare
-from skylarkfold.shares._view import FleetSize
 
 __all__ = [
     'CallerShares',
--- a/skylarkfold/shares/_callers.py
+++ b/skylarkfold/shares/_caller_shares.py
@@ -8,11 +8,11 @@
 import xxhash
 
 from skylarkfold.shares import _count
+from skylarkfold.shares import _demand_view
+from skylarkfold.shares import _kind_shares
+from skylarkfold.shares import _over_share
+from skylarkfold.shares import _report
 from skylarkfold.shares import _settings
-from skylarkfold.shares import _share
-from skylarkfold.shares import _shortage
-from skylarkfold.shares import _view
-from skylarkfold.shares import _word
 
 _MOST_WORD_BYTES = 4096
 # Callers that ask for more than this part of the level are named: neighbours
@@ -77,14 +77,14 @@
         self._counts = _count.CallerCounts(
             settings.callers, settings.window_seconds
         )
-        self._words = _view.PeerWords(settings.word_seconds)
-        self._fleet = _view.FleetSize(0, 1)
+        self._words = _demand_view.PeerWords(settings.word_seconds)
+        self._fleet = _demand_view.FleetSize(0, 1)
         # Slots and requests a second that were counted here, by service.
         self._own: dict[int, tuple[float, float]] = {}
         # Of services that are short of room.
-        self._shares: dict[int, dict[int, _shortage.KindShares]] = {}
+        self._shares: dict[int, dict[int, _kind_shares.KindShares]] = {}
         self._judged: dict[
-            tuple[_count.Kind, bytes], _share.OverShare | None
+            tuple[_count.Kind, bytes], _over_share.OverShare | None
         ] = {}
         self.demand = b''
         self.zone_demand = b''
@@ -122,7 +122,7 @@
 
     def check_share(
         self, now: float, service: int, priority: int, caller: bytes
-    ) -> _share.OverShare | None:
+    ) -> _over_share.OverShare | None:
         """Tell whether a caller is above its share.
 
         :param now: the time.
@@ -165,7 +165,7 @@
         """
         if not 0.0 <= age_seconds or len(data) > _MOST_WORD_BYTES:
             return False
-        word = _word.unpack(data)
+        word = _report.unpack(data)
         if word is None:
             return False
         if age_seconds <= self._settings.word_seconds:
@@ -178,7 +178,10 @@
         return {service for service, _ in kinds}
 
     def refresh(
-        self, now: float, rooms: Mapping[int, Capacity], fleet: _view.FleetSize
+        self,
+        now: float,
+        rooms: Mapping[int, Capacity],
+        fleet: _demand_view.FleetSize,
     ) -> None:
         """Work out the shares and what peers are told.
 
@@ -193,23 +196,23 @@
         self._fleet = fleet
         self._shares.clear()
         self._judged.clear()
-        word: _word.Word = {}
-        zone_word: _word.Word = {}
+        word: _report.Word = {}
+        zone_word: _report.Word = {}
         for service, views in self._list_views(now, rooms).items():
             room = rooms[service]
-            shares = _shortage.divide(views, room.slots, self._settings)
+            shares = _kind_shares.divide(views, room.slots, self._settings)
             demand = sum(view.all.total for view in views.values())
             if demand > self._settings.short_share * room.slots:
                 self._shares[service] = shares
             if self._must_tell(service, demand, room):
                 self._tell(service, shares, word, zone_word)
-        self.demand = _word.pack(word) if word and fleet.mates else b''
+        self.demand = _report.pack(word) if word and fleet.mates else b''
         is_far = fleet.zones > 1
         self.zone_demand = (
-            _word.pack(zone_word) if zone_word and is_far else b''
+            _report.pack(zone_word) if zone_word and is_far else b''
         )
         self.other_zones_at, elsewhere = self._words.sum_zones()
-        self.other_zones = _word.pack(elsewhere)
+        self.other_zones = _report.pack(elsewhere)
 
     def list_gauges(self) -> dict[str, float]:
         """List what is known now.
@@ -235,7 +238,7 @@
 
     def _list_views(
         self, now: float, rooms: Mapping[int, Capacity]
-    ) -> dict[int, dict[int, _view.KindView]]:
+    ) -> dict[int, dict[int, _demand_view.KindView]]:
         """View what is asked for of services that may be short of room."""
         heard = self._words.list_kinds()
         watched = {service for service, _ in heard}
@@ -252,14 +255,14 @@
         # The variance of a decaying count is that of a window twice as long
         # as its time constant.
         seconds = 2 * self._settings.window_seconds
-        views: dict[int, dict[int, _view.KindView]] = {}
+        views: dict[int, dict[int, _demand_view.KindView]] = {}
         for kind in kinds:
             service, priority = kind
             if rooms[service].slots <= 0.0:
                 continue
             slots, rate = self._counts.measure_kind(now, kind)
-            own = _word.Demand(slots, callers.get(kind, {}))
-            view = _view.KindView(
+            own = _report.Demand(slots, callers.get(kind, {}))
+            view = _demand_view.KindView(
                 own, rate, self._words, kind, self._fleet, seconds
             )
             views.setdefault(service, {})[priority] = view
@@ -288,25 +291,25 @@
     def _tell(
         self,
         service: int,
-        shares: Mapping[int, _shortage.KindShares],
-        word: _word.Word,
-        zone_word: _word.Word,
+        shares: Mapping[int, _kind_shares.KindShares],
+        word: _report.Word,
+        zone_word: _report.Word,
     ) -> None:
         for priority, each in shares.items():
             view = each.view
             names = self._choose(each, _NEAR_LEVEL)
-            word[(service, priority)] = _word.Told(
+            word[(service, priority)] = _report.Told(
                 len(view.own.callers),
                 _keep(view.own, names),
                 _keep(view.near, names),
             )
-            zone_word[(service, priority)] = _word.Told(
+            zone_word[(service, priority)] = _report.Told(
                 view.zone_known,
                 _keep(view.zone, self._choose(each, _FAR_LEVEL)),
             )
 
     def _choose(
-        self, shares: _shortage.KindShares, least: float
+        self, shares: _kind_shares.KindShares, least: float
     ) -> list[bytes]:
         """Choose the callers that a word names, those near their share.
 
@@ -324,12 +327,12 @@
             name for name, slots in callers.items() if slots > least * level
         ]
         near.sort(key=lambda name: (-callers[name], name))
-        return near[: min(self._settings.told_callers, _word.MOST_CALLERS)]
+        return near[: min(self._settings.told_callers, _report.MOST_CALLERS)]
 
 
-def _keep(demand: _word.Demand, names: list[bytes]) -> _word.Demand:
+def _keep(demand: _report.Demand, names: list[bytes]) -> _report.Demand:
     callers = demand.callers
-    return _word.Demand(
+    return _report.Demand(
         demand.total,
         {each: callers[each] for each in names if each in callers},
     )
--- a/skylarkfold/shares/_view.py
+++ b/skylarkfold/shares/_demand_view.py
@@ -7,7 +7,7 @@
 import math
 
 from skylarkfold.shares import _count
-from skylarkfold.shares import _word
+from skylarkfold.shares import _report
 
 # Sources remembered of each sort: four neighbours, who change at times, and
 # eleven zones at the size that decides. A word takes up to 15 KB when read.
@@ -45,11 +45,11 @@
 
     def __init__(self, word_seconds: float) -> None:
         self._word_seconds = word_seconds
-        self._mates: dict[str, tuple[float, _word.Word]] = {}
-        self._zones: dict[str, tuple[float, _word.Word]] = {}
+        self._mates: dict[str, tuple[float, _report.Word]] = {}
+        self._zones: dict[str, tuple[float, _report.Word]] = {}
 
     def take(
-        self, at: float, source: str, is_zone: bool, word: _word.Word
+        self, at: float, source: str, is_zone: bool, word: _report.Word
     ) -> None:
         """Take a word in place of the source's earlier one.
 
@@ -86,13 +86,13 @@
 
     def list_mates(
         self, kind: _count.Kind
-    ) -> Iterator[tuple[float, _word.Told]]:
+    ) -> Iterator[tuple[float, _report.Told]]:
         """List what neighbours say of a kind, each with its time."""
         return _select(self._mates, kind)
 
     def list_zones(
         self, kind: _count.Kind
-    ) -> Iterator[tuple[float, _word.Told]]:
+    ) -> Iterator[tuple[float, _report.Told]]:
         """List what other zones say of a kind, each with its time.
 
         Who hears them needs not what neighbours pass on of them.
@@ -100,7 +100,7 @@
         direct = self.list_direct()
         return _select(direct or self._zones, kind)
 
-    def list_direct(self) -> dict[str, tuple[float, _word.Word]]:
+    def list_direct(self) -> dict[str, tuple[float, _report.Word]]:
         """List the words of zones that were heard from them."""
         return {
             source: said
@@ -108,29 +108,29 @@
             if source != ELSEWHERE
         }
 
-    def sum_zones(self) -> tuple[float, _word.Word]:
+    def sum_zones(self) -> tuple[float, _report.Word]:
         """Sum up what was heard from other zones, to be passed on.
 
         :returns: when the last of it was said, and the sum.
         """
         direct = self.list_direct()
-        total: _word.Word = {}
+        total: _report.Word = {}
         for _, word in direct.values():
             for kind, told in word.items():
                 before = total.get(kind)
                 if before is None:
                     total[kind] = told
                     continue
-                own = _word.add(before.own, told.own)
-                total[kind] = _word.Told(before.known + told.known, own)
+                own = _report.add(before.own, told.own)
+                total[kind] = _report.Told(before.known + told.known, own)
         # The sum changes with each word: by the oldest, one of few zones would
         # go before a later one of all.
         return max((at for at, _ in direct.values()), default=0.0), total
 
 
 def _select(
-    words: dict[str, tuple[float, _word.Word]], kind: _count.Kind
-) -> Iterator[tuple[float, _word.Told]]:
+    words: dict[str, tuple[float, _report.Word]], kind: _count.Kind
+) -> Iterator[tuple[float, _report.Told]]:
     for at, word in words.values():
         told = word.get(kind)
         if told is not None:
@@ -175,7 +175,7 @@
 
     def __init__(
         self,
-        own: _word.Demand,
+        own: _report.Demand,
         own_rate: float,
         words: PeerWords,
         kind: _count.Kind,
@@ -192,17 +192,17 @@
         self._size = 1 + fleet.mates
         self.zone_part = 1.0 / fleet.zones
         heard = [told.own for _, told in mates]
-        self._heard = functools.reduce(_word.add, heard, own)
-        self.near = mean = _word.average(own, heard)
+        self._heard = functools.reduce(_report.add, heard, own)
+        self.near = mean = _report.average(own, heard)
         if len(mates) < fleet.mates and mates and self._is_sparse():
             # Any mean of samples of the zone's flows is one; that over the
             # neighbours' neighbours is of more of them, but older.
             near = (told.near for _, told in mates)
-            mean = _word.average(self.near, near)
-        zone = _word.scale(mean, self._size)
+            mean = _report.average(self.near, near)
+        zone = _report.scale(mean, self._size)
         most = self._bound(own.total)
         if zone.total > most:
-            zone = _word.scale(zone, most / zone.total)
+            zone = _report.scale(zone, most / zone.total)
         self.zone = self.all = zone
         told = [told for _, told in (*mates, *zones)]
         self.named = set(own.callers) if not mates else set()
@@ -211,7 +211,7 @@
         known = [len(own.callers), *(told.known for _, told in mates)]
         self.zone_known = self.known = max(known)
         for _, told in zones:
-            self.all = _word.add(self.all, told.own)
+            self.all = _report.add(self.all, told.own)
             self.known += told.known
 
     def measure(self, caller: bytes) -> tuple[float, float]:
--- a/skylarkfold/shares/_shortage.py
+++ b/skylarkfold/shares/_kind_shares.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 import math
 
-from skylarkfold.shares import _level
+from skylarkfold.shares import _demand_view
+from skylarkfold.shares import _fill_level
+from skylarkfold.shares import _over_share
+from skylarkfold.shares import _report
 from skylarkfold.shares import _settings
-from skylarkfold.shares import _share
-from skylarkfold.shares import _view
-from skylarkfold.shares import _word
 
 # Of its slots, what requests of a later priority may still try for where the
 # earlier ones seem to fill all: their work is estimated, and what does not
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        view: _view.KindView,
+        view: _demand_view.KindView,
         room: float,
         settings: _settings.SharesSettings,
     ) -> None:
@@ -42,10 +42,12 @@
         self.room = room
         self._settings = settings
         claims = self._list_claims(view.all, view.known)
-        level = _level.compute_fill_level(room, claims)
+        level = _fill_level.compute_fill_level(room, claims)
         own_room = _LEAST_ZONE_SHARE * view.zone_part * room
         claims = self._list_claims(view.zone, view.zone_known)
-        self.level = max(level, _level.compute_fill_level(own_room, claims))
+        self.level = max(
+            level, _fill_level.compute_fill_level(own_room, claims)
+        )
 
     def compute_share(self, caller: bytes) -> float:
         """Compute what a caller may have.
@@ -57,7 +59,7 @@
 
     def check_share(
         self, now: float, caller: bytes, opening_share: float
-    ) -> _share.OverShare | None:
+    ) -> _over_share.OverShare | None:
         """Tell which share of a caller's new flows is refused.
 
         :param now: the time.
@@ -77,7 +79,7 @@
         excess = (1.0 - share / demand) / max(opening_share, 1e-3)
         said_at = self.view.said_at
         age = 0.0 if said_at is None else min(now - said_at, _DAY_SECONDS)
-        return _share.OverShare(
+        return _over_share.OverShare(
             demand, share, self.room, min(1.0, excess), age
         )
 
@@ -91,8 +93,8 @@
         return cap * self.view.mean_seconds
 
     def _list_claims(
-        self, demand: _word.Demand, known: int
-    ) -> list[_level.ShareRequest]:
+        self, demand: _report.Demand, known: int
+    ) -> list[_fill_level.ShareRequest]:
         named = self.view.named
         claims = []
         rest = demand.total
@@ -100,18 +102,18 @@
             slots = demand.callers.get(caller, 0.0)
             rest -= slots
             weight, cap = self._weigh(caller), self._cap(caller)
-            claims.append(_level.ShareRequest(slots, weight, cap))
+            claims.append(_fill_level.ShareRequest(slots, weight, cap))
         if rest > 0.0:
             # Of the others only the number is known.
             count = max(1, known - len(named))
             claims.append(
-                _level.ShareRequest(rest / count, count=float(count))
+                _fill_level.ShareRequest(rest / count, count=float(count))
             )
         return claims
 
 
 def divide(
-    views: Mapping[int, _view.KindView],
+    views: Mapping[int, _demand_view.KindView],
     slots: float,
     settings: _settings.SharesSettings,
 ) -> dict[int, KindShares]:
--- a/skylarkfold/store/__init__.py
+++ b/skylarkfold/store/__init__.py
@@ -3,10 +3,10 @@
 from skylarkfold.backoff import Backoff
 from skylarkfold.store._core import FIRST_CALL_NUMBER
 from skylarkfold.store._core import StoreCore
-from skylarkfold.store._judgement import get_version
-from skylarkfold.store._judgement import resolve_write
-from skylarkfold.store._judgement import WriteOutcome
 from skylarkfold.store._settings import StoreSettings
+from skylarkfold.store._write_outcome import get_version
+from skylarkfold.store._write_outcome import resolve_write
+from skylarkfold.store._write_outcome import WriteOutcome
 from skylarkfold.token_bucket import TokenBucket
 
 __all__ = [
--- a/skylarkfold/store/_core.py
+++ b/skylarkfold/store/_core.py
@@ -12,15 +12,15 @@
 from skylarkfold import instance as instance_module
 from skylarkfold import metric
 from skylarkfold import platform_api
-from skylarkfold.store import _judgement
-from skylarkfold.store import _pending
+from skylarkfold.store import _pending_write
 from skylarkfold.store import _settings
+from skylarkfold.store import _write_outcome
 from skylarkfold import token_bucket
 
 FIRST_CALL_NUMBER = 1
 
 _Status = platform_api.PlatformStatus
-_WriteOutcome = _judgement.WriteOutcome
+_WriteOutcome = _write_outcome.WriteOutcome
 # The surroundings end a call after its timeout; one that is still open
 # after so many timeouts has been forgotten.
 _FORGOTTEN_TIMEOUTS = 2.0
@@ -55,8 +55,10 @@
         self._backoff = backoff.Backoff(
             settings.retry_seconds, settings.maximum_retry_seconds, generator
         )
-        self._queues: dict[str, collections.deque[_pending.PendingWrite]] = {}
-        self._calls: dict[int, _pending.PendingWrite] = {}
+        self._queues: dict[
+            str, collections.deque[_pending_write.PendingWrite]
+        ] = {}
+        self._calls: dict[int, _pending_write.PendingWrite] = {}
         self._count = 0
         self._last_call = FIRST_CALL_NUMBER - 1
 
@@ -123,7 +125,7 @@
         queue = self._queues.setdefault(write.path, collections.deque())
         if any(each.write == write for each in queue):
             return []
-        pending = _pending.PendingWrite(write, now)
+        pending = _pending_write.PendingWrite(write, now)
         if self._count >= self._settings.maximum_waiting:
             self._rotate(write.path)
             return self._report(pending, _Status.REFUSED)
@@ -133,7 +135,7 @@
 
     def _take_answer(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
@@ -147,7 +149,7 @@
 
     def _take_failure(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
@@ -162,7 +164,7 @@
 
     def _take_written(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
@@ -178,7 +180,7 @@
 
     def _take_read(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         current: platform_api.StoredObject | None,
         now: float,
     ) -> list[object]:
@@ -197,12 +199,12 @@
 
     def _judge(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         current: platform_api.StoredObject | None,
-    ) -> _judgement.WriteOutcome:
+    ) -> _write_outcome.WriteOutcome:
         if current is not None and current.revision < pending.revision:
             return _WriteOutcome.STALE
-        return _judgement.resolve_write(
+        return _write_outcome.resolve_write(
             pending.write, current, pending.was_refused
         )
 
@@ -230,7 +232,9 @@
             effects += self._end_unsettled(pending)
         return effects
 
-    def _end_unsettled(self, pending: _pending.PendingWrite) -> list[object]:
+    def _end_unsettled(
+        self, pending: _pending_write.PendingWrite
+    ) -> list[object]:
         if not pending.answer_lost:
             return self._end(pending, _Status.REFUSED)
         if pending.was_refused:
@@ -257,7 +261,7 @@
         return len(self._calls) < limit
 
     def _send(
-        self, pending: _pending.PendingWrite, now: float
+        self, pending: _pending_write.PendingWrite, now: float
     ) -> list[object]:
         self._last_call += 1
         pending.call = self._last_call
@@ -275,7 +279,7 @@
 
     def _end(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         status: platform_api.PlatformStatus,
         may_have_stood: bool = False,
     ) -> list[object]:
@@ -292,7 +296,7 @@
 
     def _report(
         self,
-        pending: _pending.PendingWrite,
+        pending: _pending_write.PendingWrite,
         status: platform_api.PlatformStatus,
         may_have_stood: bool = False,
     ) -> list[object]:
--- a/skylarkfold/tests/room/test_transfers.py
+++ b/skylarkfold/tests/room/test_transfer_tracker.py
@@ -12,7 +12,7 @@
 
 from skylarkfold import room as rooms
 from skylarkfold.room import _transfer
-from skylarkfold.room import _transfers
+from skylarkfold.room import _transfer_tracker
 from skylarkfold.tests.room import link
 
 RATE = 625_000.0
@@ -25,7 +25,7 @@
 
 def build_transfers():
     """Build transfers that know one bulk route."""
-    transfers = _transfers.Transfers(rooms.RoomSettings(), RATE)
+    transfers = _transfer_tracker.Transfers(rooms.RoomSettings(), RATE)
     for number in range(3):
         sequence = 0
         while sequence < MEAN_BYTES:
@@ -182,7 +182,7 @@
         self.assertEqual(3600, transfer.brought)
 
     def test_what_a_route_is_not_known_for_costs_one_object(self):
-        transfers = _transfers.Transfers(rooms.RoomSettings(), RATE)
+        transfers = _transfer_tracker.Transfers(rooms.RoomSettings(), RATE)
         for number in range(1000):
             packet = link.Packet(number, 300, 0)
             transfers.handle_packet(0.0, packet, link.BULK, True)
--- a/skylarkfold/tests/shares/test_words.py
+++ b/skylarkfold/tests/shares/test_reports.py
@@ -15,8 +15,8 @@
 
 from skylarkfold import shares
 from skylarkfold.shares import _count
-from skylarkfold.shares import _view
-from skylarkfold.shares import _word
+from skylarkfold.shares import _demand_view
+from skylarkfold.shares import _report as _word
 from skylarkfold.tests.shares import fleet as fleets
 
 KEPT = 0.97
@@ -100,7 +100,7 @@
         self.assertEqual(set(), core.list_services())
 
     def test_a_later_word_replaces_an_earlier_one(self):
-        words = _view.PeerWords(2.5)
+        words = _demand_view.PeerWords(2.5)
         kind = (fleets.SERVICE, 0)
         early, late = (
             {kind: _word.Told(1, _word.Demand(slots, {}))}
@@ -112,7 +112,7 @@
         self.assertEqual((5.0, 2.0), (at, told.own.total))
 
     def test_sources_are_bounded(self):
-        words = _view.PeerWords(2.5)
+        words = _demand_view.PeerWords(2.5)
         kind = (fleets.SERVICE, 0)
         word = {kind: _word.Told(1, _word.Demand(1.0, {}))}
         for number in range(1000):
