--- a/skylarkfold/room/__init__.py
+++ b/skylarkfold/room/__init__.py
@@ -1,7 +1,8 @@
-"""How much room an instance has of its own: link, and what gets lost there.
+"""Headroom of an instance's network link, and admission of bulk transfers.
 
-Everything that an instance sends and gets shares one link. What is judged by
-silence elsewhere asks here first whether the silence may be this instance's.
+All traffic of an instance shares one link. Before a missing answer counts
+against an upstream, callers of this package check whether the link of the
+instance itself may have delayed or dropped it.
 """
 
 from skylarkfold.room._admission import BulkAdmission
--- a/skylarkfold/room/_debt.py
+++ b/skylarkfold/room/_debt.py
@@ -1,33 +1,33 @@
-"""Bytes that were let in ahead of the rate that they may take."""
+"""Bytes that were admitted in excess of a rate."""
 
 from __future__ import annotations
 
 
-class Debt:
-    """Bytes that were let in ahead of the rate that they may take.
+class ByteDebt:
+    """The bytes that were admitted in excess of a rate: a leaky bucket.
 
-    :ivar amount: bytes; never negative.
+    :ivar amount: the bytes; never negative.
     """
 
-    __slots__ = ('_at', 'amount')
+    __slots__ = ('_updated_at', 'amount')
 
     def __init__(self) -> None:
         self.amount = 0.0
-        self._at = 0.0
+        self._updated_at = 0.0
 
-    def pay(self, now: float, bytes_per_second: float) -> None:
-        """Let time pass.
+    def pay_down(self, now: float, bytes_per_second: float) -> None:
+        """Reduce the debt by what the rate allows since the last call.
 
         :param now: the time.
-        :param bytes_per_second: the rate since the last time.
+        :param bytes_per_second: the rate since the last call.
         """
-        passed = max(0.0, now - self._at)
-        self._at = now
-        self.amount = max(0.0, self.amount - passed * bytes_per_second)
+        elapsed = max(0.0, now - self._updated_at)
+        self._updated_at = now
+        self.amount = max(0.0, self.amount - elapsed * bytes_per_second)
 
-    def change(self, count: float) -> None:
-        """Add bytes that were let in, or take back some that don't come.
+    def adjust(self, count: float) -> None:
+        """Add admitted bytes, or remove some that will not arrive.
 
-        :param count: how many; negative ones are taken back.
+        :param count: the number of bytes; negative to remove them.
         """
         self.amount = max(0.0, self.amount + count)
--- a/skylarkfold/room/_headroom.py
+++ b/skylarkfold/room/_headroom.py
@@ -1,4 +1,4 @@
-"""An instance's own room."""
+"""Headroom of an instance: load of its link and loss of its probes."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class InstanceHeadroom:
-    """Tells whether a silence may be this instance's own.
+    """Tells whether missing answers may be caused by this instance's link.
 
     :param settings: the limits.
-    :param bytes_per_second: the rate of its link; 0 where it is not known.
+    :param bytes_per_second: the rate of its link; 0 if unknown.
     """
 
     __slots__ = ('_link', '_loss', '_settings')
@@ -36,30 +36,30 @@
 
     @property
     def bytes_per_second(self) -> float:
-        """The rate of the link; 0 where it is not known."""
+        """The rate of the link; 0 if unknown."""
         return self._link.bytes_per_second
 
     def set_rate(self, bytes_per_second: float) -> None:
-        """Take the rate of the link.
+        """Set the rate of the link.
 
-        :param bytes_per_second: the rate; 0 where it is not known.
+        :param bytes_per_second: the rate; 0 if unknown.
         """
         self._link.bytes_per_second = bytes_per_second
 
     def record_traffic(self, now: float, received: int, sent: int) -> None:
-        """Note what went through the link.
+        """Record traffic on the link.
 
         :param now: the time.
-        :param received: bytes that came in.
-        :param sent: bytes that went out.
+        :param received: bytes received.
+        :param sent: bytes sent.
         """
         self._link.note(now, received, sent)
 
     def record_probe(self, now: float, is_answered: bool) -> None:
-        """Note how a probe of an upstream that lives ended.
+        """Record the result of a probe of an upstream known to be alive.
 
         :param now: the time.
-        :param is_answered: whether its answer came in time.
+        :param is_answered: whether it was answered in time.
         """
         self._loss.note(now, is_answered)
 
@@ -67,12 +67,13 @@
         """Compute the share of the link's rate that is in use.
 
         :param now: the time.
-        :returns: of the busier direction; 0 where the rate is not known.
+        :returns: the share of the busier direction; 0 if the rate is
+            unknown.
         """
         return self._link.compute_share(now)
 
     def compute_loss_share(self, now: float) -> float:
-        """Compute the share of exchanges that gets lost on this side.
+        """Compute the share of probes lost on this instance's side.
 
         :param now: the time.
         :returns: between 0 and 1.
@@ -83,28 +84,28 @@
         """Tell whether the link is full.
 
         :param now: the time.
-        :returns: whether it is; never where its rate is not known.
+        :returns: whether it is; False if its rate is unknown.
         """
         return self._link.compute_share(now) >= self._settings.link_share
 
     def is_short(self, now: float) -> bool:
-        """Tell whether this instance is short of room.
+        """Tell whether this instance lacks headroom.
 
         :param now: the time.
-        :returns: whether what it sends or gets may wait or get lost, so that
-            a silence tells nothing of who is silent.
+        :returns: whether its link is full or loses so much that a missing
+            answer proves nothing about the peer.
         """
         least = self._settings.loss_share
         return self.is_full(now) or self._loss.compute_share(now) >= least
 
     def count_tries(self, now: float, least: int) -> int:
-        """Count the probes that must fail in a row to prove something.
+        """Compute how many probes must fail in a row to prove a failure.
 
-        Each may have got lost on this side; all of them seldom have.
+        Enough of them that losses on this side alone rarely explain it.
 
         :param now: the time.
-        :param least: where nothing gets lost.
-        :returns: how many; 0 where no number would do.
+        :param least: the minimum, which applies without losses.
+        :returns: the number; 0 if no number of failures is proof.
         """
         if self.is_short(now):
             return 0
--- a/skylarkfold/room/_link.py
+++ b/skylarkfold/room/_link.py
@@ -1,4 +1,4 @@
-"""How much of a link is in use."""
+"""Meter of the load of a link."""
 
 from __future__ import annotations
 
@@ -6,27 +6,33 @@
 
 
 class LinkMeter:
-    """Averages what goes through a link in each direction.
+    """Averages the traffic of a link in each direction, with decay.
 
-    :param bytes_per_second: the link's rate; 0 where it is not known.
-    :param seconds: over about how long.
+    :param bytes_per_second: the link's rate; 0 if unknown.
+    :param seconds: the time constant of the decay.
     """
 
-    __slots__ = ('_at', '_received', '_seconds', '_sent', 'bytes_per_second')
+    __slots__ = (
+        '_updated_at',
+        '_received',
+        '_seconds',
+        '_sent',
+        'bytes_per_second',
+    )
 
     def __init__(self, bytes_per_second: float, seconds: float) -> None:
         self.bytes_per_second = bytes_per_second
         self._seconds = seconds
-        self._at = 0.0
+        self._updated_at = 0.0
         self._received = 0.0
         self._sent = 0.0
 
     def note(self, now: float, received: int, sent: int) -> None:
-        """Note what went through.
+        """Record traffic.
 
         :param now: the time.
-        :param received: bytes that came in.
-        :param sent: bytes that went out.
+        :param received: bytes received.
+        :param sent: bytes sent.
         """
         self._decay(now)
         self._received += received
@@ -36,7 +42,8 @@
         """Compute the share of the rate that is in use.
 
         :param now: the time.
-        :returns: of the busier direction; 0 where the rate is not known.
+        :returns: the share of the busier direction; 0 if the rate is
+            unknown.
         """
         if not self.bytes_per_second:
             return 0.0
@@ -45,9 +52,9 @@
         return busier / (self._seconds * self.bytes_per_second)
 
     def _decay(self, now: float) -> None:
-        if now <= self._at:
+        if now <= self._updated_at:
             return
-        kept = math.exp((self._at - now) / self._seconds)
-        self._at = now
-        self._received *= kept
-        self._sent *= kept
+        decay_factor = math.exp((self._updated_at - now) / self._seconds)
+        self._updated_at = now
+        self._received *= decay_factor
+        self._sent *= decay_factor
--- a/skylarkfold/room/_packet.py
+++ b/skylarkfold/room/_packet.py
@@ -1,4 +1,4 @@
-"""What is read of a caller's packet here."""
+"""The fields of a caller's packet that this package reads."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class CallerPacket(light_imports.Protocol):
-    """A packet of a flow.
+    """A packet from a caller.
 
     :ivar flow: the flow's key.
-    :ivar address: the packed address and port that it was sent to.
-    :ivar sequence: the number of its first byte, modulo 2**32.
-    :ivar acknowledged: the number of the next byte that its caller expects;
-        for a first packet, how often it was repeated.
-    :ivar length: bytes of data.
-    :ivar is_last: whether its caller ends the flow.
+    :ivar address: the packed destination address and port.
+    :ivar sequence: the sequence number of its first byte, modulo 2**32.
+    :ivar acknowledged: the sequence number of the next byte that the caller
+        expects; in a first packet, how often it was retransmitted.
+    :ivar length: the number of data bytes.
+    :ivar is_last: whether the caller closes the flow with it.
     """
 
     flow: bytes
--- a/skylarkfold/room/_settings.py
+++ b/skylarkfold/room/_settings.py
@@ -1,39 +1,38 @@
-"""Settings of an instance's own room."""
+"""Settings of an instance's headroom and of bulk admission."""
 
 from __future__ import annotations
 
 
 class RoomSettings:
-    """When an instance's own link is taken to be short of room.
+    """Limits for an instance's link and for bulk traffic on it.
 
-    :param link_share: from this share of the link's rate on it is full: what
-        comes beyond it waits or gets lost.
-    :param link_seconds: over about how long the share is taken. Shorter than
-        the patience after which callers repeat what is not answered.
-    :param loss_share: from this share on, of probes to upstreams that live,
-        an instance that gets no answer learns nothing of the others.
-    :param loss_seconds: over about how long that share is taken.
-    :param false_share: how seldom losses of this instance alone may make a
-        living upstream look gone, as a share of those that it doubts.
-    :param most_tries: probes in a row that may be needed for that. Where more
-        would be, silence proves nothing.
-    :param bulk_seconds: a route whose callers bring so much that it takes the
-        link for longer is bulk: what comes behind one of its requests would
-        be that much later.
-    :param bulk_share: of the link's rate, bulk gets so much at most, and less
-        while that and all else are above ``link_share``; 0 where bulk is let
-        in like all else.
-    :param bulk_least_share: so much of it bulk gets whatever else there is.
-    :param queue_seconds: how long the link may take for what is on its way of
-        all bulk at once: what others wait behind it. Shorter than the 0.2 s
-        after which callers repeat what is not acknowledged.
-    :param window_bytes: what a caller sends at most before an
+    :param link_share: the share of the link's rate from which on it counts as
+        full: traffic above it is queued or lost.
+    :param link_seconds: time constant of the averaged share; shorter than the
+        time after which callers retransmit unanswered packets.
+    :param loss_share: the share of lost probes to live upstreams from which on
+        a missing answer proves nothing about an upstream.
+    :param loss_seconds: time constant of the averaged loss.
+    :param false_share: the accepted probability that losses of this instance
+        alone make a live upstream look dead, per suspected upstream.
+    :param most_tries: the largest number of failed probes in a row that may
+        be required for that; if more are needed, they prove nothing.
+    :param bulk_seconds: a route is bulk if one of its requests occupies the
+        link for longer, on average; traffic behind it is delayed as much.
+    :param bulk_share: the largest share of the link's rate for bulk; it gets
+        less while all traffic exceeds ``link_share``. 0 admits bulk like any
+        other traffic.
+    :param bulk_least_share: the share that bulk gets whatever the other load.
+    :param queue_seconds: the link time of all bulk bytes in flight at once,
+        which delays other traffic. Shorter than the 0.2 s after which callers
+        retransmit unacknowledged packets.
+    :param window_bytes: the bytes that a caller sends before it needs an
         acknowledgement: 16 packets of 1,200 bytes.
-    :param wait_share: of its aim, the first packet of a bulk route may wait so
-        much to be let in.
-    :param wait_seconds: and never longer. A caller gives up after 1.4 s; what
-        is let in still has to be opened.
-    :param wait_limit: first packets that may wait at once.
+    :param wait_share: the part of its route's target response time that the
+        first packet of a bulk flow may wait for admission.
+    :param wait_seconds: the longest wait in any case. A caller gives up after
+        1.4 s, and an admitted flow still has to be opened.
+    :param wait_limit: the number of first packets that may wait at once.
     """
 
     __slots__ = (
--- a/skylarkfold/room/_transfer.py
+++ b/skylarkfold/room/_transfer.py
@@ -1,36 +1,36 @@
-"""What a caller brings at once: learnt for each route, seen for each flow."""
+"""Transfers of request bytes, and the estimate of their size by route."""
 
 from __future__ import annotations
 
 from skylarkfold.room import _packet
 
-# Sequence numbers wrap around at this.
+# Sequence numbers wrap around at this value.
 _MODULUS = 1 << 32
-_HALF = 1 << 31
-# A transfer without a packet for so long has moved to another instance or
-# lost its caller: callers repeat a packet after 0.2 s, then 0.4 s.
+_HALF_MODULUS = 1 << 31
+# Callers retransmit after 0.2 s, then 0.4 s; a transfer without a packet for
+# this long has moved to another instance or its caller is gone.
 SILENT_SECONDS = 1.0
-# Before so many transfers of a route have ended, nothing is said of it: one
-# odd request would decide.
-_LEAST_COUNT = 3
-# Before that, one that brings so many times what makes a route bulk is enough.
-_PROOF_FACTOR = 4.0
-# How often a route that is not bulk is looked at again.
-_SAMPLE_PAUSE_SECONDS = 0.5
-# A step of the mean towards each new size, as a part of the difference; the
-# first ones are larger.
-_STEP = 0.05
+# Transfers of a route that must have ended before its mean is used, so that a
+# single unusual request doesn't decide.
+_MIN_SAMPLES = 3
+# Before that, one transfer makes a route bulk if it exceeds the limit by this
+# factor.
+_LARGE_TRANSFER_FACTOR = 4.0
+# Pause between samples of a route that is not bulk.
+_SAMPLE_INTERVAL_SECONDS = 0.5
+# Least weight of a new size in the moving average; the first sizes get more.
+_MIN_MEAN_WEIGHT = 0.05
 
 
 class TransferSize:
-    """How many bytes callers of a route bring before they are answered.
-
-    :param bulk_bytes: from how many on a route is bulk.
-    :ivar is_bulk: whether its callers bring so many.
-    :ivar mean: bytes, in the mean of those that have ended.
-    :ivar sample: the one that is followed while the route is not bulk.
-    :ivar sample_due: when the next one may be followed.
-    :ivar most: bytes that one under way has brought, the most of them,
+    """Estimate of the request size of a route.
+
+    :param bulk_bytes: the mean size above which a route is bulk.
+    :ivar is_bulk: whether the route is bulk.
+    :ivar mean: the mean bytes of the transfers that have ended.
+    :ivar sample: the transfer that is measured while the route is not bulk.
+    :ivar next_sample_at: when the next one may be measured.
+    :ivar largest_partial_bytes: the most bytes of an open transfer, kept
         while few have ended.
     """
 
@@ -39,146 +39,163 @@
         '_count',
         'is_bulk',
         'mean',
-        'most',
+        'largest_partial_bytes',
         'sample',
-        'sample_due',
+        'next_sample_at',
     )
 
     def __init__(self, bulk_bytes: float) -> None:
         self._bulk_bytes = bulk_bytes
         self.is_bulk = False
         self.mean = 0.0
-        self.most = 0
+        self.largest_partial_bytes = 0
         self._count = 0
         self.sample: Transfer | None = None
-        self.sample_due = float('-inf')
+        self.next_sample_at = float('-inf')
 
     @property
-    def is_known(self) -> bool:
-        """Whether enough transfers were seen."""
-        return self._count >= _LEAST_COUNT
+    def has_enough_samples(self) -> bool:
+        """Whether enough transfers have ended for the mean to be used."""
+        return self._count >= _MIN_SAMPLES
 
     @property
-    def expected(self) -> float:
-        """The bytes that a new one is expected to bring."""
-        return self.mean if self.is_known else max(self.mean, self.most)
-
-    def learn(self, brought: int) -> None:
-        """Take the size of a transfer that was seen from begin to end.
-
-        :param brought: bytes.
+    def expected_bytes(self) -> float:
+        """The expected bytes of a new transfer."""
+        return (
+            self.mean
+            if self.has_enough_samples
+            else max(self.mean, self.largest_partial_bytes)
+        )
+
+    def learn(self, received_bytes: int) -> None:
+        """Add the size of a transfer that was seen from start to end.
+
+        :param received_bytes: its bytes.
         """
         self._count += 1
-        step = max(_STEP, 1 / self._count)
-        self.mean += step * (brought - self.mean)
-        if self.is_known:
+        weight = max(_MIN_MEAN_WEIGHT, 1 / self._count)
+        self.mean += weight * (received_bytes - self.mean)
+        if self.has_enough_samples:
             self.is_bulk = self.mean > self._bulk_bytes
 
-    def note_under_way(self, brought: int) -> None:
-        """Take what a transfer that has not ended has brought so far.
+    def record_partial(self, received_bytes: int) -> None:
+        """Record the bytes of a transfer that has not ended.
 
-        :param brought: bytes.
+        :param received_bytes: its bytes so far.
         """
-        if not self.is_known and brought > self.most:
-            self.most = brought
-            self.is_bulk = self.expected > _PROOF_FACTOR * self._bulk_bytes
-
-    def follows(self, now: float, key: bytes) -> bool:
-        """Tell whether something is to be learnt of a packet.
+        if (
+            not self.has_enough_samples
+            and received_bytes > self.largest_partial_bytes
+        ):
+            self.largest_partial_bytes = received_bytes
+            self.is_bulk = (
+                self.expected_bytes > _LARGE_TRANSFER_FACTOR * self._bulk_bytes
+            )
+
+    def may_sample(self, now: float, flow: bytes) -> bool:
+        """Tell whether a packet is of interest for the estimate.
 
         :param now: the time.
-        :param key: its flow.
-        :returns: whether its flow is the sample, or one may be begun.
+        :param flow: the key of its flow.
+        :returns: whether its flow is being measured, or a new measurement
+            may begin.
         """
         sample = self.sample
         if sample is None:
-            return now >= self.sample_due
-        return sample.key == key or now >= sample.seen_at + SILENT_SECONDS
+            return now >= self.next_sample_at
+        return (
+            sample.flow == flow
+            or now >= sample.last_packet_at + SILENT_SECONDS
+        )
 
-    def end_sample(self, now: float) -> None:
-        """Follow the present sample no more.
+    def stop_sampling(self, now: float) -> None:
+        """Stop measuring the present sample.
 
         :param now: the time.
         """
         self.sample = None
-        self.sample_due = now
-        if self.is_known:
-            self.sample_due += _SAMPLE_PAUSE_SECONDS
+        self.next_sample_at = now
+        if self.has_enough_samples:
+            self.next_sample_at += _SAMPLE_INTERVAL_SECONDS
 
 
 class Transfer:
-    """The bytes of one request on their way through this instance.
+    """The bytes of one request that pass through this instance.
 
-    :param key: its flow.
-    :param size: what is known of its route.
+    :param flow: the key of its flow.
+    :param size: the estimate of its route.
     :param now: the time.
-    :ivar begun: the number of its first byte, None before the first one.
-    :ivar acknowledged: what its caller had acknowledged then.
-    :ivar brought: bytes that have come.
-    :ivar is_whole: whether its first byte was seen here.
-    :ivar is_paused: whether nothing of it is on its way as far as is known.
-    :ivar charged: bytes that the budget was charged for it.
-    :ivar seen_at: when its last packet came.
+    :ivar first_sequence: the sequence number of its first byte; None before
+        the first data.
+    :ivar acknowledged: what its caller had acknowledged with the first data.
+    :ivar received_bytes: the bytes received.
+    :ivar has_start: whether its first byte was received here.
+    :ivar is_paused: whether no data of it is known to be in flight.
+    :ivar charged_bytes: the bytes added to the debt for it.
+    :ivar last_packet_at: when its last packet arrived.
     """
 
     __slots__ = (
-        '_longest',
+        '_longest_length',
         'acknowledged',
-        'begun',
-        'brought',
-        'charged',
+        'first_sequence',
+        'received_bytes',
+        'charged_bytes',
         'is_paused',
-        'is_whole',
-        'key',
-        'seen_at',
+        'has_start',
+        'flow',
+        'last_packet_at',
         'size',
     )
 
-    def __init__(self, key: bytes, size: TransferSize, now: float) -> None:
-        self.key = key
+    def __init__(self, flow: bytes, size: TransferSize, now: float) -> None:
+        self.flow = flow
         self.size = size
-        self.seen_at = now
-        self.begun: int | None = None
+        self.last_packet_at = now
+        self.first_sequence: int | None = None
         self.acknowledged = 0
-        self.brought = 0
-        self.is_whole = True
+        self.received_bytes = 0
+        self.has_start = True
         self.is_paused = False
-        self.charged = 0.0
-        self._longest = 0
+        self.charged_bytes = 0.0
+        self._longest_length = 0
 
-    def take_data(self, now: float, packet: _packet.CallerPacket) -> int:
-        """Take a packet with data.
+    def record_data(self, now: float, packet: _packet.CallerPacket) -> int:
+        """Record a packet with data.
 
         :param now: the time.
         :param packet: the packet.
-        :returns: bytes that it is further than before.
+        :returns: the number of new bytes.
         """
-        self.seen_at = now
-        before = self.brought
-        if self.begun is None:
-            self.begun = packet.sequence
+        self.last_packet_at = now
+        previous_bytes = self.received_bytes
+        if self.first_sequence is None:
+            self.first_sequence = packet.sequence
             self.acknowledged = packet.acknowledged
-        offset = (packet.sequence - self.begun) % _MODULUS
-        if offset < _HALF:
-            self.brought = max(before, offset + packet.length)
-        self._longest = max(self._longest, packet.length)
-        self.size.note_under_way(self.brought)
-        return self.brought - before
-
-    def is_tail(self, packet: _packet.CallerPacket) -> bool:
-        """Tell whether a packet is the last one of it.
-
-        :param packet: a packet that was taken.
-        :returns: whether it is; senders fill all others.
+        offset = (packet.sequence - self.first_sequence) % _MODULUS
+        if offset < _HALF_MODULUS:
+            self.received_bytes = max(previous_bytes, offset + packet.length)
+        self._longest_length = max(self._longest_length, packet.length)
+        self.size.record_partial(self.received_bytes)
+        return self.received_bytes - previous_bytes
+
+    def is_final_segment(self, packet: _packet.CallerPacket) -> bool:
+        """Tell whether a packet is the last one with data of the transfer.
+
+        :param packet: a recorded packet.
+        :returns: whether it is shorter than others; senders fill all packets
+            but the last.
         """
-        return packet.length < self._longest
+        return packet.length < self._longest_length
 
     def is_answered(self, acknowledged: int) -> bool:
-        """Tell whether its caller has been answered.
+        """Tell whether the request has been answered.
 
         :param acknowledged: the caller's present acknowledgement.
-        :returns: whether that is beyond the one that it began with.
+        :returns: whether it is beyond that at the start of the transfer.
         """
-        if self.begun is None:
+        if self.first_sequence is None:
             return False
-        return 0 < (acknowledged - self.acknowledged) % _MODULUS < _HALF
+        return (
+            0 < (acknowledged - self.acknowledged) % _MODULUS < _HALF_MODULUS
+        )
--- a/skylarkfold/room/_transfer_tracker.py
+++ b/skylarkfold/room/_transfer_tracker.py
@@ -1,4 +1,4 @@
-"""The transfers of bulk routes that are on their way through an instance."""
+"""Tracking of the bulk transfers that pass through an instance."""
 
 from __future__ import annotations
 
@@ -10,32 +10,33 @@
 from skylarkfold.room import _settings
 from skylarkfold.room import _transfer
 
-# Of one without a packet for the time that the link's queue takes and so
-# much more, a round trip, nothing is on its way: its caller waits.
+# A transfer without a packet for the link's queueing time and a round trip has
+# no data in flight: its caller is waiting.
 _ROUND_TRIP_SECONDS = 0.05
-# What comes unasked, on flows that are open, keeps others out for so long.
-_MOST_DEBT_SECONDS = 1.0
+# Link time of the debt up to which data on open flows that was not admitted
+# is charged; it would delay the admission of others for longer.
+_MAX_DEBT_SECONDS = 1.0
 
 
-class Transfers:
-    """Learns what flows of each route bring and counts what is on its way.
+class TransferTracker:
+    """Estimates the request size of each route and counts bytes in flight.
 
-    Of a route that is not bulk, one flow now and then is looked at; of one
-    that is, each flow that brings data is counted until it is answered,
-    ends or is silent.
+    Routes that are not bulk are sampled, one flow now and then. On bulk
+    routes each flow with data is tracked until it is answered, closed or
+    silent.
 
-    :param settings: from when on a route is bulk; the window of callers.
+    :param settings: the limit for bulk routes and the window of callers.
     :param bytes_per_second: the link's rate.
-    :ivar debt: bytes let in ahead of the rate that bulk may take.
+    :ivar debt: bytes admitted in excess of the rate that bulk may take.
     """
 
     __slots__ = (
         '_active',
         '_bulk_bytes',
         '_meter',
-        '_most_debt',
-        '_moving',
-        '_quiet_seconds',
+        '_debt_limit',
+        '_in_flight_count',
+        '_pause_seconds',
         '_sizes',
         '_window_bytes',
         'debt',
@@ -46,36 +47,36 @@
     ) -> None:
         self._bulk_bytes = settings.bulk_seconds * bytes_per_second
         self._window_bytes = settings.window_bytes
-        self._quiet_seconds = settings.queue_seconds + _ROUND_TRIP_SECONDS
+        self._pause_seconds = settings.queue_seconds + _ROUND_TRIP_SECONDS
         self._sizes: dict[bytes, _transfer.TransferSize] = {}
         self._active: dict[bytes, _transfer.Transfer] = {}
         self._meter = _link.LinkMeter(bytes_per_second, settings.link_seconds)
-        self.debt = _debt.Debt()
-        self._moving = 0
-        self._most_debt = _MOST_DEBT_SECONDS * bytes_per_second
+        self.debt = _debt.ByteDebt()
+        self._in_flight_count = 0
+        self._debt_limit = _MAX_DEBT_SECONDS * bytes_per_second
 
     @property
     def on_way(self) -> int:
-        """The bytes that may be on their way to this instance."""
-        return self._moving * self._window_bytes
+        """The bytes that may be in flight to this instance."""
+        return self._in_flight_count * self._window_bytes
 
     def __len__(self) -> int:
         return len(self._active)
 
     def keep_routes(self, addresses: Container[bytes]) -> None:
-        """Forget routes that are gone.
+        """Drop the state of routes that no longer exist.
 
-        :param addresses: those that there are.
+        :param addresses: the packed addresses of the existing routes.
         """
         gone = [each for each in self._sizes if each not in addresses]
         for address in gone:
             del self._sizes[address]
 
     def find_bulk(self, address: bytes) -> _transfer.TransferSize | None:
-        """Find what a flow of a bulk route brings.
+        """Find the size estimate of a bulk route.
 
         :param address: the route's packed address.
-        :returns: its size, None where the route is not bulk.
+        :returns: the estimate; None if the route is not bulk.
         """
         size = self._sizes.get(address)
         if size is None or not size.is_bulk:
@@ -83,28 +84,28 @@
         return size
 
     def compute_share(self, now: float) -> float:
-        """Compute the share of the link's rate that transfers take.
+        """Compute the share of the link's rate that tracked transfers take.
 
         :param now: the time.
-        :returns: the share, of data alone.
+        :returns: the share, without packet headers.
         """
         return self._meter.compute_share(now)
 
     def begin(
-        self, now: float, key: bytes, size: _transfer.TransferSize
+        self, now: float, flow: bytes, size: _transfer.TransferSize
     ) -> None:
-        """Count a transfer that is let in.
+        """Track a transfer that is admitted.
 
         :param now: the time.
-        :param key: its flow.
-        :param size: of its route.
+        :param flow: the key of its flow.
+        :param size: the size estimate of its route.
         """
-        self._end(key)
-        transfer = _transfer.Transfer(key, size, now)
-        transfer.charged = size.expected
-        self.debt.change(size.expected)
-        self._active[key] = transfer
-        self._moving += 1
+        self._end(flow)
+        transfer = _transfer.Transfer(flow, size, now)
+        transfer.charged_bytes = size.expected_bytes
+        self.debt.adjust(size.expected_bytes)
+        self._active[flow] = transfer
+        self._in_flight_count += 1
 
     def handle_packet(
         self,
@@ -113,57 +114,60 @@
         address: bytes,
         is_start: bool,
     ) -> None:
-        """Take a packet of a flow that is open.
+        """Record a packet of an open flow.
 
         :param now: the time.
         :param packet: the packet.
         :param address: its route's packed address.
-        :param is_start: whether data in it begins a request, as far as is
-            known.
+        :param is_start: whether its data is known to begin a request.
         """
         transfer = self._active.get(packet.flow)
         if transfer is None:
             size = self._sizes.get(address)
-            # Of most packets nothing is to be learnt.
-            if size is None or size.is_bulk or size.follows(now, packet.flow):
-                self._take_other(now, packet, address, is_start)
+            # Most packets are neither bulk nor part of a sample.
+            if (
+                size is None
+                or size.is_bulk
+                or size.may_sample(now, packet.flow)
+            ):
+                self._handle_untracked(now, packet, address, is_start)
         elif packet.is_last or transfer.is_answered(packet.acknowledged):
             self._end(packet.flow)
             if packet.length and not packet.is_last:
-                self._take_other(now, packet, address, True)
+                self._handle_untracked(now, packet, address, True)
         elif packet.length:
-            self._take_data(now, transfer, packet)
+            self._record_data(now, transfer, packet)
 
     def expire(self, now: float, is_short: bool = False) -> None:
-        """Count those no more that have gone silent.
+        """Drop silent transfers, and mark those without data as paused.
 
         :param now: the time.
-        :param is_short: whether the link is full: what is not heard of for
-            a moment may wait there.
+        :param is_short: whether the instance lacks headroom; packets may then
+            be queued on the link, so no transfer is marked as paused.
         """
-        for key, transfer in list(self._active.items()):
-            if now >= transfer.seen_at + _transfer.SILENT_SECONDS:
-                self._end(key, is_lost=True)
-            elif not is_short and now >= self._get_quiet(transfer):
+        for flow, transfer in list(self._active.items()):
+            if now >= transfer.last_packet_at + _transfer.SILENT_SECONDS:
+                self._end(flow, is_lost=True)
+            elif not is_short and now >= self._compute_pause_time(transfer):
                 self._set_paused(transfer, True)
 
-    def find_quiet(self) -> float | None:
-        """Find when the first transfer that counts would go quiet.
+    def find_next_pause(self) -> float | None:
+        """Find when the first transfer in flight would count as paused.
 
-        :returns: the time, None where none counts.
+        :returns: the time; None if none is in flight.
         """
-        counting = (
+        in_flight = (
             each for each in self._active.values() if not each.is_paused
         )
-        return min(map(self._get_quiet, counting), default=None)
+        return min(map(self._compute_pause_time, in_flight), default=None)
 
-    def _get_quiet(self, transfer: _transfer.Transfer) -> float:
-        if transfer.begun is None:
-            # Its upstream may still be asked, or another one.
-            return transfer.seen_at + _transfer.SILENT_SECONDS
-        return transfer.seen_at + self._quiet_seconds
+    def _compute_pause_time(self, transfer: _transfer.Transfer) -> float:
+        if transfer.first_sequence is None:
+            # The flow may not be opened yet, at this upstream or another.
+            return transfer.last_packet_at + _transfer.SILENT_SECONDS
+        return transfer.last_packet_at + self._pause_seconds
 
-    def _take_other(
+    def _handle_untracked(
         self,
         now: float,
         packet: _packet.CallerPacket,
@@ -177,77 +181,77 @@
             size = _transfer.TransferSize(self._bulk_bytes)
             self._sizes[address] = size
         if not size.is_bulk:
-            _sample(now, size, packet, is_start)
+            _update_sample(now, size, packet, is_start)
         elif packet.length and not packet.is_last:
-            self._join(now, size, packet, is_start)
+            self._start_tracking(now, size, packet, is_start)
 
-    def _join(
+    def _start_tracking(
         self,
         now: float,
         size: _transfer.TransferSize,
         packet: _packet.CallerPacket,
         is_start: bool,
     ) -> None:
-        """Count a transfer that was not let in as one."""
+        """Track a transfer that did not pass admission."""
         transfer = size.sample
-        if transfer is not None and transfer.key == packet.flow:
-            size.end_sample(now)
+        if transfer is not None and transfer.flow == packet.flow:
+            size.stop_sampling(now)
         else:
             transfer = _transfer.Transfer(packet.flow, size, now)
-            transfer.is_whole = is_start
+            transfer.has_start = is_start
         self._active[packet.flow] = transfer
-        self._moving += 1
-        self._take_data(now, transfer, packet)
+        self._in_flight_count += 1
+        self._record_data(now, transfer, packet)
 
-    def _take_data(
+    def _record_data(
         self,
         now: float,
         transfer: _transfer.Transfer,
         packet: _packet.CallerPacket,
     ) -> None:
-        self._meter.note(now, transfer.take_data(now, packet), 0)
-        excess = transfer.brought - transfer.charged
+        self._meter.note(now, transfer.record_data(now, packet), 0)
+        excess = transfer.received_bytes - transfer.charged_bytes
         if excess > 0:
-            transfer.charged += excess
-            if self.debt.amount < self._most_debt:
-                self.debt.change(excess)
-        self._set_paused(transfer, transfer.is_tail(packet))
+            transfer.charged_bytes += excess
+            if self.debt.amount < self._debt_limit:
+                self.debt.adjust(excess)
+        self._set_paused(transfer, transfer.is_final_segment(packet))
 
     def _set_paused(
         self, transfer: _transfer.Transfer, is_paused: bool
     ) -> None:
         if transfer.is_paused != is_paused:
             transfer.is_paused = is_paused
-            self._moving += -1 if is_paused else 1
+            self._in_flight_count += -1 if is_paused else 1
 
-    def _end(self, key: bytes, is_lost: bool = False) -> None:
-        transfer = self._active.pop(key, None)
+    def _end(self, flow: bytes, is_lost: bool = False) -> None:
+        transfer = self._active.pop(flow, None)
         if transfer is None:
             return
         self._set_paused(transfer, True)
-        self.debt.change(transfer.brought - transfer.charged)
-        # One that went elsewhere brought at least so much.
-        is_larger = transfer.brought > transfer.size.mean
-        if transfer.is_whole and (is_larger or not is_lost):
-            transfer.size.learn(transfer.brought)
+        self.debt.adjust(transfer.received_bytes - transfer.charged_bytes)
+        # A transfer that moved to another instance had at least these bytes.
+        is_larger = transfer.received_bytes > transfer.size.mean
+        if transfer.has_start and (is_larger or not is_lost):
+            transfer.size.learn(transfer.received_bytes)
 
 
-def _sample(
+def _update_sample(
     now: float,
     size: _transfer.TransferSize,
     packet: _packet.CallerPacket,
     is_start: bool,
 ) -> None:
-    """Follow one flow of a route that is not bulk, now and then."""
+    """Measure one flow now and then of a route that is not bulk."""
     sample = size.sample
     if sample is None:
         if is_start and packet.length and not packet.is_last:
             size.sample = _transfer.Transfer(packet.flow, size, now)
-            size.sample.take_data(now, packet)
-    elif sample.key != packet.flow:
-        size.end_sample(now)
+            size.sample.record_data(now, packet)
+    elif sample.flow != packet.flow:
+        size.stop_sampling(now)
     elif packet.is_last or sample.is_answered(packet.acknowledged):
-        size.learn(sample.brought)
-        size.end_sample(now)
+        size.learn(sample.received_bytes)
+        size.stop_sampling(now)
     elif packet.length:
-        sample.take_data(now, packet)
+        sample.record_data(now, packet)
--- a/skylarkfold/room/_wait_queue.py
+++ b/skylarkfold/room/_wait_queue.py
@@ -1,4 +1,4 @@
-"""First packets that wait to be let in."""
+"""Queue of first packets that wait for admission."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 
 
 class Waiter:
-    """A first packet that waits.
+    """A queued first packet.
 
     :param packet: the packet.
-    :param size: what a flow of its route brings.
-    :param since: when it came.
-    :param until: when it has waited for too long.
+    :param size: the size estimate of its route.
+    :param since: when it arrived.
+    :param deadline: when it is to be refused.
     """
 
-    __slots__ = ('packet', 'since', 'size', 'until')
+    __slots__ = ('packet', 'since', 'size', 'deadline')
 
     def __init__(
         self,
         packet: _packet.CallerPacket,
         size: _transfer.TransferSize,
         since: float,
-        until: float,
+        deadline: float,
     ) -> None:
         self.packet = packet
         self.size = size
         self.since = since
-        self.until = until
+        self.deadline = deadline
 
 
-class Waiting:
-    """First packets in the order in which their wait ends.
+class WaitQueue:
+    """First packets in the order of their deadlines.
 
-    So those of one route go in the order in which they came, and the place
-    of each only gets better: none is passed over for longer than it may
-    wait.
+    Those of one route stay in order of arrival, and no packet can be
+    overtaken beyond its deadline.
+
+    :ivar flows: the keys of the queued flows.
     """
 
     __slots__ = ('flows', '_queue')
@@ -54,27 +55,27 @@
 
     @property
     def first(self) -> Waiter:
-        """The one whose turn is next; there must be one."""
+        """The next entry; the queue must not be empty."""
         return self._queue[0]
 
     def add(self, waiter: Waiter) -> None:
-        """Let a first packet wait.
+        """Add an entry at its place.
 
-        :param waiter: the packet.
+        :param waiter: the entry.
         """
-        bisect.insort_right(self._queue, waiter, key=_get_until)
+        bisect.insort_right(self._queue, waiter, key=_get_deadline)
         self.flows.add(waiter.packet.flow)
 
     def pop_first(self) -> Waiter:
-        """Take out the one whose turn is next; there must be one."""
+        """Remove and return the next entry; there must be one."""
         waiter = self._queue.pop(0)
         self.flows.discard(waiter.packet.flow)
         return waiter
 
     def remove(self, flow: bytes) -> None:
-        """Take out one that was opened elsewhere.
+        """Remove a flow that was opened by another instance.
 
-        :param flow: its flow; nothing happens if it does not wait.
+        :param flow: the flow's key; ignored if it is not queued.
         """
         if flow in self.flows:
             self.flows.discard(flow)
@@ -82,16 +83,18 @@
                 each for each in self._queue if each.packet.flow != flow
             ]
 
-    def sum_before(self, until: float) -> float:
-        """Sum what those bring that go before a new one.
+    def sum_expected_until(self, deadline: float) -> float:
+        """Sum the expected bytes of the entries ahead of a new one.
 
-        :param until: when its wait would end.
+        :param deadline: the deadline of the new one.
         :returns: bytes.
         """
         return sum(
-            each.size.expected for each in self._queue if each.until <= until
+            each.size.expected_bytes
+            for each in self._queue
+            if each.deadline <= deadline
         )
 
 
-def _get_until(waiter: Waiter) -> float:
-    return waiter.until
+def _get_deadline(waiter: Waiter) -> float:
+    return waiter.deadline
--- a/skylarkfold/tests/affinity/test_link.py
+++ b/skylarkfold/tests/affinity/test_link.py
@@ -156,7 +156,7 @@
         teach(core)
         _, held, _ = press(core, 5.0, 40)
         # Those that were let in never end, and keep the link.
-        core.link._gate.transfers.debt.change(1e9)
+        core.link._gate.transfers.debt.adjust(1e9)
         effects = core.tick(5.0 + WAIT_SECONDS + 0.001)
         flows = [samples.build_flow(port) for port in held]
         self.assertEqual(flows, samples.list_resets(effects))
--- a/skylarkfold/tests/room/test_bulk_admission.py
+++ b/skylarkfold/tests/room/test_bulk_admission.py
@@ -1,10 +1,9 @@
-"""Tests of what bulk is let in: uploads that press an instance's own link.
+"""Tests of bulk admission: uploads that overload an instance's own link.
 
-Callers of uploads don't slow down on a full link, so a press of them makes
-everybody behind them late. The bounds are callers' aims: live requests want
-an answer within 453 ms, of which the link may take 100; uploads within
-1,345 ms, of which 40% may pass before they are let in; whoever is refused
-wants to know at once; and neither kind may shut out the other one.
+Callers of uploads don't slow down on a full link and would delay all traffic
+behind them. Target response times: 453 ms for live requests, of which the
+link may take 100; 1,345 ms for uploads, of which admission may take 40%.
+Refusals must come quickly, and neither kind may starve the other.
 """
 
 import random
@@ -36,120 +35,125 @@
     return max(1, min(MOST_BYTES, int(size)))
 
 
-def play(rate, per_second, seed=1, live_every=LIVE_EVERY, **fields):
-    """Play uploads at random times beside live packets."""
+def simulate(rate, per_second, seed=1, live_every=LIVE_EVERY, **fields):
+    """Simulate uploads at random times beside live packets."""
     source = random.Random(seed)
-    playing = link.Play(rate, **fields)
-    playing.at(0.0, playing.live, live_every, SECONDS)
-    playing.at(0.0, playing.tick, SECONDS)
+    simulation = link.LinkSimulation(rate, **fields)
+    simulation.schedule(0.0, simulation.send_live, live_every, SECONDS)
+    simulation.schedule(0.0, simulation.tick, SECONDS)
     now = 0.0
-    playing.offered = 0
+    simulation.offered = 0
     while now < SECONDS:
-        playing.offered += 1
-        number = 100 + playing.offered
-        playing.at(now, playing.upload, number, draw_bytes(source))
+        simulation.offered += 1
+        number = 100 + simulation.offered
+        simulation.schedule(
+            now, simulation.start_upload, number, draw_bytes(source)
+        )
         now += source.expovariate(per_second)
-    playing.run(SECONDS)
-    return playing
+    simulation.run(SECONDS)
+    return simulation
 
 
-def compute_goodput(playing):
-    """Compute the share of the link that uploads which ended took."""
+def compute_goodput(simulation):
+    """Compute the share of the link that finished uploads took."""
     return (
-        sum(size for _, size, _ in playing.finished) / SECONDS / playing.rate
+        sum(size for _, size, _ in simulation.finished)
+        / SECONDS
+        / simulation.rate
     )
 
 
-class PressTest(testtools.TestCase):
-    def test_without_a_gate_everybody_is_late(self):
-        # Else the others would show nothing.
-        playing = play(SMALL, 25, is_gated=False)
-        delays = sorted(playing.delays)
+class OverloadTest(testtools.TestCase):
+    def test_without_admission_live_packets_are_late(self):
+        # Control: shows that the load of the other tests overloads the link.
+        simulation = simulate(SMALL, 25, has_admission=False)
+        delays = sorted(simulation.delays)
         self.assertGreater(delays[len(delays) // 2], 0.453)
 
-    def test_live_packets_wait_little_and_the_link_is_used(self):
+    def test_live_packets_are_on_time_and_the_link_is_used(self):
         for per_second in (16, 25, 64):
             for seed in (1, 2, 3):
-                playing = play(SMALL, per_second, seed)
-                self.assertLess(max(playing.delays), LIVE_DELAY_SECONDS)
-                self.assertGreater(compute_goodput(playing), 0.6)
+                simulation = simulate(SMALL, per_second, seed)
+                self.assertLess(max(simulation.delays), LIVE_DELAY_SECONDS)
+                self.assertGreater(compute_goodput(simulation), 0.6)
 
-    def test_what_is_let_in_stays_within_its_aim(self):
-        playing = play(SMALL, 25)
-        seconds = sorted(each for _, _, each in playing.finished)
+    def test_admitted_uploads_meet_their_target_time(self):
+        simulation = simulate(SMALL, 25)
+        seconds = sorted(each for _, _, each in simulation.finished)
         late = sum(each > AIM_SECONDS for each in seconds)
         self.assertLess(late / len(seconds), 0.02)
 
-    def test_what_is_on_its_way_stays_below_the_bound(self):
+    def test_bytes_in_flight_stay_below_the_limit(self):
         settings = rooms.RoomSettings()
-        playing = play(SMALL, 25)
+        simulation = simulate(SMALL, 25)
         bound = settings.queue_seconds * SMALL
-        self.assertLessEqual(playing.most_on_way, bound)
+        self.assertLessEqual(simulation.max_bytes_in_flight, bound)
 
-    def test_most_that_are_refused_are_told_at_once(self):
-        playing = play(SMALL, 25)
-        waits = [each for _, each in playing.refused]
+    def test_most_refusals_come_at_once(self):
+        simulation = simulate(SMALL, 25)
+        waits = [each for _, each in simulation.refused]
         self.assertGreater(len(waits), 50)
         at_once = sum(each < LIVE_DELAY_SECONDS for each in waits)
         self.assertGreater(at_once / len(waits), 0.8)
-        # A tick and the way here beside the wait itself.
+        # The wait itself, the transit time and one tick.
         most = WAIT_SECONDS + LIVE_DELAY_SECONDS + 0.01
         self.assertLess(max(waits), most)
 
-    def test_each_one_has_one_end(self):
-        playing = play(SMALL, 25)
-        finished = {number for number, _, _ in playing.finished}
-        refused = [number for number, _ in playing.refused]
+    def test_each_upload_ends_once(self):
+        simulation = simulate(SMALL, 25)
+        finished = {number for number, _, _ in simulation.finished}
+        refused = [number for number, _ in simulation.refused]
         self.assertEqual(len(refused), len(set(refused)))
         self.assertEqual(set(), finished & set(refused))
         ended = len(finished) + len(refused)
-        self.assertLess(playing.offered - ended, 20)
+        self.assertLess(simulation.offered - ended, 20)
 
-    def test_a_link_with_room_refuses_nobody(self):
+    def test_a_link_with_headroom_refuses_nothing(self):
         for rate, per_second in ((SMALL, 4), (LARGE, 16)):
-            playing = play(rate, per_second)
-            self.assertEqual([], playing.refused)
+            simulation = simulate(rate, per_second)
+            self.assertEqual([], simulation.refused)
 
     def test_on_a_wide_link_uploads_are_not_bulk(self):
-        playing = play(LARGE, 16)
-        self.assertEqual(0, playing.most_on_way)
+        simulation = simulate(LARGE, 16)
+        self.assertEqual(0, simulation.max_bytes_in_flight)
 
-    def test_a_press_on_a_wide_link_of_what_is_bulk_there(self):
+    def test_overload_of_a_wide_link(self):
         settings = rooms.RoomSettings(bulk_seconds=0.001)
-        playing = play(LARGE, 320, settings=settings)
-        self.assertLess(max(playing.delays), LIVE_DELAY_SECONDS)
-        self.assertGreater(compute_goodput(playing), 0.6)
-
-    def test_after_a_restart_the_first_ones_teach(self):
-        # Before a size is known all are let in: as many as come within the
-        # time of one upload.
-        playing = play(SMALL, 64)
-        early = playing.delays[: int(1.0 / LIVE_EVERY)]
+        simulation = simulate(LARGE, 320, settings=settings)
+        self.assertLess(max(simulation.delays), LIVE_DELAY_SECONDS)
+        self.assertGreater(compute_goodput(simulation), 0.6)
+
+    def test_the_first_uploads_after_a_restart(self):
+        # Until the size of a route is known, all are admitted: those that
+        # arrive within the time of one upload.
+        simulation = simulate(SMALL, 64)
+        early = simulation.delays[: int(1.0 / LIVE_EVERY)]
         self.assertLess(max(early), LIVE_DELAY_SECONDS)
 
 
-class BothWaysTest(testtools.TestCase):
-    def test_live_kinds_go_first(self):
-        # 360 bytes a millisecond: 58% of the link; 80% may be full in all.
-        playing = play(SMALL, 16, live_every=0.001)
-        delays = sorted(playing.delays)
+class StarvationTest(testtools.TestCase):
+    def test_live_packets_go_first(self):
+        # 360 bytes per millisecond are 58% of the link, which counts as full
+        # at 80%.
+        simulation = simulate(SMALL, 16, live_every=0.001)
+        delays = sorted(simulation.delays)
         self.assertLess(delays[int(0.9 * len(delays))], LIVE_DELAY_SECONDS)
 
-    def test_however_long_they_press_bulk_has_its_least_share(self):
-        playing = play(SMALL, 16, live_every=0.0006)
+    def test_bulk_gets_its_least_share_under_live_load(self):
+        simulation = simulate(SMALL, 16, live_every=0.0006)
         least = rooms.RoomSettings().bulk_least_share
-        opened = sum(playing.opened) / SECONDS / SMALL
-        self.assertGreater(opened, 0.8 * least)
-
-    def test_and_no_more_than_that(self):
-        # Live kinds fill 82% of the link: beside the least share there is
-        # room for them, and their queue does not grow.
-        playing = play(SMALL, 25, live_every=0.0007)
-        last = playing.delays[-len(playing.delays) // 4 :]
+        admitted_share = sum(simulation.admitted_sizes) / SECONDS / SMALL
+        self.assertGreater(admitted_share, 0.8 * least)
+
+    def test_bulk_gets_no_more_under_live_load(self):
+        # Live packets fill 82% of the link; beside the least share of bulk
+        # they still fit, so their queue must not grow.
+        simulation = simulate(SMALL, 25, live_every=0.0007)
+        last = simulation.delays[-len(simulation.delays) // 4 :]
         self.assertLess(max(last), 0.453)
 
 
-class GateTest(testtools.TestCase):
+class BulkAdmissionTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.settings = rooms.RoomSettings()
@@ -157,7 +161,7 @@
         self.gate = rooms.BulkAdmission(self.settings, self.room)
 
     def bring(self, number, now=0.0, size=MEAN_BYTES, address=link.BULK):
-        """Bring an upload from its first packet to its answer."""
+        """Pass the packets of an upload, from the first one to its answer."""
         sequence = 0
         while sequence < size:
             length = min(1200, size - sequence)
@@ -170,7 +174,7 @@
     def teach(self, size=MEAN_BYTES):
         for number in range(3):
             self.bring(number, 0.0, size)
-        # What that took of the link is paid for.
+        # By then the debt of these uploads is paid down.
         self.assertIsNone(self.decide(9, 0.0 + 2.0))
 
     def decide(self, number, now, copies=0, aim=AIM_SECONDS):
@@ -181,14 +185,14 @@
         self.gate.begin(now, link.Packet(number))
 
     def fill(self, now):
-        """Let in as much as there is room for; the next one waits."""
+        """Admit flows until one has to wait; return its number."""
         number = 100
         while self.decide(number, now) is None:
             self.begin(number, now)
             number += 1
         return number
 
-    def test_small_requests_are_never_held(self):
+    def test_small_requests_never_wait(self):
         for number in range(3):
             self.bring(number, 0.0, 300)
         for number in range(1000):
@@ -210,7 +214,7 @@
             self.bring(number, number * 1.0, 300)
         self.assertIsNone(self.gate.transfers.find_bulk(link.BULK))
 
-    def test_a_copy_of_one_that_waits_counts_once(self):
+    def test_a_retransmission_is_queued_once(self):
         self.teach()
         number = self.fill(2.0)
         self.assertEqual(1, self.gate.waiting_count)
@@ -218,7 +222,7 @@
         self.assertEqual('repeated', again.outcome)
         self.assertEqual(1, self.gate.waiting_count)
 
-    def test_a_copy_may_wait_only_for_what_is_left_to_its_caller(self):
+    def test_a_retransmission_has_a_shorter_wait_limit(self):
         self.teach()
         self.fill(2.0)
         self.gate.pop_late(9.0)
@@ -229,7 +233,7 @@
         self.assertAlmostEqual(WAIT_SECONDS, limits[0])
         self.assertAlmostEqual(WAIT_SECONDS - 0.2, limits[1])
 
-    def test_one_opened_elsewhere_waits_no_more(self):
+    def test_a_flow_opened_elsewhere_leaves_the_queue(self):
         self.teach()
         number = self.fill(2.0)
         self.assertEqual(1, self.gate.waiting_count)
@@ -238,7 +242,7 @@
         self.assertEqual(0, self.gate.waiting_count)
         self.assertFalse(self.gate.is_waiting(packet.flow))
 
-    def test_they_are_let_in_in_the_order_in_which_they_came(self):
+    def test_admission_keeps_the_order_of_arrival(self):
         self.teach()
         number = self.fill(2.0)
         came = [number] + [
@@ -257,11 +261,11 @@
         flows = [link.Packet(each).flow for each in came]
         self.assertEqual(flows, let_in)
 
-    def test_a_transfer_that_stops_holds_its_bytes_no_more(self):
+    def test_a_stopped_transfer_frees_its_bytes(self):
         self.teach()
         last = self.fill(2.0)
         for number in range(100, last):
-            # Some data has come, then nothing.
+            # One data packet arrives, then nothing more.
             packet = link.Packet(number, 1200, 0, acknowledged=7)
             self.gate.handle_packet(2.0, packet, packet.address, True)
         self.assertGreater(self.gate.transfers.on_way, 0)
@@ -270,7 +274,7 @@
         self.gate.pop_ready(3.1)
         self.assertEqual(0, len(self.gate.transfers))
 
-    def test_one_that_never_opens_holds_its_bytes_no_more(self):
+    def test_a_transfer_that_never_opens_frees_its_bytes(self):
         self.teach()
         self.fill(2.0)
         self.gate.pop_late(9.0)
@@ -279,7 +283,7 @@
         self.gate.pop_ready(3.1)
         self.assertEqual(0, self.gate.transfers.on_way)
 
-    def test_it_says_when_the_next_one_may_be_let_in(self):
+    def test_find_due_leads_to_the_next_admission(self):
         self.teach()
         self.assertIsNone(self.gate.find_due(2.0))
         self.fill(2.0)
@@ -293,7 +297,7 @@
             self.assertLess(steps, 100)
         self.assertLessEqual(now, 2.0 + WAIT_SECONDS + 0.01)
 
-    def test_the_room_for_those_that_wait_is_bounded(self):
+    def test_the_queue_is_bounded(self):
         self.settings.wait_limit = 2
         self.settings.wait_share = 100.0
         self.settings.wait_seconds = 100.0
@@ -304,13 +308,13 @@
             ['waits', 'refused'], [each.outcome for each in outcomes]
         )
 
-    def test_a_route_that_is_gone_is_forgotten(self):
+    def test_a_removed_route_is_dropped(self):
         self.teach()
         self.assertIsNotNone(self.gate.transfers.find_bulk(link.BULK))
         self.gate.keep_routes({link.LIVE})
         self.assertIsNone(self.gate.transfers.find_bulk(link.BULK))
 
-    def test_one_upload_larger_than_the_queue_is_let_in_alone(self):
+    def test_an_upload_larger_than_the_queue_is_admitted_alone(self):
         self.teach(MOST_BYTES * 4)
         self.begin(9, 2.0)
         self.assertIsNotNone(self.decide(10, 2.0))
--- a/skylarkfold/tests/room/test_transfer_tracker.py
+++ b/skylarkfold/tests/room/test_transfer_tracker.py
@@ -1,9 +1,8 @@
-"""Tests of the accounts of transfers on their way through an instance.
+"""Tests of the tracking of bulk transfers.
 
-What is counted decides who is let in: bytes that were never given back would
-shut bulk out for ever, bytes given back twice would let in too much. So the
-accounts are compared with a plain list of what is under way, for callers
-that stop, repeat, end and move in any order.
+Bytes in flight that are never released would block bulk for ever; bytes that
+are released twice would admit too much. The tracker is compared with a plain
+model, for callers that stop, retransmit, end and move in any order.
 """
 
 import hypothesis
@@ -24,8 +23,8 @@
 
 
 def build_transfers():
-    """Build transfers that know one bulk route."""
-    transfers = _transfer_tracker.Transfers(rooms.RoomSettings(), RATE)
+    """Build a tracker that knows one bulk route."""
+    transfers = _transfer_tracker.TransferTracker(rooms.RoomSettings(), RATE)
     for number in range(3):
         sequence = 0
         while sequence < MEAN_BYTES:
@@ -34,15 +33,16 @@
             sequence += 1200
         packet = link.Packet(number, acknowledged=9)
         transfers.handle_packet(0.0, packet, link.BULK, False)
-    transfers.debt.pay(99.0, RATE)
+    transfers.debt.pay_down(99.0, RATE)
     return transfers
 
 
 class PlainList:
-    """What is under way, in the plainest form."""
+    """A plain model of the transfers that are tracked."""
 
     def __init__(self):
-        # By number: seen at, longest packet, whether more is on its way.
+        # By number: time of the last packet, longest packet, and whether more
+        # is in flight.
         self.under_way = {}
 
     def expire(self, now):
@@ -90,7 +90,7 @@
 )
 
 
-class TransfersTest(testtools.TestCase):
+class TransferTrackerTest(testtools.TestCase):
     @hypothesis.given(steps=STEPS)
     def test_accounts_agree_with_a_plain_list(self, steps):
         transfers = build_transfers()
@@ -117,7 +117,7 @@
         self.assertEqual(0, len(transfers))
         self.assertEqual(0, transfers.on_way)
 
-    def test_what_was_charged_is_what_came(self):
+    def test_the_bytes_received_are_charged(self):
         transfers = build_transfers()
         size = transfers.find_bulk(link.BULK)
         for brought in (1200, MEAN_BYTES, 5 * MEAN_BYTES):
@@ -146,7 +146,7 @@
         )
         self.assertAlmostEqual(1200, transfers.debt.amount, places=3)
 
-    def test_one_that_moved_elsewhere_does_not_make_its_route_small(self):
+    def test_a_transfer_that_moved_away_does_not_lower_the_mean(self):
         transfers = build_transfers()
         size = transfers.find_bulk(link.BULK)
         before = size.mean
@@ -159,7 +159,7 @@
             transfers.expire(now + SILENT_SECONDS)
         self.assertEqual(before, size.mean)
 
-    def test_one_that_came_from_elsewhere_counts_but_teaches_nothing(self):
+    def test_a_transfer_that_moved_here_is_tracked_but_not_learnt(self):
         transfers = build_transfers()
         size = transfers.find_bulk(link.BULK)
         before = size.mean
@@ -172,17 +172,19 @@
         self.assertEqual(before, size.mean)
         self.assertEqual(0, len(transfers))
 
-    def test_numbers_wrap_around(self):
+    def test_sequence_numbers_wrap_around(self):
         size = _transfer.TransferSize(3125.0)
         transfer = _transfer.Transfer(b'', size, 0.0)
         begin = (1 << 32) - 1800
         for sequence in (begin, begin + 1200, 600):
             packet = link.Packet(1, 1200, sequence % (1 << 32))
-            transfer.take_data(0.0, packet)
-        self.assertEqual(3600, transfer.brought)
+            transfer.record_data(0.0, packet)
+        self.assertEqual(3600, transfer.received_bytes)
 
-    def test_what_a_route_is_not_known_for_costs_one_object(self):
-        transfers = _transfer_tracker.Transfers(rooms.RoomSettings(), RATE)
+    def test_small_requests_are_not_tracked(self):
+        transfers = _transfer_tracker.TransferTracker(
+            rooms.RoomSettings(), RATE
+        )
         for number in range(1000):
             packet = link.Packet(number, 300, 0)
             transfers.handle_packet(0.0, packet, link.BULK, True)
