--- a/skylarkfold/room/_admission.py
+++ b/skylarkfold/room/_admission.py
@@ -75,8 +75,8 @@
     """
 
     __slots__ = (
-        '_queue_bytes',
         '_headroom',
+        '_queue_bytes',
         '_settings',
         '_waiting',
         'transfers',
--- a/skylarkfold/room/_link.py
+++ b/skylarkfold/room/_link.py
@@ -13,10 +13,10 @@
     """
 
     __slots__ = (
-        '_updated_at',
         '_received',
         '_seconds',
         '_sent',
+        '_updated_at',
         'bytes_per_second',
     )
 
--- a/skylarkfold/room/_loss.py
+++ b/skylarkfold/room/_loss.py
@@ -15,7 +15,12 @@
     :param seconds: the time constant of the decay.
     """
 
-    __slots__ = ('_answered', '_updated_at', '_lost', '_seconds')
+    __slots__ = (
+        '_answered',
+        '_lost',
+        '_seconds',
+        '_updated_at',
+    )
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
--- a/skylarkfold/room/_transfer.py
+++ b/skylarkfold/room/_transfer.py
@@ -38,10 +38,10 @@
         '_bulk_bytes',
         '_count',
         'is_bulk',
-        'mean',
         'largest_partial_bytes',
-        'sample',
+        'mean',
         'next_sample_at',
+        'sample',
     )
 
     def __init__(self, bulk_bytes: float) -> None:
@@ -92,11 +92,11 @@
                 self.expected_bytes > _LARGE_TRANSFER_FACTOR * self._bulk_bytes
             )
 
-    def may_sample(self, now: float, flow: bytes) -> bool:
+    def may_sample(self, now: float, key: bytes) -> bool:
         """Tell whether a packet is of interest for the estimate.
 
         :param now: the time.
-        :param flow: the key of its flow.
+        :param key: the key of its flow.
         :returns: whether its flow is being measured, or a new measurement
             may begin.
         """
@@ -104,8 +104,7 @@
         if sample is None:
             return now >= self.next_sample_at
         return (
-            sample.flow == flow
-            or now >= sample.last_packet_at + SILENT_SECONDS
+            sample.key == key or now >= sample.last_packet_at + SILENT_SECONDS
         )
 
     def stop_sampling(self, now: float) -> None:
@@ -122,7 +121,7 @@
 class Transfer:
     """The bytes of one request that pass through this instance.
 
-    :param flow: the key of its flow.
+    :param key: the key of its flow.
     :param size: the estimate of its route.
     :param now: the time.
     :ivar first_sequence: the sequence number of its first byte; None before
@@ -138,18 +137,18 @@
     __slots__ = (
         '_longest_length',
         'acknowledged',
-        'first_sequence',
-        'received_bytes',
         'charged_bytes',
-        'is_paused',
+        'first_sequence',
         'has_start',
-        'flow',
+        'is_paused',
+        'key',
         'last_packet_at',
+        'received_bytes',
         'size',
     )
 
-    def __init__(self, flow: bytes, size: TransferSize, now: float) -> None:
-        self.flow = flow
+    def __init__(self, key: bytes, size: TransferSize, now: float) -> None:
+        self.key = key
         self.size = size
         self.last_packet_at = now
         self.first_sequence: int | None = None
--- a/skylarkfold/room/_transfer_tracker.py
+++ b/skylarkfold/room/_transfer_tracker.py
@@ -33,9 +33,9 @@
     __slots__ = (
         '_active',
         '_bulk_bytes',
-        '_meter',
         '_debt_limit',
         '_in_flight_count',
+        '_meter',
         '_pause_seconds',
         '_sizes',
         '_window_bytes',
@@ -92,19 +92,19 @@
         return self._meter.compute_share(now)
 
     def begin(
-        self, now: float, flow: bytes, size: _transfer.TransferSize
+        self, now: float, key: bytes, size: _transfer.TransferSize
     ) -> None:
         """Track a transfer that is admitted.
 
         :param now: the time.
-        :param flow: the key of its flow.
+        :param key: the key of its flow.
         :param size: the size estimate of its route.
         """
-        self._end(flow)
-        transfer = _transfer.Transfer(flow, size, now)
+        self._end(key)
+        transfer = _transfer.Transfer(key, size, now)
         transfer.charged_bytes = size.expected_bytes
         self.debt.adjust(size.expected_bytes)
-        self._active[flow] = transfer
+        self._active[key] = transfer
         self._in_flight_count += 1
 
     def handle_packet(
@@ -145,9 +145,9 @@
         :param is_short: whether the instance lacks headroom; packets may then
             be queued on the link, so no transfer is marked as paused.
         """
-        for flow, transfer in list(self._active.items()):
+        for key, transfer in list(self._active.items()):
             if now >= transfer.last_packet_at + _transfer.SILENT_SECONDS:
-                self._end(flow, is_lost=True)
+                self._end(key, is_lost=True)
             elif not is_short and now >= self._compute_pause_time(transfer):
                 self._set_paused(transfer, True)
 
@@ -194,7 +194,7 @@
     ) -> None:
         """Track a transfer that did not pass admission."""
         transfer = size.sample
-        if transfer is not None and transfer.flow == packet.flow:
+        if transfer is not None and transfer.key == packet.flow:
             size.stop_sampling(now)
         else:
             transfer = _transfer.Transfer(packet.flow, size, now)
@@ -224,8 +224,8 @@
             transfer.is_paused = is_paused
             self._in_flight_count += -1 if is_paused else 1
 
-    def _end(self, flow: bytes, is_lost: bool = False) -> None:
-        transfer = self._active.pop(flow, None)
+    def _end(self, key: bytes, is_lost: bool = False) -> None:
+        transfer = self._active.pop(key, None)
         if transfer is None:
             return
         self._set_paused(transfer, True)
@@ -248,7 +248,7 @@
         if is_start and packet.length and not packet.is_last:
             size.sample = _transfer.Transfer(packet.flow, size, now)
             size.sample.record_data(now, packet)
-    elif sample.flow != packet.flow:
+    elif sample.key != packet.flow:
         size.stop_sampling(now)
     elif packet.is_last or sample.is_answered(packet.acknowledged):
         size.learn(sample.received_bytes)
--- a/skylarkfold/room/_wait_queue.py
+++ b/skylarkfold/room/_wait_queue.py
@@ -17,7 +17,12 @@
     :param deadline: when it is to be refused.
     """
 
-    __slots__ = ('packet', 'since', 'size', 'deadline')
+    __slots__ = (
+        'deadline',
+        'packet',
+        'since',
+        'size',
+    )
 
     def __init__(
         self,
@@ -41,7 +46,7 @@
     :ivar flows: the keys of the queued flows.
     """
 
-    __slots__ = ('flows', '_queue')
+    __slots__ = ('_queue', 'flows')
 
     def __init__(self) -> None:
         self._queue: list[Waiter] = []
--- a/skylarkfold/shares/_caller_shares.py
+++ b/skylarkfold/shares/_caller_shares.py
@@ -14,12 +14,12 @@
 from skylarkfold.shares import _report
 from skylarkfold.shares import _settings
 
-_MOST_WORD_BYTES = 4096
+_MAX_REPORT_BYTES = 4096
 # Callers that ask for more than this part of the level are named: neighbours
 # must agree on who is above its share, of which each sees a sample. To other
 # zones those below the level are as good as their total.
-_NEAR_LEVEL = 0.5
-_FAR_LEVEL = 0.8
+_NEIGHBOUR_NAMING_LEVEL = 0.5
+_ZONE_NAMING_LEVEL = 0.8
 
 
 class Capacity:
@@ -59,13 +59,13 @@
     """
 
     __slots__ = (
+        '_checked',
         '_counts',
         '_fleet',
-        '_judged',
-        '_own',
+        '_local_demand',
+        '_reports',
         '_settings',
         '_shares',
-        '_words',
         'demand',
         'other_zones',
         'other_zones_at',
@@ -77,13 +77,13 @@
         self._counts = _count.CallerCounts(
             settings.callers, settings.window_seconds
         )
-        self._words = _demand_view.PeerWords(settings.word_seconds)
+        self._reports = _demand_view.PeerReports(settings.word_seconds)
         self._fleet = _demand_view.FleetSize(0, 1)
         # Slots and requests a second that were counted here, by service.
-        self._own: dict[int, tuple[float, float]] = {}
+        self._local_demand: dict[int, tuple[float, float]] = {}
         # Of services that are short of room.
         self._shares: dict[int, dict[int, _kind_shares.KindShares]] = {}
-        self._judged: dict[
+        self._checked: dict[
             tuple[_count.Kind, bytes], _over_share.OverShare | None
         ] = {}
         self.demand = b''
@@ -97,7 +97,7 @@
         :param settings: the settings.
         """
         self._settings = settings
-        self._judged.clear()
+        self._checked.clear()
 
     def note(
         self,
@@ -136,14 +136,14 @@
             return None
         kind = (service, priority)
         key = (kind, caller)
-        if key not in self._judged:
-            opening = self._counts.measure_opening(kind, caller)
-            if len(self._judged) >= self._settings.callers:
-                self._judged.clear()
-            self._judged[key] = shares[priority].check_share(
-                now, caller, opening
+        if key not in self._checked:
+            new_flow_share = self._counts.measure_new_flow_share(kind, caller)
+            if len(self._checked) >= self._settings.callers:
+                self._checked.clear()
+            self._checked[key] = shares[priority].check_share(
+                now, caller, new_flow_share
             )
-        return self._judged[key]
+        return self._checked[key]
 
     def handle_report(
         self,
@@ -163,24 +163,24 @@
         :param data: the word.
         :returns: whether it can be true; any other is left out.
         """
-        if not 0.0 <= age_seconds or len(data) > _MOST_WORD_BYTES:
+        if not 0.0 <= age_seconds or len(data) > _MAX_REPORT_BYTES:
             return False
-        word = _report.unpack(data)
-        if word is None:
+        report = _report.unpack(data)
+        if report is None:
             return False
         if age_seconds <= self._settings.word_seconds:
-            self._words.take(now - age_seconds, source, is_zone, word)
+            self._reports.record(now - age_seconds, source, is_zone, report)
         return True
 
     def list_services(self) -> set[int]:
         """List the services that are asked for, here or at peers."""
-        kinds = {*self._counts.list_kinds(), *self._words.list_kinds()}
+        kinds = {*self._counts.list_kinds(), *self._reports.list_kinds()}
         return {service for service, _ in kinds}
 
     def refresh(
         self,
         now: float,
-        rooms: Mapping[int, Capacity],
+        capacities: Mapping[int, Capacity],
         fleet: _demand_view.FleetSize,
     ) -> None:
         """Work out the shares and what peers are told.
@@ -191,28 +191,32 @@
         :param fleet: how many instances there are.
         """
         self._counts.expire(now)
-        self._words.expire(now)
-        self._own = self._counts.measure_services(now)
+        self._reports.expire(now)
+        self._local_demand = self._counts.measure_services(now)
         self._fleet = fleet
         self._shares.clear()
-        self._judged.clear()
-        word: _report.Word = {}
-        zone_word: _report.Word = {}
-        for service, views in self._list_views(now, rooms).items():
-            room = rooms[service]
-            shares = _kind_shares.divide(views, room.slots, self._settings)
+        self._checked.clear()
+        report: _report.Report = {}
+        zone_report: _report.Report = {}
+        for service, views in self._list_views(now, capacities).items():
+            capacity = capacities[service]
+            shares = _kind_shares.divide_slots(
+                views, capacity.slots, self._settings
+            )
             demand = sum(view.all.total for view in views.values())
-            if demand > self._settings.short_share * room.slots:
+            if demand > self._settings.short_share * capacity.slots:
                 self._shares[service] = shares
-            if self._must_tell(service, demand, room):
-                self._tell(service, shares, word, zone_word)
-        self.demand = _report.pack(word) if word and fleet.mates else b''
-        is_far = fleet.zones > 1
+            if self._needs_report(service, demand, capacity):
+                self._add_to_reports(service, shares, report, zone_report)
+        self.demand = _report.pack(report) if report and fleet.mates else b''
+        has_other_zones = fleet.zones > 1
         self.zone_demand = (
-            _report.pack(zone_word) if zone_word and is_far else b''
+            _report.pack(zone_report)
+            if zone_report and has_other_zones
+            else b''
         )
-        self.other_zones_at, elsewhere = self._words.sum_zones()
-        self.other_zones = _report.pack(elsewhere)
+        self.other_zones_at, zone_sum = self._reports.sum_zones()
+        self.other_zones = _report.pack(zone_sum)
 
     def list_gauges(self) -> dict[str, float]:
         """List what is known now.
@@ -237,19 +241,21 @@
         }
 
     def _list_views(
-        self, now: float, rooms: Mapping[int, Capacity]
+        self, now: float, capacities: Mapping[int, Capacity]
     ) -> dict[int, dict[int, _demand_view.KindView]]:
         """View what is asked for of services that may be short of room."""
-        heard = self._words.list_kinds()
-        watched = {service for service, _ in heard}
-        for service in self.list_services() - watched:
-            room = rooms.get(service)
-            if room is not None and self._must_tell(service, 0.0, room):
-                watched.add(service)
+        reported_kinds = self._reports.list_kinds()
+        watched_services = {service for service, _ in reported_kinds}
+        for service in self.list_services() - watched_services:
+            capacity = capacities.get(service)
+            if capacity is not None and self._needs_report(
+                service, 0.0, capacity
+            ):
+                watched_services.add(service)
         kinds = {
             kind
-            for kind in heard.union(self._counts.list_kinds())
-            if kind[0] in watched and kind[0] in rooms
+            for kind in reported_kinds.union(self._counts.list_kinds())
+            if kind[0] in watched_services and kind[0] in capacities
         }
         callers = self._counts.measure_callers(now, kinds)
         # The variance of a decaying count is that of a window twice as long
@@ -258,58 +264,66 @@
         views: dict[int, dict[int, _demand_view.KindView]] = {}
         for kind in kinds:
             service, priority = kind
-            if rooms[service].slots <= 0.0:
+            if capacities[service].slots <= 0.0:
                 continue
             slots, rate = self._counts.measure_kind(now, kind)
             own = _report.Demand(slots, callers.get(kind, {}))
             view = _demand_view.KindView(
-                own, rate, self._words, kind, self._fleet, seconds
+                own, rate, self._reports, kind, self._fleet, seconds
             )
             views.setdefault(service, {})[priority] = view
         return views
 
-    def _must_tell(self, service: int, demand: float, room: Capacity) -> bool:
+    def _needs_report(
+        self, service: int, demand: float, capacity: Capacity
+    ) -> bool:
         """Tell whether peers must know what is asked for here.
 
         :param service: the service.
         :param demand: what is known to be asked for in all.
         :param room: what there is.
         """
-        if max(demand, room.busy) >= self._settings.joined_share * room.slots:
+        if (
+            max(demand, capacity.busy)
+            >= self._settings.joined_share * capacity.slots
+        ):
             return True
         # Before anything is heard, the other instances are taken to be like
         # this one, so far as it has counted enough to tell.
-        slots, rate = self._own.get(service, (0.0, 0.0))
+        slots, rate = self._local_demand.get(service, (0.0, 0.0))
         if not rate:
             return False
         sampled = rate * 2 * self._settings.window_seconds
         deviation = self._settings.certainty / math.sqrt(sampled)
-        certain = slots * max(0.0, 1.0 - deviation)
-        expected = certain * (1 + self._fleet.mates) * self._fleet.zones
-        return expected >= self._settings.short_share * room.slots
+        min_slots = slots * max(0.0, 1.0 - deviation)
+        expected = min_slots * (1 + self._fleet.mates) * self._fleet.zones
+        return expected >= self._settings.short_share * capacity.slots
 
-    def _tell(
+    def _add_to_reports(
         self,
         service: int,
         shares: Mapping[int, _kind_shares.KindShares],
-        word: _report.Word,
-        zone_word: _report.Word,
+        report: _report.Report,
+        zone_report: _report.Report,
     ) -> None:
         for priority, each in shares.items():
             view = each.view
-            names = self._choose(each, _NEAR_LEVEL)
-            word[(service, priority)] = _report.Told(
+            names = self._choose_named_callers(each, _NEIGHBOUR_NAMING_LEVEL)
+            report[(service, priority)] = _report.KindReport(
                 len(view.own.callers),
-                _keep(view.own, names),
-                _keep(view.near, names),
+                _filter_callers(view.own, names),
+                _filter_callers(view.near, names),
             )
-            zone_word[(service, priority)] = _report.Told(
-                view.zone_known,
-                _keep(view.zone, self._choose(each, _FAR_LEVEL)),
+            zone_report[(service, priority)] = _report.KindReport(
+                view.zone_caller_count,
+                _filter_callers(
+                    view.zone,
+                    self._choose_named_callers(each, _ZONE_NAMING_LEVEL),
+                ),
             )
 
-    def _choose(
-        self, shares: _kind_shares.KindShares, least: float
+    def _choose_named_callers(
+        self, shares: _kind_shares.KindShares, min_level: float
     ) -> list[bytes]:
         """Choose the callers that a word names, those near their share.
 
@@ -322,15 +336,21 @@
         callers = shares.view.all.callers
         level = shares.level
         if level == float('inf'):
-            level = shares.room / max(1, len(callers))
-        near = [
-            name for name, slots in callers.items() if slots > least * level
+            level = shares.available_slots / max(1, len(callers))
+        over_threshold = [
+            name
+            for name, slots in callers.items()
+            if slots > min_level * level
+        ]
+        over_threshold.sort(key=lambda name: (-callers[name], name))
+        return over_threshold[
+            : min(self._settings.told_callers, _report.MOST_CALLERS)
         ]
-        near.sort(key=lambda name: (-callers[name], name))
-        return near[: min(self._settings.told_callers, _report.MOST_CALLERS)]
 
 
-def _keep(demand: _report.Demand, names: list[bytes]) -> _report.Demand:
+def _filter_callers(
+    demand: _report.Demand, names: list[bytes]
+) -> _report.Demand:
     callers = demand.callers
     return _report.Demand(
         demand.total,
--- a/skylarkfold/shares/_count.py
+++ b/skylarkfold/shares/_count.py
@@ -10,9 +10,9 @@
 
 # New counts are inflated in place of shrinking the old ones; before numbers
 # become too large for precision all are brought back.
-_MOST_EXPONENT = 64.0
+_MAX_EXPONENT = 64.0
 # What is left of a request after twelve time constants is none.
-_LEAST_SHARE = 6e-6
+_FORGOTTEN_SHARE = 6e-6
 
 
 class CallerCount:
@@ -23,11 +23,11 @@
     :ivar error: how much of ``asked`` may be of callers before it.
     """
 
-    __slots__ = ('asked', 'error', 'opened')
+    __slots__ = ('error', 'new_flow_slot_seconds', 'slot_seconds')
 
-    def __init__(self, asked: float, error: float) -> None:
-        self.asked = asked
-        self.opened = 0.0
+    def __init__(self, slot_seconds: float, error: float) -> None:
+        self.slot_seconds = slot_seconds
+        self.new_flow_slot_seconds = 0.0
         self.error = error
 
 
@@ -38,10 +38,10 @@
     :ivar requests: how many requests that were, inflated.
     """
 
-    __slots__ = ('asked', 'requests')
+    __slots__ = ('requests', 'slot_seconds')
 
     def __init__(self) -> None:
-        self.asked = 0.0
+        self.slot_seconds = 0.0
         self.requests = 0.0
 
 
@@ -55,12 +55,18 @@
     :param window_seconds: time constant of the decay.
     """
 
-    __slots__ = ('_begun_at', '_callers', '_kinds', '_limit', '_window')
+    __slots__ = (
+        '_callers',
+        '_kinds',
+        '_limit',
+        '_scale_start',
+        '_window',
+    )
 
     def __init__(self, limit: int, window_seconds: float) -> None:
         self._limit = max(1, limit)
         self._window = window_seconds
-        self._begun_at: float | None = None
+        self._scale_start: float | None = None
         self._callers: dict[tuple[Kind, bytes], CallerCount] = {}
         self._kinds: dict[Kind, KindCount] = {}
 
@@ -88,14 +94,14 @@
         total = self._kinds.get(kind)
         if total is None:
             total = self._kinds[kind] = KindCount()
-        total.asked += value
+        total.slot_seconds += value
         total.requests += factor
         known = self._callers.get((kind, caller))
         if known is None:
-            known = self._add(kind, caller)
-        known.asked += value
+            known = self._add_caller(kind, caller)
+        known.slot_seconds += value
         if is_new:
-            known.opened += value
+            known.new_flow_slot_seconds += value
 
     def expire(self, now: float) -> None:
         """Forget what has decayed.
@@ -104,11 +110,14 @@
         """
         factor = self._inflate(now)
         for kind, total in list(self._kinds.items()):
-            if total.requests < _LEAST_SHARE * factor:
+            if total.requests < _FORGOTTEN_SHARE * factor:
                 del self._kinds[kind]
         for key, known in list(self._callers.items()):
             total = self._kinds.get(key[0])
-            if total is None or known.asked < _LEAST_SHARE * total.asked:
+            if (
+                total is None
+                or known.slot_seconds < _FORGOTTEN_SHARE * total.slot_seconds
+            ):
                 del self._callers[key]
 
     def list_kinds(self) -> list[Kind]:
@@ -139,7 +148,7 @@
         if total is None:
             return 0.0, 0.0
         scale = self._inflate(now) * self._window
-        return total.asked / scale, total.requests / scale
+        return total.slot_seconds / scale, total.requests / scale
 
     def measure_callers(
         self, now: float, kinds: Container[Kind]
@@ -154,11 +163,11 @@
         measured: dict[Kind, dict[bytes, float]] = {}
         for (kind, caller), known in self._callers.items():
             if kind in kinds:
-                slots = (known.asked - known.error) / scale
+                slots = (known.slot_seconds - known.error) / scale
                 measured.setdefault(kind, {})[caller] = slots
         return measured
 
-    def measure_opening(self, kind: Kind, caller: bytes) -> float:
+    def measure_new_flow_share(self, kind: Kind, caller: bytes) -> float:
         """Tell which share of a caller's requests open a flow.
 
         :param kind: the kind.
@@ -166,35 +175,38 @@
         :returns: between 0 and 1.
         """
         known = self._callers.get((kind, caller))
-        if known is None or known.asked <= known.error:
+        if known is None or known.slot_seconds <= known.error:
             return 1.0
-        return min(1.0, known.opened / (known.asked - known.error))
+        return min(
+            1.0,
+            known.new_flow_slot_seconds / (known.slot_seconds - known.error),
+        )
 
-    def _add(self, kind: Kind, caller: bytes) -> CallerCount:
+    def _add_caller(self, kind: Kind, caller: bytes) -> CallerCount:
         error = 0.0
         if len(self._callers) >= self._limit:
-            least = min(
-                self._callers, key=lambda key: self._callers[key].asked
+            lightest = min(
+                self._callers, key=lambda key: self._callers[key].slot_seconds
             )
-            error = self._callers.pop(least).asked
+            error = self._callers.pop(lightest).slot_seconds
         known = CallerCount(error, error)
         self._callers[(kind, caller)] = known
         return known
 
     def _inflate(self, now: float) -> float:
-        if self._begun_at is None:
-            self._begun_at = now
-        exponent = (now - self._begun_at) / self._window
-        if exponent > _MOST_EXPONENT:
-            self._deflate(math.exp(-min(exponent, 10 * _MOST_EXPONENT)))
-            self._begun_at, exponent = now, 0.0
+        if self._scale_start is None:
+            self._scale_start = now
+        exponent = (now - self._scale_start) / self._window
+        if exponent > _MAX_EXPONENT:
+            self._deflate(math.exp(-min(exponent, 10 * _MAX_EXPONENT)))
+            self._scale_start, exponent = now, 0.0
         return math.exp(exponent)
 
     def _deflate(self, factor: float) -> None:
         for total in self._kinds.values():
-            total.asked *= factor
+            total.slot_seconds *= factor
             total.requests *= factor
         for known in self._callers.values():
-            known.asked *= factor
-            known.opened *= factor
+            known.slot_seconds *= factor
+            known.new_flow_slot_seconds *= factor
             known.error *= factor
--- a/skylarkfold/shares/_demand_view.py
+++ b/skylarkfold/shares/_demand_view.py
@@ -11,14 +11,14 @@
 
 # Sources remembered of each sort: four neighbours, who change at times, and
 # eleven zones at the size that decides. A word takes up to 15 KB when read.
-_MOST_SOURCES = 16
+_MAX_SOURCES = 16
 # The source of what neighbours pass on of all other zones together.
-ELSEWHERE = ''
+ALL_OTHER_ZONES = ''
 # A caller that was counted k times here may have asked for so many times more
 # by chance, in standard deviations; few counts say little.
 _DEVIATIONS = 3.0
 # A total of so many requests is within a tenth.
-_ENOUGH_REQUESTS = 100.0
+_MIN_RELIABLE_REQUESTS = 100.0
 
 
 class FleetSize:
@@ -35,21 +35,21 @@
         self.zones = max(1, zones)
 
 
-class PeerWords:
+class PeerReports:
     """The latest word of each neighbour and of each other zone.
 
     :param word_seconds: how long a word counts.
     """
 
-    __slots__ = ('_mates', '_word_seconds', '_zones')
+    __slots__ = ('_lifetime_seconds', '_mates', '_zones')
 
-    def __init__(self, word_seconds: float) -> None:
-        self._word_seconds = word_seconds
-        self._mates: dict[str, tuple[float, _report.Word]] = {}
-        self._zones: dict[str, tuple[float, _report.Word]] = {}
+    def __init__(self, lifetime_seconds: float) -> None:
+        self._lifetime_seconds = lifetime_seconds
+        self._mates: dict[str, tuple[float, _report.Report]] = {}
+        self._zones: dict[str, tuple[float, _report.Report]] = {}
 
-    def take(
-        self, at: float, source: str, is_zone: bool, word: _report.Word
+    def record(
+        self, at: float, source: str, is_zone: bool, report: _report.Report
     ) -> None:
         """Take a word in place of the source's earlier one.
 
@@ -58,83 +58,85 @@
         :param is_zone: which of them.
         :param word: what it said.
         """
-        words = self._zones if is_zone else self._mates
-        before = words.get(source)
-        if before is None and len(words) >= _MOST_SOURCES:
+        reports = self._zones if is_zone else self._mates
+        before = reports.get(source)
+        if before is None and len(reports) >= _MAX_SOURCES:
             return
         if before is None or at >= before[0]:
-            words[source] = (at, word)
+            reports[source] = (at, report)
 
     def expire(self, now: float) -> None:
         """Forget what is too old.
 
         :param now: the time.
         """
-        oldest = now - self._word_seconds
-        for words in (self._mates, self._zones):
-            for source, (at, _) in list(words.items()):
+        oldest = now - self._lifetime_seconds
+        for reports in (self._mates, self._zones):
+            for source, (at, _) in list(reports.items()):
                 if at < oldest:
-                    del words[source]
+                    del reports[source]
 
     def list_kinds(self) -> set[_count.Kind]:
         """List the kinds that any word tells of."""
         kinds: set[_count.Kind] = set()
-        for words in (self._mates, self._zones):
-            for _, word in words.values():
-                kinds.update(word)
+        for reports in (self._mates, self._zones):
+            for _, report in reports.values():
+                kinds.update(report)
         return kinds
 
     def list_mates(
         self, kind: _count.Kind
-    ) -> Iterator[tuple[float, _report.Told]]:
+    ) -> Iterator[tuple[float, _report.KindReport]]:
         """List what neighbours say of a kind, each with its time."""
-        return _select(self._mates, kind)
+        return _select_kind(self._mates, kind)
 
     def list_zones(
         self, kind: _count.Kind
-    ) -> Iterator[tuple[float, _report.Told]]:
+    ) -> Iterator[tuple[float, _report.KindReport]]:
         """List what other zones say of a kind, each with its time.
 
         Who hears them needs not what neighbours pass on of them.
         """
-        direct = self.list_direct()
-        return _select(direct or self._zones, kind)
+        direct = self.get_direct_zones()
+        return _select_kind(direct or self._zones, kind)
 
-    def list_direct(self) -> dict[str, tuple[float, _report.Word]]:
+    def get_direct_zones(self) -> dict[str, tuple[float, _report.Report]]:
         """List the words of zones that were heard from them."""
         return {
             source: said
             for source, said in self._zones.items()
-            if source != ELSEWHERE
+            if source != ALL_OTHER_ZONES
         }
 
-    def sum_zones(self) -> tuple[float, _report.Word]:
+    def sum_zones(self) -> tuple[float, _report.Report]:
         """Sum up what was heard from other zones, to be passed on.
 
         :returns: when the last of it was said, and the sum.
         """
-        direct = self.list_direct()
-        total: _report.Word = {}
-        for _, word in direct.values():
-            for kind, told in word.items():
+        direct = self.get_direct_zones()
+        total: _report.Report = {}
+        for _, report in direct.values():
+            for kind, kind_report in report.items():
                 before = total.get(kind)
                 if before is None:
-                    total[kind] = told
+                    total[kind] = kind_report
                     continue
-                own = _report.add(before.own, told.own)
-                total[kind] = _report.Told(before.known + told.known, own)
+                own = _report.add(before.own, kind_report.own)
+                total[kind] = _report.KindReport(
+                    before.caller_count + kind_report.caller_count, own
+                )
         # The sum changes with each word: by the oldest, one of few zones would
         # go before a later one of all.
         return max((at for at, _ in direct.values()), default=0.0), total
 
 
-def _select(
-    words: dict[str, tuple[float, _report.Word]], kind: _count.Kind
-) -> Iterator[tuple[float, _report.Told]]:
-    for at, word in words.values():
-        told = word.get(kind)
-        if told is not None:
-            yield at, told
+def _select_kind(
+    reports: dict[str, tuple[float, _report.Report]], kind: _count.Kind
+) -> Iterator[tuple[float, _report.KindReport]]:
+    for at, report in reports.values():
+        kind_report = report.get(kind)
+        if kind_report is not None:
+            yield at, kind_report
 
 
 class KindView:
@@ -158,18 +160,18 @@
     """
 
     __slots__ = (
-        '_heard',
+        '_instance_count',
+        '_reported_demand',
         '_sample_seconds',
-        '_size',
         'all',
-        'known',
+        'caller_count',
         'mean_seconds',
-        'named',
+        'named_callers',
         'near',
+        'oldest_report_at',
         'own',
-        'said_at',
         'zone',
-        'zone_known',
+        'zone_caller_count',
         'zone_part',
     )
 
@@ -177,42 +179,45 @@
         self,
         own: _report.Demand,
         own_rate: float,
-        words: PeerWords,
+        reports: PeerReports,
         kind: _count.Kind,
         fleet: FleetSize,
         sample_seconds: float,
     ) -> None:
         self._sample_seconds = sample_seconds
-        mates = list(words.list_mates(kind))
-        zones = list(words.list_zones(kind))
+        mates = list(reports.list_mates(kind))
+        zones = list(reports.list_zones(kind))
         times = [at for at, _ in (*mates, *zones)]
-        self.said_at = min(times) if times else None
+        self.oldest_report_at = min(times) if times else None
         self.own = own
         self.mean_seconds = own.total / own_rate if own_rate else 0.0
-        self._size = 1 + fleet.mates
+        self._instance_count = 1 + fleet.mates
         self.zone_part = 1.0 / fleet.zones
-        heard = [told.own for _, told in mates]
-        self._heard = functools.reduce(_report.add, heard, own)
-        self.near = mean = _report.average(own, heard)
-        if len(mates) < fleet.mates and mates and self._is_sparse():
+        reported = [kind_report.own for _, kind_report in mates]
+        self._reported_demand = functools.reduce(_report.add, reported, own)
+        self.near = mean = _report.average(own, reported)
+        if len(mates) < fleet.mates and mates and self._has_few_samples():
             # Any mean of samples of the zone's flows is one; that over the
             # neighbours' neighbours is of more of them, but older.
-            near = (told.near for _, told in mates)
+            near = (kind_report.near for _, kind_report in mates)
             mean = _report.average(self.near, near)
-        zone = _report.scale(mean, self._size)
-        most = self._bound(own.total)
+        zone = _report.scale(mean, self._instance_count)
+        most = self._compute_plausible_limit(own.total)
         if zone.total > most:
             zone = _report.scale(zone, most / zone.total)
         self.zone = self.all = zone
-        told = [told for _, told in (*mates, *zones)]
-        self.named = set(own.callers) if not mates else set()
-        for each in told:
-            self.named.update(each.own.callers)
-        known = [len(own.callers), *(told.known for _, told in mates)]
-        self.zone_known = self.known = max(known)
-        for _, told in zones:
-            self.all = _report.add(self.all, told.own)
-            self.known += told.known
+        kind_reports = [kind_report for _, kind_report in (*mates, *zones)]
+        self.named_callers = set(own.callers) if not mates else set()
+        for each in kind_reports:
+            self.named_callers.update(each.own.callers)
+        caller_counts = [
+            len(own.callers),
+            *(kind_report.caller_count for _, kind_report in mates),
+        ]
+        self.zone_caller_count = self.caller_count = max(caller_counts)
+        for _, kind_report in zones:
+            self.all = _report.add(self.all, kind_report.own)
+            self.caller_count += kind_report.caller_count
 
     def measure(self, caller: bytes) -> tuple[float, float]:
         """Tell what a caller asks for.
@@ -222,21 +227,27 @@
             many of its requests were sampled.
         """
         slots = self.all.callers.get(caller, 0.0)
-        slots = min(slots, self._bound(self.own.callers.get(caller, 0.0)))
-        heard = self._heard.callers.get(caller, 0.0)
-        return slots, self._count(heard)
-
-    def _count(self, slots: float) -> float:
+        slots = min(
+            slots,
+            self._compute_plausible_limit(self.own.callers.get(caller, 0.0)),
+        )
+        reported = self._reported_demand.callers.get(caller, 0.0)
+        return slots, self._estimate_sample_count(reported)
+
+    def _estimate_sample_count(self, slots: float) -> float:
         """Tell how many requests a demand was counted from."""
         if not self.mean_seconds:
             return 0.0
         return slots / self.mean_seconds * self._sample_seconds
 
-    def _is_sparse(self) -> bool:
+    def _has_few_samples(self) -> bool:
         """Tell whether too little was sampled for a mean of neighbours."""
-        return self._count(self._heard.total) < _ENOUGH_REQUESTS
+        return (
+            self._estimate_sample_count(self._reported_demand.total)
+            < _MIN_RELIABLE_REQUESTS
+        )
 
-    def _bound(self, own: float) -> float:
+    def _compute_plausible_limit(self, own: float) -> float:
         """Compute the most that is likely by what was counted here.
 
         Routers spread flows over the zone by chance: a word that says far
@@ -245,8 +256,8 @@
         if not self.mean_seconds:
             # Who counted nothing refuses nothing, and passes on what it hears.
             return float('inf')
-        sampled = self._count(own)
+        sampled = self._estimate_sample_count(own)
         deviation = _DEVIATIONS * math.sqrt(sampled + 1.0)
         most = sampled + _DEVIATIONS + deviation
         rate = most / self._sample_seconds
-        return rate * self.mean_seconds * self._size
+        return rate * self.mean_seconds * self._instance_count
--- a/skylarkfold/shares/_fill_level.py
+++ b/skylarkfold/shares/_fill_level.py
@@ -34,7 +34,9 @@
         return min(self.demand, self.cap)
 
 
-def compute_fill_level(room: float, claims: Iterable[ShareRequest]) -> float:
+def compute_fill_level(
+    available_slots: float, requests: Iterable[ShareRequest]
+) -> float:
     """Compute up to which level a room is filled.
 
     Each claim gets the least of its demand, its cap and the level times its
@@ -45,12 +47,12 @@
     :returns: slots for a weight of one; infinite where all find room.
     """
     # Those that are satisfied at the lowest level come first.
-    ordered = sorted(claims, key=lambda each: each.wanted / each.weight)
-    left = max(0.0, room)
-    weights = sum(each.weight * each.count for each in ordered)
+    ordered = sorted(requests, key=lambda each: each.wanted / each.weight)
+    remaining_slots = max(0.0, available_slots)
+    total_weight = sum(each.weight * each.count for each in ordered)
     for each in ordered:
-        if each.wanted * weights > left * each.weight:
-            return left / weights
-        left = max(0.0, left - each.wanted * each.count)
-        weights -= each.weight * each.count
+        if each.wanted * total_weight > remaining_slots * each.weight:
+            return remaining_slots / total_weight
+        remaining_slots = max(0.0, remaining_slots - each.wanted * each.count)
+        total_weight -= each.weight * each.count
     return float('inf')
--- a/skylarkfold/shares/_kind_shares.py
+++ b/skylarkfold/shares/_kind_shares.py
@@ -14,10 +14,10 @@
 # Of its slots, what requests of a later priority may still try for where the
 # earlier ones seem to fill all: their work is estimated, and what does not
 # fit is refused by the estimate of its answer.
-_LEAST_ROOM_SHARE = 0.1
+_MIN_PRIORITY_SHARE = 0.1
 # What other zones tell can't be compared with anything here: of an equal part
 # of the room a zone keeps at least this share.
-_LEAST_ZONE_SHARE = 0.5
+_MIN_ZONE_SHARE = 0.5
 _DAY_SECONDS = 86400.0
 
 
@@ -30,23 +30,28 @@
     :ivar level: what a caller with a weight of one may have, in slots.
     """
 
-    __slots__ = ('_settings', 'level', 'room', 'view')
+    __slots__ = (
+        '_settings',
+        'available_slots',
+        'level',
+        'view',
+    )
 
     def __init__(
         self,
         view: _demand_view.KindView,
-        room: float,
+        available_slots: float,
         settings: _settings.SharesSettings,
     ) -> None:
         self.view = view
-        self.room = room
+        self.available_slots = available_slots
         self._settings = settings
-        claims = self._list_claims(view.all, view.known)
-        level = _fill_level.compute_fill_level(room, claims)
-        own_room = _LEAST_ZONE_SHARE * view.zone_part * room
-        claims = self._list_claims(view.zone, view.zone_known)
+        requests = self._list_requests(view.all, view.caller_count)
+        level = _fill_level.compute_fill_level(available_slots, requests)
+        zone_slots = _MIN_ZONE_SHARE * view.zone_part * available_slots
+        requests = self._list_requests(view.zone, view.zone_caller_count)
         self.level = max(
-            level, _fill_level.compute_fill_level(own_room, claims)
+            level, _fill_level.compute_fill_level(zone_slots, requests)
         )
 
     def compute_share(self, caller: bytes) -> float:
@@ -55,10 +60,12 @@
         :param caller: the caller.
         :returns: slots.
         """
-        return min(self.level * self._weigh(caller), self._cap(caller))
+        return min(
+            self.level * self._get_weight(caller), self._get_cap(caller)
+        )
 
     def check_share(
-        self, now: float, caller: bytes, opening_share: float
+        self, now: float, caller: bytes, new_flow_share: float
     ) -> _over_share.OverShare | None:
         """Tell which share of a caller's new flows is refused.
 
@@ -76,43 +83,49 @@
             return None
         # What it asks on open flows can't be refused, so that new ones make
         # up for it.
-        excess = (1.0 - share / demand) / max(opening_share, 1e-3)
-        said_at = self.view.said_at
-        age = 0.0 if said_at is None else min(now - said_at, _DAY_SECONDS)
+        excess = (1.0 - share / demand) / max(new_flow_share, 1e-3)
+        oldest_report_at = self.view.oldest_report_at
+        age = (
+            0.0
+            if oldest_report_at is None
+            else min(now - oldest_report_at, _DAY_SECONDS)
+        )
         return _over_share.OverShare(
-            demand, share, self.room, min(1.0, excess), age
+            demand, share, self.available_slots, min(1.0, excess), age
         )
 
-    def _weigh(self, caller: bytes) -> float:
+    def _get_weight(self, caller: bytes) -> float:
         return self._settings.weights.find(caller) or 1.0
 
-    def _cap(self, caller: bytes) -> float:
+    def _get_cap(self, caller: bytes) -> float:
         cap = self._settings.caps_per_second.find(caller)
         if cap is None:
             return float('inf')
         return cap * self.view.mean_seconds
 
-    def _list_claims(
-        self, demand: _report.Demand, known: int
+    def _list_requests(
+        self, demand: _report.Demand, caller_count: int
     ) -> list[_fill_level.ShareRequest]:
-        named = self.view.named
-        claims = []
-        rest = demand.total
-        for caller in named:
+        named_callers = self.view.named_callers
+        requests = []
+        unnamed_demand = demand.total
+        for caller in named_callers:
             slots = demand.callers.get(caller, 0.0)
-            rest -= slots
-            weight, cap = self._weigh(caller), self._cap(caller)
-            claims.append(_fill_level.ShareRequest(slots, weight, cap))
-        if rest > 0.0:
+            unnamed_demand -= slots
+            weight, cap = self._get_weight(caller), self._get_cap(caller)
+            requests.append(_fill_level.ShareRequest(slots, weight, cap))
+        if unnamed_demand > 0.0:
             # Of the others only the number is known.
-            count = max(1, known - len(named))
-            claims.append(
-                _fill_level.ShareRequest(rest / count, count=float(count))
+            count = max(1, caller_count - len(named_callers))
+            requests.append(
+                _fill_level.ShareRequest(
+                    unnamed_demand / count, count=float(count)
+                )
             )
-        return claims
+        return requests
 
 
-def divide(
+def divide_slots(
     views: Mapping[int, _demand_view.KindView],
     slots: float,
     settings: _settings.SharesSettings,
@@ -124,11 +137,11 @@
     :param settings: how full it is filled.
     :returns: the shares, by priority.
     """
-    left = settings.filled_share * slots
+    remaining_slots = settings.filled_share * slots
     shares = {}
     for priority in sorted(views):
         view = views[priority]
-        room = max(left, _LEAST_ROOM_SHARE * slots)
-        shares[priority] = KindShares(view, room, settings)
-        left = max(0.0, left - view.all.total)
+        available_slots = max(remaining_slots, _MIN_PRIORITY_SHARE * slots)
+        shares[priority] = KindShares(view, available_slots, settings)
+        remaining_slots = max(0.0, remaining_slots - view.all.total)
     return shares
--- a/skylarkfold/shares/_network.py
+++ b/skylarkfold/shares/_network.py
@@ -6,9 +6,9 @@
 
 from skylarkfold import errors
 
-_PARTS = 4
-_BITS = 32
-_MOST_PART = 255
+_OCTETS = 4
+_ADDRESS_BITS = 32
+_MAX_OCTET = 255
 
 
 class Network:
@@ -34,18 +34,18 @@
         """
         host, has_length, bits = text.partition('/')
         if not has_length:
-            bits = str(_BITS)
-        if not _is_number(bits, _BITS):
+            bits = str(_ADDRESS_BITS)
+        if not _is_number(bits, _ADDRESS_BITS):
             raise errors.SettingsError(f'{bits!a} is no prefix length')
-        parts = host.split('.')
-        is_address = len(parts) == _PARTS and all(
-            _is_number(each, _MOST_PART) for each in parts
+        octets = host.split('.')
+        is_address = len(octets) == _OCTETS and all(
+            _is_number(each, _MAX_OCTET) for each in octets
         )
         if not is_address:
             raise errors.SettingsError(f'{host!a} is no IPv4 address')
-        base = int.from_bytes(bytes(int(each) for each in parts), 'big')
+        base = int.from_bytes(bytes(int(each) for each in octets), 'big')
         length = int(bits)
-        if base & ((1 << (_BITS - length)) - 1):
+        if base & ((1 << (_ADDRESS_BITS - length)) - 1):
             raise errors.SettingsError('it has bits beyond its prefix')
         return cls(base, length)
 
@@ -55,7 +55,7 @@
         :param address: the address as a number.
         :returns: whether it is.
         """
-        return (address ^ self.base) >> (_BITS - self.length) == 0
+        return (address ^ self.base) >> (_ADDRESS_BITS - self.length) == 0
 
 
 class NetworkTable:
@@ -87,7 +87,7 @@
         return None
 
 
-def _is_number(text: str, most: int) -> bool:
+def _is_number(text: str, maximum: int) -> bool:
     is_plain = text.isascii() and text.isdecimal() and len(text) <= 3
     # A leading zero is octal to some readers.
-    return is_plain and str(int(text)) == text and int(text) <= most
+    return is_plain and str(int(text)) == text and int(text) <= maximum
--- a/skylarkfold/shares/_over_share.py
+++ b/skylarkfold/shares/_over_share.py
@@ -6,7 +6,7 @@
 # instance. Not those by which a late answer is refused: whoever passes here
 # is not more likely to pass there.
 _DRAW_SHIFT = 48
-_DRAWS = 1 << 16
+_DRAW_COUNT = 1 << 16
 
 
 class OverShare:
@@ -41,5 +41,5 @@
         :param hashed: the flow's hash, 64 bits.
         :returns: whether it is.
         """
-        drawn = ((hashed >> _DRAW_SHIFT) % _DRAWS) / _DRAWS
-        return drawn < self.refused_share
+        draw = ((hashed >> _DRAW_SHIFT) % _DRAW_COUNT) / _DRAW_COUNT
+        return draw < self.refused_share
--- a/skylarkfold/shares/_report.py
+++ b/skylarkfold/shares/_report.py
@@ -12,13 +12,13 @@
 # Digest of the service, priority, callers that follow, callers known, the
 # sender's total and the mean of its neighbours'; then of each caller address,
 # the sender's and the mean demand.
-_KIND = struct.Struct('!IBBHee')
-_CALLER = struct.Struct('!4see')
+_KIND_HEADER = struct.Struct('!IBBHee')
+_CALLER_ENTRY = struct.Struct('!4see')
 # Half-precision floats end above it.
-_MOST_SLOTS = 60000.0
-_MOST_KINDS = 8
-_MOST_PRIORITY = 255
-_MOST_KNOWN = (1 << 16) - 1
+_MAX_SLOTS = 60000.0
+_MAX_KINDS = 8
+_MAX_PRIORITY = 255
+_MAX_CALLER_COUNT = (1 << 16) - 1
 MOST_CALLERS = 64
 
 
@@ -36,10 +36,10 @@
         self.callers = callers
 
 
-NOTHING = Demand(0.0, {})
+NO_DEMAND = Demand(0.0, {})
 
 
-class Told:
+class KindReport:
     """What a word tells of one kind.
 
     :param known: how many callers ask for it, as far as the sender knows.
@@ -47,18 +47,18 @@
     :param near: the mean of the sender's and its neighbours'.
     """
 
-    __slots__ = ('known', 'near', 'own')
+    __slots__ = ('caller_count', 'near', 'own')
 
     def __init__(
-        self, known: int, own: Demand, near: Demand = NOTHING
+        self, caller_count: int, own: Demand, near: Demand = NO_DEMAND
     ) -> None:
-        self.known = known
+        self.caller_count = caller_count
         self.own = own
         self.near = near
 
 
-Word = dict[_count.Kind, Told]
-NO_WORD: Word = {}
+Report = dict[_count.Kind, KindReport]
+NO_REPORT: Report = {}
 
 
 def average(own: Demand, others: Iterable[Demand]) -> Demand:
@@ -83,9 +83,11 @@
         name: one / (1 + counts.get(name, 0)) for name, one in sums.items()
     }
     mean = total / (1 + len(others))
-    most = sum(callers.values())
-    if most > mean:
-        callers = {name: one * mean / most for name, one in callers.items()}
+    callers_total = sum(callers.values())
+    if callers_total > mean:
+        callers = {
+            name: one * mean / callers_total for name, one in callers.items()
+        }
     return Demand(mean, callers)
 
 
@@ -113,71 +115,71 @@
     return Demand(one.total + other.total, callers)
 
 
-def pack(word: Word) -> bytes:
+def pack(report: Report) -> bytes:
     """Write a word.
 
     :param word: by kind; the kinds with the largest demand are written, of
         these the callers named first.
     :returns: its bytes.
     """
-    parts = []
-    left = MOST_CALLERS
-    kinds = sorted(word, key=lambda kind: -word[kind].own.total)
-    for kind in kinds[:_MOST_KINDS]:
-        told = word[kind]
-        own, near = told.own, told.near
+    chunks = []
+    remaining_callers = MOST_CALLERS
+    kinds = sorted(report, key=lambda kind: -report[kind].own.total)
+    for kind in kinds[:_MAX_KINDS]:
+        kind_report = report[kind]
+        own, near = kind_report.own, kind_report.near
         names = list(dict.fromkeys([*own.callers, *near.callers]))
-        names = names[:left]
-        left -= len(names)
+        names = names[:remaining_callers]
+        remaining_callers -= len(names)
         digest, priority = kind
-        totals = _bound(own.total), _bound(near.total)
-        priority = min(_MOST_PRIORITY, priority)
-        known = min(_MOST_KNOWN, told.known)
-        head = (digest, priority, len(names), known, *totals)
-        parts.append(_KIND.pack(*head))
-        parts += [
-            _CALLER.pack(
+        totals = _clamp_slots(own.total), _clamp_slots(near.total)
+        priority = min(_MAX_PRIORITY, priority)
+        caller_count = min(_MAX_CALLER_COUNT, kind_report.caller_count)
+        header = (digest, priority, len(names), caller_count, *totals)
+        chunks.append(_KIND_HEADER.pack(*header))
+        chunks += [
+            _CALLER_ENTRY.pack(
                 name,
-                _bound(own.callers.get(name, 0.0)),
-                _bound(near.callers.get(name, 0.0)),
+                _clamp_slots(own.callers.get(name, 0.0)),
+                _clamp_slots(near.callers.get(name, 0.0)),
             )
             for name in names
         ]
-    return b''.join(parts)
+    return b''.join(chunks)
 
 
-def unpack(data: bytes) -> Word | None:
+def unpack(data: bytes) -> Report | None:
     """Read a word.
 
     :param data: its bytes.
     :returns: the word; None where any of it can't be true.
     """
-    word: Word = {}
-    place = 0
-    while place < len(data):
-        if len(word) == _MOST_KINDS or len(data) - place < _KIND.size:
+    report: Report = {}
+    offset = 0
+    while offset < len(data):
+        if len(report) == _MAX_KINDS or len(data) - offset < _KIND_HEADER.size:
             return None
-        head = _KIND.unpack_from(data, place)
-        digest, priority, count, known, total, mean = head
-        place += _KIND.size
-        end = place + count * _CALLER.size
+        header = _KIND_HEADER.unpack_from(data, offset)
+        digest, priority, count, caller_count, total, mean = header
+        offset += _KIND_HEADER.size
+        end = offset + count * _CALLER_ENTRY.size
         if count > MOST_CALLERS or end > len(data):
             return None
-        entries = list(_CALLER.iter_unpack(data[place:end]))
-        place = end
+        entries = list(_CALLER_ENTRY.iter_unpack(data[offset:end]))
+        offset = end
         own = Demand(total, {name: slots for name, slots, _ in entries})
         near = Demand(mean, {name: slots for name, _, slots in entries})
-        if not _is_sound(own) or not _is_sound(near):
+        if not _is_valid(own) or not _is_valid(near):
             return None
-        word[(digest, priority)] = Told(known, own, near)
-    return word
+        report[(digest, priority)] = KindReport(caller_count, own, near)
+    return report
 
 
-def _bound(slots: float) -> float:
-    return min(_MOST_SLOTS, max(0.0, slots))
+def _clamp_slots(slots: float) -> float:
+    return min(_MAX_SLOTS, max(0.0, slots))
 
 
-def _is_sound(demand: Demand) -> bool:
+def _is_valid(demand: Demand) -> bool:
     values = (demand.total, *demand.callers.values())
     if not all(math.isfinite(each) and each >= 0.0 for each in values):
         return False
--- a/skylarkfold/tests/shares/fleet.py
+++ b/skylarkfold/tests/shares/fleet.py
@@ -16,7 +16,7 @@
     return bytes((192, 0, 2, number))
 
 
-class Decider:
+class SimulatedInstance:
     """One instance with the words that are on their way to it."""
 
     def __init__(self, name, zone, settings):
@@ -24,14 +24,14 @@
         self.zone = zone
         self.mates = []
         self.core = shares.CallerShares(settings)
-        self.coming = []
+        self.in_transit = []
 
-    def hear(self, now):
+    def receive_reports(self, now):
         """Take the words that have arrived."""
-        while self.coming and self.coming[0][0] <= now:
-            _, sent_at, source, is_zone, word = self.coming.pop(0)
+        while self.in_transit and self.in_transit[0][0] <= now:
+            _, sent_at, source, is_zone, report = self.in_transit.pop(0)
             age = now - sent_at if is_zone else 0.0
-            self.core.handle_report(now, source, is_zone, age, word)
+            self.core.handle_report(now, source, is_zone, age, report)
 
 
 class Fleet:
@@ -46,24 +46,24 @@
         self.delay = delay
         self.now = 0.0
         settings = shares.SharesSettings(True, **fields)
-        self.deciders = [
-            Decider(f'n-{number}', number % zones, settings)
+        self.instances = [
+            SimulatedInstance(f'n-{number}', number % zones, settings)
             for number in range(count)
         ]
         self.zones = [
-            [each for each in self.deciders if each.zone == zone]
+            [each for each in self.instances if each.zone == zone]
             for zone in range(zones)
         ]
         for zone in self.zones:
             for place, each in enumerate(zone):
                 near = {(place + step) % len(zone) for step in RING}
                 each.mates = [zone[at] for at in sorted(near - {place})]
-        self.lost = set()
-        self.is_cut = False
-        self.words = 0
-        self.bytes = 0
+        self.muted = set()
+        self.is_partitioned = False
+        self.report_count = 0
+        self.report_bytes = 0
 
-    def play(self, seconds, demands, priorities=None):
+    def run_load(self, seconds, demands, priorities=None):
         """Let callers ask for slots; tell what they were given.
 
         :param seconds: for how long.
@@ -80,17 +80,17 @@
             ]
             for at, number in sorted(arrivals):
                 priority = (priorities or {}).get(number, 0)
-                if self._ask(at, number, priority):
+                if self._request(at, number, priority):
                     given[number] += WORK_SECONDS
             self.now += STEP_SECONDS
-            self._tell()
+            self._exchange_reports()
         return {number: each / seconds for number, each in given.items()}
 
     def _draw_flows(self, slots):
         expected = slots * STEP_SECONDS / WORK_SECONDS
         return int(expected + self.random.random())
 
-    def _ask(self, at, number, priority):
+    def _request(self, at, number, priority):
         zone = self.zones[number % len(self.zones)]
         core = self.random.choice(zone).core
         caller = name_caller(number)
@@ -98,32 +98,34 @@
         over = core.check_share(at, SERVICE, priority, caller)
         return over is None or not over.refuses(self.random.getrandbits(64))
 
-    def _tell(self):
-        for each in self.deciders:
-            each.hear(self.now)
+    def _exchange_reports(self):
+        for each in self.instances:
+            each.receive_reports(self.now)
             zone = len(self.zones[each.zone])
             each.core.refresh(
                 self.now,
                 {SERVICE: shares.Capacity(self.slots)},
                 shares.FleetSize(zone - 1, len(self.zones)),
             )
-            if each.name in self.lost:
+            if each.name in self.muted:
                 continue
             if each.core.demand:
                 for mate in each.mates:
                     self._send(each, mate, each.name, False, each.core.demand)
         for zone in self.zones:
-            teller = zone[0]
-            is_mute = self.is_cut or teller.name in self.lost
-            if not teller.core.zone_demand or is_mute:
+            reporter = zone[0]
+            is_silent = self.is_partitioned or reporter.name in self.muted
+            if not reporter.core.zone_demand or is_silent:
                 continue
-            for each in self.deciders:
-                if each.zone != teller.zone:
-                    word = teller.core.zone_demand
-                    self._send(teller, each, f'z-{teller.zone}', True, word)
-
-    def _send(self, teller, each, source, is_zone, word):
-        self.words += 1
-        self.bytes += len(word)
+            for each in self.instances:
+                if each.zone != reporter.zone:
+                    report = reporter.core.zone_demand
+                    self._send(
+                        reporter, each, f'z-{reporter.zone}', True, report
+                    )
+
+    def _send(self, reporter, each, source, is_zone, report):
+        self.report_count += 1
+        self.report_bytes += len(report)
         due = self.now + self.delay
-        each.coming.append((due, self.now, source, is_zone, word))
+        each.in_transit.append((due, self.now, source, is_zone, report))
--- a/skylarkfold/tests/shares/relayed.py
+++ b/skylarkfold/tests/shares/relayed.py
@@ -23,7 +23,7 @@
         self.random = random.Random(5)
         self.slots = slots
         self.callers = {}
-        self.told = 0
+        self.report_bytes = 0
         super().__init__(zones)
         self.run(6.0)
 
@@ -44,7 +44,7 @@
                     wanted.demand,
                 )
             elif isinstance(wanted, relay.SendBeacon):
-                self.told += self.measure(wanted)
+                self.report_bytes += self.measure(wanted)
 
     def measure(self, wanted):
         """Tell how many bytes of a beacon are about callers."""
@@ -55,7 +55,7 @@
         beacon.callers = callers
         return (whole - rest) * len(wanted.hosts)
 
-    def play(self, seconds, demands):
+    def run_load(self, seconds, demands):
         """Let callers ask for slots; tell what they were given."""
         names = sorted(set(self.zones.values()))
         homes = {
--- a/skylarkfold/tests/shares/test_relayed.py
+++ b/skylarkfold/tests/shares/test_relayed.py
@@ -22,30 +22,32 @@
 
     def check(self, fleet, demands, given, share):
         kept = min(given[each] / demands[each] for each in range(1, 8))
-        self.assertGreaterEqual(kept, test_callers.KEPT, given)
-        most = test_callers.WITHIN * share
-        self.assertLessEqual(given[test_callers.PRESSING], most, given)
+        self.assertGreaterEqual(kept, test_callers.MIN_KEPT_SHARE, given)
+        most = test_callers.MAX_SHARE_FACTOR * share
+        self.assertLessEqual(given[test_callers.HEAVY_CALLER], most, given)
         used = sum(given.values())
-        self.assertGreaterEqual(used, test_callers.USED * fleet.slots, given)
+        self.assertGreaterEqual(
+            used, test_callers.MIN_USED_SHARE * fleet.slots, given
+        )
 
-    def press(self, fleet):
+    def check_overload(self, fleet):
         slots = fleet.slots
         # Half of the slots.
-        fleet.play(4.0, dict.fromkeys(range(8), slots / 16))
-        self.assertEqual(0, fleet.told)
-        demands = test_callers.build_demands(slots)
-        fleet.play(1.0, demands)
-        fleet.told = 0
-        given = fleet.play(3.0, demands)
+        fleet.run_load(4.0, dict.fromkeys(range(8), slots / 16))
+        self.assertEqual(0, fleet.report_bytes)
+        demands = test_callers.build_overload(slots)
+        fleet.run_load(1.0, demands)
+        fleet.report_bytes = 0
+        given = fleet.run_load(3.0, demands)
         self.check(fleet, demands, given, 0.25 * slots)
-        spent = fleet.told / 3.0 / len(fleet.cores)
+        spent = fleet.report_bytes / 3.0 / len(fleet.cores)
         self.assertLessEqual(spent, BYTES_PER_SECOND)
 
     def test_seven_instances_in_three_zones(self):
-        self.press(self.build(7, 3, 120.0))
+        self.check_overload(self.build(7, 3, 120.0))
 
     def test_64_instances_in_three_zones(self):
-        self.press(self.build(64, 3, 120.0))
+        self.check_overload(self.build(64, 3, 120.0))
 
     def test_a_shortage_that_no_zone_has_alone_is_seen(self):
         # Each zone asks for 0.4 of the slots: instances know few of those in
@@ -53,30 +55,30 @@
         fleet = self.build(64, 3, 120.0)
         demands = dict.fromkeys(range(9), 0.6 / 9 * 120.0)
         demands |= dict.fromkeys(range(9, 12), 0.2 * 120.0)
-        fleet.play(2.0, demands)
-        given = fleet.play(3.0, demands)
+        fleet.run_load(2.0, demands)
+        given = fleet.run_load(3.0, demands)
         for number in range(9):
             kept = given[number] / demands[number]
-            self.assertGreaterEqual(kept, test_callers.KEPT, given)
-        share = (test_callers.FILLED - 0.6) / 3 * fleet.slots
+            self.assertGreaterEqual(kept, test_callers.MIN_KEPT_SHARE, given)
+        share = (test_callers.FILLED_SHARE - 0.6) / 3 * fleet.slots
         for number in range(9, 12):
             self.assertLessEqual(
-                given[number], test_callers.WITHIN * share, given
+                given[number], test_callers.MAX_SHARE_FACTOR * share, given
             )
 
     def test_a_zone_that_is_cut_off_goes_by_what_it_sees(self):
         fleet = self.build(12, 3, 120.0)
-        demands = test_callers.build_demands(fleet.slots)
-        fleet.play(3.0, demands)
+        demands = test_callers.build_overload(fleet.slots)
+        fleet.run_load(3.0, demands)
         fleet.cut = lambda one, other: (
             fleet.zones.get(one) == 'zone-0'
             and fleet.zones.get(other) != 'zone-0'
         )
-        fleet.play(4.0, demands)
-        given = fleet.play(3.0, demands)
+        fleet.run_load(4.0, demands)
+        given = fleet.run_load(3.0, demands)
         # It sees itself, 3 and 6, which leave 0.75 of the slots.
         self.check(fleet, demands, given, 0.75 * fleet.slots)
         fleet.cut = lambda one, other: False
-        fleet.play(4.0, demands)
-        given = fleet.play(3.0, demands)
+        fleet.run_load(4.0, demands)
+        given = fleet.run_load(3.0, demands)
         self.check(fleet, demands, given, 0.25 * fleet.slots)
--- a/skylarkfold/tests/shares/test_reports.py
+++ b/skylarkfold/tests/shares/test_reports.py
@@ -19,7 +19,7 @@
 from skylarkfold.shares import _report as _word
 from skylarkfold.tests.shares import fleet as fleets
 
-KEPT = 0.97
+MIN_KEPT_SHARE = 0.97
 SLOTS = 120.0
 CALLERS = strategies.dictionaries(
     strategies.binary(min_size=4, max_size=4),
@@ -30,13 +30,13 @@
     lambda callers: _word.Demand(sum(callers.values()), callers)
 )
 TOLD = strategies.builds(
-    _word.Told, strategies.integers(0, 1 << 20), DEMANDS, DEMANDS
+    _word.KindReport, strategies.integers(0, 1 << 20), DEMANDS, DEMANDS
 )
 KINDS = strategies.tuples(
     strategies.integers(0, 2**32 - 1), strategies.integers(0, 255)
 )
 WORDS = strategies.dictionaries(KINDS, TOLD, max_size=12)
-PRESSED = dict.fromkeys(range(1, 8), 0.1 * SLOTS) | {0: 1.25 * SLOTS}
+OVERLOAD_DEMANDS = dict.fromkeys(range(1, 8), 0.1 * SLOTS) | {0: 1.25 * SLOTS}
 
 
 def pack_total(total, slots, service=fleets.SERVICE):
@@ -100,24 +100,24 @@
         self.assertEqual(set(), core.list_services())
 
     def test_a_later_word_replaces_an_earlier_one(self):
-        words = _demand_view.PeerWords(2.5)
+        reports = _demand_view.PeerReports(2.5)
         kind = (fleets.SERVICE, 0)
         early, late = (
-            {kind: _word.Told(1, _word.Demand(slots, {}))}
+            {kind: _word.KindReport(1, _word.Demand(slots, {}))}
             for slots in (1.0, 2.0)
         )
-        words.take(5.0, 'n', False, late)
-        words.take(4.0, 'n', False, early)
-        ((at, told),) = words.list_mates(kind)
+        reports.record(5.0, 'n', False, late)
+        reports.record(4.0, 'n', False, early)
+        ((at, told),) = reports.list_mates(kind)
         self.assertEqual((5.0, 2.0), (at, told.own.total))
 
     def test_sources_are_bounded(self):
-        words = _demand_view.PeerWords(2.5)
+        reports = _demand_view.PeerReports(2.5)
         kind = (fleets.SERVICE, 0)
-        word = {kind: _word.Told(1, _word.Demand(1.0, {}))}
+        word = {kind: _word.KindReport(1, _word.Demand(1.0, {}))}
         for number in range(1000):
-            words.take(1.0, f'n-{number}', False, word)
-        self.assertEqual(16, len(list(words.list_mates(kind))))
+            reports.record(1.0, f'n-{number}', False, word)
+        self.assertEqual(16, len(list(reports.list_mates(kind))))
 
 
 class CountTest(testtools.TestCase):
@@ -178,31 +178,31 @@
 
 
 class FaultTest(testtools.TestCase):
-    def check(self, given, kept=KEPT):
+    def check(self, given, kept=MIN_KEPT_SHARE):
         for number in range(1, 8):
-            share = given[number] / PRESSED[number]
+            share = given[number] / OVERLOAD_DEMANDS[number]
             self.assertGreaterEqual(share, kept, given)
 
     def test_without_any_word_nobody_below_its_share_loses(self):
         fleet = fleets.Fleet(7, zones=3)
-        fleet.lost = {each.name for each in fleet.deciders}
-        self.check(fleet.play(4.0, PRESSED))
+        fleet.muted = {each.name for each in fleet.instances}
+        self.check(fleet.run_load(4.0, OVERLOAD_DEMANDS))
 
     def test_an_instance_that_vanishes_takes_no_share_along(self):
         fleet = fleets.Fleet(7)
-        fleet.play(3.0, PRESSED)
-        fleet.lost = {'n-0', 'n-1'}
-        given = fleet.play(6.0, PRESSED)
+        fleet.run_load(3.0, OVERLOAD_DEMANDS)
+        fleet.muted = {'n-0', 'n-1'}
+        given = fleet.run_load(6.0, OVERLOAD_DEMANDS)
         self.check(given)
         self.assertLessEqual(given[0], 1.25 * 0.25 * SLOTS)
 
     def test_in_a_cut_each_side_goes_by_what_it_sees(self):
         fleet = fleets.Fleet(9, zones=3)
-        fleet.play(3.0, PRESSED)
-        for each in fleet.deciders:
-            each.coming.clear()
-        fleet.is_cut = True
-        given = fleet.play(6.0, PRESSED)
+        fleet.run_load(3.0, OVERLOAD_DEMANDS)
+        for each in fleet.instances:
+            each.in_transit.clear()
+        fleet.is_partitioned = True
+        given = fleet.run_load(6.0, OVERLOAD_DEMANDS)
         self.check(given)
         # The side of the one that presses sees itself, 3 and 6: what they
         # leave of all slots is its share.
@@ -213,31 +213,33 @@
         # One peer says that a caller asks for 500 times the slots.
         fleet = fleets.Fleet(7)
         calm = dict.fromkeys(range(8), 0.08 * SLOTS)
-        fleet.play(2.0, calm)
+        fleet.run_load(2.0, calm)
         lie = pack_total(60000.0, 60000.0)
         given = dict.fromkeys(calm, 0.0)
         for _ in range(15):
-            for each in fleet.deciders:
+            for each in fleet.instances:
                 each.core.handle_report(fleet.now, 'liar', False, 0.0, lie)
-            for number, slots in fleet.play(0.2, calm).items():
+            for number, slots in fleet.run_load(0.2, calm).items():
                 given[number] += slots / 15
         for number, slots in given.items():
-            self.assertGreaterEqual(slots / calm[number], KEPT, given)
+            self.assertGreaterEqual(
+                slots / calm[number], MIN_KEPT_SHARE, given
+            )
 
     def test_untrue_sums_of_other_zones_stop_nobody(self):
         # They can't be compared with anything here: whatever they say, a
         # zone's callers have half of an equal part of the room.
         fleet = fleets.Fleet(6, zones=3)
         demands = dict.fromkeys(range(9), 0.08 * SLOTS)
-        fleet.play(2.0, demands)
+        fleet.run_load(2.0, demands)
         head = struct.pack(
             '!IBBHee', fleets.SERVICE, 0, 0, 65535, 60000.0, 0.0
         )
         given = dict.fromkeys(demands, 0.0)
         for _ in range(15):
-            for each in fleet.deciders:
+            for each in fleet.instances:
                 each.core.handle_report(fleet.now, 'liar', True, 0.0, head)
-            for number, slots in fleet.play(0.2, demands).items():
+            for number, slots in fleet.run_load(0.2, demands).items():
                 given[number] += slots / 15
         least = 0.5 / 3 * 0.95 * SLOTS / 3
         for slots in given.values():
@@ -245,18 +247,18 @@
 
     def test_at_rest_nothing_is_told(self):
         fleet = fleets.Fleet(7, zones=3)
-        fleet.play(5.0, dict.fromkeys(range(8), 0.05 * SLOTS))
-        self.assertEqual(0, fleet.words)
+        fleet.run_load(5.0, dict.fromkeys(range(8), 0.05 * SLOTS))
+        self.assertEqual(0, fleet.report_count)
 
     def test_after_the_shortage_nothing_is_told_any_more(self):
         fleet = fleets.Fleet(7, zones=3)
-        fleet.play(4.0, PRESSED)
-        self.assertGreater(fleet.words, 0)
+        fleet.run_load(4.0, OVERLOAD_DEMANDS)
+        self.assertGreater(fleet.report_count, 0)
         calm = dict.fromkeys(range(8), 0.05 * SLOTS)
-        fleet.play(8.0, calm)
-        fleet.words = 0
-        given = fleet.play(2.0, calm)
-        self.assertEqual(0, fleet.words)
+        fleet.run_load(8.0, calm)
+        fleet.report_count = 0
+        given = fleet.run_load(2.0, calm)
+        self.assertEqual(0, fleet.report_count)
         self.assertAlmostEqual(sum(calm.values()), sum(given.values()), 1)
 
 
@@ -267,10 +269,12 @@
         fleet = fleets.Fleet(3)
         demands = {0: 48.0, 1: 48.0, 2: 9.0, 3: 60.0}
         priorities = {2: 1, 3: 1}
-        fleet.play(2.0, demands, priorities)
-        given = fleet.play(4.0, demands, priorities)
+        fleet.run_load(2.0, demands, priorities)
+        given = fleet.run_load(4.0, demands, priorities)
         for number in (0, 1, 2):
-            self.assertGreaterEqual(given[number], KEPT * demands[number])
+            self.assertGreaterEqual(
+                given[number], MIN_KEPT_SHARE * demands[number]
+            )
         self.assertLessEqual(given[3], 1.25 * (0.95 * SLOTS - 105.0))
         self.assertGreaterEqual(sum(given.values()), 0.9 * SLOTS)
 
@@ -279,21 +283,21 @@
         weights = shares.NetworkTable([(network, 2.0)])
         fleet = fleets.Fleet(1, weights=weights)
         demands = dict.fromkeys(range(3), SLOTS)
-        fleet.play(2.0, demands)
-        given = fleet.play(4.0, demands)
+        fleet.run_load(2.0, demands)
+        given = fleet.run_load(4.0, demands)
         self.assertAlmostEqual(2.0, given[1] / given[0], delta=0.2)
         caps = shares.NetworkTable([(network, 100.0)])
         fleet = fleets.Fleet(1, caps_per_second=caps)
-        fleet.play(2.0, demands)
-        given = fleet.play(4.0, demands)
+        fleet.run_load(2.0, demands)
+        given = fleet.run_load(4.0, demands)
         self.assertAlmostEqual(100.0 * 0.05, given[1], delta=0.5)
         self.assertGreaterEqual(sum(given.values()), 0.9 * SLOTS)
 
     def test_all_that_press_alike_get_alike(self):
         fleet = fleets.Fleet(7, zones=3)
         demands = dict.fromkeys(range(60), 0.05 * SLOTS)
-        fleet.play(3.0, demands)
-        given = fleet.play(4.0, demands)
+        fleet.run_load(3.0, demands)
+        given = fleet.run_load(4.0, demands)
         self.assertGreaterEqual(sum(given.values()), 0.9 * SLOTS)
         mean = sum(given.values()) / len(given)
         self.assertLessEqual(sum(given.values()), 1.25 * SLOTS)
