--- a/skylarkfold/shares/__init__.py
+++ b/skylarkfold/shares/__init__.py
@@ -1,8 +1,9 @@
-"""Shares of callers where a service has too little room for all of them.
+"""Fair shares of callers for services without enough capacity for all.
 
-Max-min fair shares over callers: who asks for less than its share loses
-nothing, who asks for more is brought down to it. Counts are of all
-instances, as far as their words arrive. Pure decisions: time is an argument.
+Shares are max-min fair: a caller that asks for less than its share is never
+refused, one that asks for more is limited to it. Demand is counted over all
+instances, as far as their reports arrive. The package does no I/O and takes
+the time as an argument.
 """
 
 from skylarkfold.shares._caller_shares import CallerShares
--- a/skylarkfold/shares/_caller_shares.py
+++ b/skylarkfold/shares/_caller_shares.py
@@ -1,4 +1,4 @@
-"""The callers' shares on one instance."""
+"""Callers' shares as one instance enforces them."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from skylarkfold.shares import _settings
 
 _MAX_REPORT_BYTES = 4096
-# Callers that ask for more than this part of the level are named: neighbours
-# must agree on who is above its share, of which each sees a sample. To other
-# zones those below the level are as good as their total.
+# Reports name the callers whose demand exceeds this part of the fill level.
+# Neighbours, who each see a sample of a caller's flows, must agree on who is
+# above its share; other zones need only the total of those well below it.
 _NEIGHBOUR_NAMING_LEVEL = 0.5
 _ZONE_NAMING_LEVEL = 0.8
 
 
 class Capacity:
-    """What a service has.
+    """The capacity of a service.
 
-    :param slots: of its upstreams that take new flows.
-    :param busy: requests that they have, as far as is known.
+    :param slots: the slots of its upstreams that accept new flows.
+    :param busy: the requests known to be open at them.
     """
 
     __slots__ = ('busy', 'slots')
@@ -37,7 +37,7 @@
 
 
 def hash_service(service: str) -> int:
-    """Compute what stands for a service in words.
+    """Compute the digest that stands for a service in reports.
 
     :param service: its name.
     :returns: 32 bits.
@@ -46,16 +46,17 @@
 
 
 class CallerShares:
-    """Counts what callers ask for and tells who asks for too much.
+    """Counts the demand of callers and finds those above their share.
 
-    Services are named by :func:`hash_service`; demand is in slots, as the
-    slot seconds that are asked for in a second.
+    Services are identified by :func:`hash_service`. Demand is in slots: the
+    slot seconds requested per second.
 
-    :param settings: whether and how shares are kept.
-    :ivar demand: what neighbours are told; empty where no room is short.
-    :ivar zone_demand: what other zones are told.
-    :ivar other_zones: the sum of what other zones have said here.
-    :ivar other_zones_at: when the last of that was said.
+    :param settings: whether and how shares are enforced.
+    :ivar demand: the encoded report for neighbours; empty while no service
+        is short of capacity.
+    :ivar zone_demand: the encoded report for other zones.
+    :ivar other_zones: the encoded sum of the reports of other zones.
+    :ivar other_zones_at: when the latest of these was made.
     """
 
     __slots__ = (
@@ -79,9 +80,9 @@
         )
         self._reports = _demand_view.PeerReports(settings.word_seconds)
         self._fleet = _demand_view.FleetSize(0, 1)
-        # Slots and requests a second that were counted here, by service.
+        # Slots and requests per second counted here, by service.
         self._local_demand: dict[int, tuple[float, float]] = {}
-        # Of services that are short of room.
+        # By service that is short of capacity, then by priority.
         self._shares: dict[int, dict[int, _kind_shares.KindShares]] = {}
         self._checked: dict[
             tuple[_count.Kind, bytes], _over_share.OverShare | None
@@ -92,7 +93,7 @@
         self.other_zones_at = 0.0
 
     def set_settings(self, settings: _settings.SharesSettings) -> None:
-        """Put other weights and caps in force; what was counted stays.
+        """Apply other weights and caps; the counts are kept.
 
         :param settings: the settings.
         """
@@ -112,9 +113,9 @@
 
         :param now: the time.
         :param service: its service.
-        :param priority: of its route.
+        :param priority: the priority of its route.
         :param caller: the caller's packed address.
-        :param slot_seconds: how long such a request takes a slot.
+        :param slot_seconds: how long such a request occupies a slot.
         :param is_new: whether it opens a flow.
         """
         kind = (service, priority)
@@ -123,13 +124,13 @@
     def check_share(
         self, now: float, service: int, priority: int, caller: bytes
     ) -> _over_share.OverShare | None:
-        """Tell whether a caller is above its share.
+        """Check whether a caller is above its share.
 
         :param now: the time.
-        :param service: the service that it wants.
-        :param priority: of the route that it uses.
+        :param service: the service that it uses.
+        :param priority: the priority of the route that it uses.
         :param caller: its packed address.
-        :returns: the figures; None for one that may have what it wants.
+        :returns: the figures of a refusal; None if it is within its share.
         """
         shares = self._shares.get(service)
         if shares is None or priority not in shares:
@@ -153,15 +154,15 @@
         age_seconds: float,
         data: bytes,
     ) -> bool:
-        """Take what a peer tells.
+        """Record the report of a peer.
 
         :param now: the time.
         :param source: the neighbour, or the zone whose sum it is; empty for
-            all other zones together.
-        :param is_zone: which of them.
-        :param age_seconds: how long ago it was said.
-        :param data: the word.
-        :returns: whether it can be true; any other is left out.
+            the sum of all other zones.
+        :param is_zone: whether the source is a zone.
+        :param age_seconds: how long ago it was made.
+        :param data: the encoded report.
+        :returns: whether it is valid; an invalid one is ignored.
         """
         if not 0.0 <= age_seconds or len(data) > _MAX_REPORT_BYTES:
             return False
@@ -173,7 +174,7 @@
         return True
 
     def list_services(self) -> set[int]:
-        """List the services that are asked for, here or at peers."""
+        """List the services with demand, here or at peers."""
         kinds = {*self._counts.list_kinds(), *self._reports.list_kinds()}
         return {service for service, _ in kinds}
 
@@ -183,12 +184,14 @@
         capacities: Mapping[int, Capacity],
         fleet: _demand_view.FleetSize,
     ) -> None:
-        """Work out the shares and what peers are told.
+        """Compute the shares and the reports for peers.
 
-        :param now: the time; several times a second.
-        :param rooms: of the services that are asked for; one that has none
-            is not kept to shares.
-        :param fleet: how many instances there are.
+        To be called several times per second.
+
+        :param now: the time.
+        :param capacities: by service with demand; shares of a service without
+            an entry are not enforced.
+        :param fleet: the number of instances and zones.
         """
         self._counts.expire(now)
         self._reports.expire(now)
@@ -219,11 +222,11 @@
         self.other_zones = _report.pack(zone_sum)
 
     def list_gauges(self) -> dict[str, float]:
-        """List what is known now.
+        """List the present gauges.
 
-        :returns: values by name: how many callers are counted, services that
-            are short of room, and the demand and share, in slots, of the
-            caller that asks for most of one of these.
+        :returns: values by name: the number of callers that are counted and
+            of services that are short of capacity, and the demand and share,
+            in slots, of the heaviest caller of such a service.
         """
         demand = share = 0.0
         for shares in self._shares.values():
@@ -243,7 +246,7 @@
     def _list_views(
         self, now: float, capacities: Mapping[int, Capacity]
     ) -> dict[int, dict[int, _demand_view.KindView]]:
-        """View what is asked for of services that may be short of room."""
+        """Build the views of demand for services that may be short."""
         reported_kinds = self._reports.list_kinds()
         watched_services = {service for service, _ in reported_kinds}
         for service in self.list_services() - watched_services:
@@ -277,19 +280,19 @@
     def _needs_report(
         self, service: int, demand: float, capacity: Capacity
     ) -> bool:
-        """Tell whether peers must know what is asked for here.
+        """Tell whether peers need a report on the demand here.
 
         :param service: the service.
-        :param demand: what is known to be asked for in all.
-        :param room: what there is.
+        :param demand: the known demand of all callers.
+        :param capacity: the capacity of the service.
         """
         if (
             max(demand, capacity.busy)
             >= self._settings.joined_share * capacity.slots
         ):
             return True
-        # Before anything is heard, the other instances are taken to be like
-        # this one, so far as it has counted enough to tell.
+        # Without reports, the other instances are assumed to have the same
+        # demand as this one, less the sampling error of its own count.
         slots, rate = self._local_demand.get(service, (0.0, 0.0))
         if not rate:
             return False
@@ -325,12 +328,13 @@
     def _choose_named_callers(
         self, shares: _kind_shares.KindShares, min_level: float
     ) -> list[bytes]:
-        """Choose the callers that a word names, those near their share.
+        """Choose the callers that a report names: those near their share.
 
-        What the others ask for is told in total.
+        The demand of the others is reported as a total.
 
-        :param shares: of all callers.
-        :param least: the least demand of one that is named, in levels.
+        :param shares: the shares of all callers.
+        :param min_level: the demand above which a caller is named, as a part
+            of the fill level.
         :returns: the callers, the heaviest first.
         """
         callers = shares.view.all.callers
--- a/skylarkfold/shares/_count.py
+++ b/skylarkfold/shares/_count.py
@@ -1,26 +1,28 @@
-"""What callers ask for at this instance, within bounded memory."""
+"""Counts of the demand of callers, in bounded memory."""
 
 from __future__ import annotations
 
 from collections.abc import Container
 import math
 
-# Of a service (by digest) the requests of one priority.
+# The requests of one kind: the digest of their service, and their priority.
 Kind = tuple[int, int]
 
-# New counts are inflated in place of shrinking the old ones; before numbers
-# become too large for precision all are brought back.
+# New counts are inflated instead of decaying the old ones. Beyond this
+# exponent all counts are scaled back, before they lose precision.
 _MAX_EXPONENT = 64.0
-# What is left of a request after twelve time constants is none.
+# Counts are dropped below this share: what remains of a request after twelve
+# time constants.
 _FORGOTTEN_SHARE = 6e-6
 
 
 class CallerCount:
-    """What one caller has asked for.
+    """The demand of one caller, all values inflated.
 
-    :ivar asked: slot seconds, inflated.
-    :ivar opened: those of new flows among them.
-    :ivar error: how much of ``asked`` may be of callers before it.
+    :ivar slot_seconds: the slot seconds requested.
+    :ivar new_flow_slot_seconds: the part of them that was for new flows.
+    :ivar error: the part of ``slot_seconds`` that may belong to callers that
+        had the entry before.
     """
 
     __slots__ = ('error', 'new_flow_slot_seconds', 'slot_seconds')
@@ -32,10 +34,10 @@
 
 
 class KindCount:
-    """What all callers have asked for of a kind.
+    """The demand of all callers for one kind, all values inflated.
 
-    :ivar asked: slot seconds, inflated.
-    :ivar requests: how many requests that were, inflated.
+    :ivar slot_seconds: the slot seconds requested.
+    :ivar requests: the number of requests.
     """
 
     __slots__ = ('requests', 'slot_seconds')
@@ -46,12 +48,13 @@
 
 
 class CallerCounts:
-    """Space-saving counts of the heaviest callers, with decay.
+    """Decaying counts of the heaviest callers, by the Space-Saving algorithm.
 
-    One that is not counted takes the place of the least, with its count as
-    the possible error; what is certain of a caller is never too much.
+    When all entries are in use, a new caller replaces the lightest one and
+    takes its count as possible error. A count less its error is never more
+    than the true demand.
 
-    :param limit: callers counted one by one, over all kinds.
+    :param limit: the number of callers counted individually, over all kinds.
     :param window_seconds: time constant of the decay.
     """
 
@@ -86,7 +89,7 @@
         :param now: the time.
         :param kind: its service and priority.
         :param caller: its caller.
-        :param slot_seconds: how long it takes a slot.
+        :param slot_seconds: how long it occupies a slot.
         :param is_new: whether it opens a flow.
         """
         factor = self._inflate(now)
@@ -104,7 +107,7 @@
             known.new_flow_slot_seconds += value
 
     def expire(self, now: float) -> None:
-        """Forget what has decayed.
+        """Drop counts that have decayed.
 
         :param now: the time.
         """
@@ -121,14 +124,14 @@
                 del self._callers[key]
 
     def list_kinds(self) -> list[Kind]:
-        """List the kinds that are asked for."""
+        """List the kinds with demand."""
         return list(self._kinds)
 
     def measure_services(self, now: float) -> dict[int, tuple[float, float]]:
-        """Tell what is asked for of each service.
+        """Return the demand for each service.
 
         :param now: the time.
-        :returns: slots, and requests a second.
+        :returns: slots and requests per second, by service.
         """
         measured: dict[int, tuple[float, float]] = {}
         for kind in self._kinds:
@@ -138,11 +141,11 @@
         return measured
 
     def measure_kind(self, now: float, kind: Kind) -> tuple[float, float]:
-        """Tell what is asked for of a kind.
+        """Return the demand for a kind.
 
         :param now: the time.
         :param kind: the kind.
-        :returns: slots, and requests a second.
+        :returns: slots and requests per second.
         """
         total = self._kinds.get(kind)
         if total is None:
@@ -153,10 +156,10 @@
     def measure_callers(
         self, now: float, kinds: Container[Kind]
     ) -> dict[Kind, dict[bytes, float]]:
-        """Tell what is certain of each caller.
+        """Return the least demand of each caller, without possible errors.
 
         :param now: the time.
-        :param kinds: which kinds are wanted.
+        :param kinds: the kinds to list.
         :returns: slots, by kind and caller.
         """
         scale = self._inflate(now) * self._window
@@ -168,7 +171,7 @@
         return measured
 
     def measure_new_flow_share(self, kind: Kind, caller: bytes) -> float:
-        """Tell which share of a caller's requests open a flow.
+        """Return the share of a caller's demand that opens flows.
 
         :param kind: the kind.
         :param caller: the caller.
--- a/skylarkfold/shares/_demand_view.py
+++ b/skylarkfold/shares/_demand_view.py
@@ -1,4 +1,4 @@
-"""What is known of all callers, from counts here and words of peers."""
+"""Views of the demand of all callers, from local counts and peer reports."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from skylarkfold.shares import _count
 from skylarkfold.shares import _report
 
-# Sources remembered of each sort: four neighbours, who change at times, and
-# eleven zones at the size that decides. A word takes up to 15 KB when read.
+# Limit for neighbours (four, who change at times) and for zones (eleven in the
+# largest deployment). A decoded report takes up to 15 KB.
 _MAX_SOURCES = 16
-# The source of what neighbours pass on of all other zones together.
+# Source of the sum of all other zones, as neighbours pass it on.
 ALL_OTHER_ZONES = ''
-# A caller that was counted k times here may have asked for so many times more
-# by chance, in standard deviations; few counts say little.
+# Standard deviations of the sampling error that a plausible demand may differ
+# from the local count.
 _DEVIATIONS = 3.0
-# A total of so many requests is within a tenth.
+# Number of sampled requests from which on a total is accurate to a tenth.
 _MIN_RELIABLE_REQUESTS = 100.0
 
 
 class FleetSize:
-    """How many instances share the callers' flows.
+    """The number of instances and zones that share the callers' flows.
 
-    :param mates: others of this availability zone.
-    :param zones: all availability zones.
+    :param mates: the other instances of this availability zone.
+    :param zones: the number of all availability zones.
     """
 
     __slots__ = ('mates', 'zones')
@@ -36,9 +36,9 @@
 
 
 class PeerReports:
-    """The latest word of each neighbour and of each other zone.
+    """The latest report of each neighbour and of each other zone.
 
-    :param word_seconds: how long a word counts.
+    :param lifetime_seconds: how long a report is used.
     """
 
     __slots__ = ('_lifetime_seconds', '_mates', '_zones')
@@ -51,12 +51,12 @@
     def record(
         self, at: float, source: str, is_zone: bool, report: _report.Report
     ) -> None:
-        """Take a word in place of the source's earlier one.
+        """Record a report, which replaces an earlier one of its source.
 
-        :param at: when it was said.
+        :param at: when it was made.
         :param source: the neighbour or the zone.
-        :param is_zone: which of them.
-        :param word: what it said.
+        :param is_zone: whether the source is a zone.
+        :param report: the report.
         """
         reports = self._zones if is_zone else self._mates
         before = reports.get(source)
@@ -66,7 +66,7 @@
             reports[source] = (at, report)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old.
+        """Drop reports that are too old.
 
         :param now: the time.
         """
@@ -77,7 +77,7 @@
                     del reports[source]
 
     def list_kinds(self) -> set[_count.Kind]:
-        """List the kinds that any word tells of."""
+        """List the kinds in any report."""
         kinds: set[_count.Kind] = set()
         for reports in (self._mates, self._zones):
             for _, report in reports.values():
@@ -87,31 +87,32 @@
     def list_mates(
         self, kind: _count.Kind
     ) -> Iterator[tuple[float, _report.KindReport]]:
-        """List what neighbours say of a kind, each with its time."""
+        """List the reports of neighbours on a kind, each with its time."""
         return _select_kind(self._mates, kind)
 
     def list_zones(
         self, kind: _count.Kind
     ) -> Iterator[tuple[float, _report.KindReport]]:
-        """List what other zones say of a kind, each with its time.
+        """List the reports of other zones on a kind, each with its time.
 
-        Who hears them needs not what neighbours pass on of them.
+        The sum that neighbours pass on is used only if no report was received
+        from a zone itself.
         """
         direct = self.get_direct_zones()
         return _select_kind(direct or self._zones, kind)
 
     def get_direct_zones(self) -> dict[str, tuple[float, _report.Report]]:
-        """List the words of zones that were heard from them."""
+        """Return the reports that were received from the zones themselves."""
         return {
-            source: said
-            for source, said in self._zones.items()
+            source: entry
+            for source, entry in self._zones.items()
             if source != ALL_OTHER_ZONES
         }
 
     def sum_zones(self) -> tuple[float, _report.Report]:
-        """Sum up what was heard from other zones, to be passed on.
+        """Sum the reports of other zones, to pass them on to neighbours.
 
-        :returns: when the last of it was said, and the sum.
+        :returns: the time of the latest report, and the sum.
         """
         direct = self.get_direct_zones()
         total: _report.Report = {}
@@ -125,8 +126,8 @@
                 total[kind] = _report.KindReport(
                     before.caller_count + kind_report.caller_count, own
                 )
-        # The sum changes with each word: by the oldest, one of few zones would
-        # go before a later one of all.
+        # Sums are ordered by their latest report: by the oldest one, a sum of
+        # few zones could replace a later sum of all.
         return max((at for at, _ in direct.values()), default=0.0), total
 
 
@@ -140,23 +141,26 @@
 
 
 class KindView:
-    """What all callers ask for of a kind, as far as is known here.
+    """The demand of all callers for a kind, as far as is known here.
 
-    :param own: counted here.
-    :param own_rate: the requests a second of that.
-    :param words: of peers.
+    :param own: the demand counted here.
+    :param own_rate: the requests per second of this demand.
+    :param reports: the reports of peers.
     :param kind: the kind.
-    :param fleet: how many instances there are.
-    :param sample_seconds: how many seconds of arrivals a count stands for.
-    :ivar near: the mean of this instance and its neighbours.
-    :ivar zone: the sum of this availability zone.
-    :ivar all: the sum of all zones that are heard.
-    :ivar zone_part: which part of all zones this one is.
-    :ivar zone_known: how many callers of this zone ask for it.
-    :ivar known: the same of all zones that are heard.
-    :ivar named: callers that words name, or all where none came: the only
-        ones whose demand is known as a whole.
-    :ivar said_at: when the oldest word that was used was said; None for none.
+    :param fleet: the number of instances and zones.
+    :param sample_seconds: the seconds of arrivals that a count represents.
+    :ivar near: the mean demand of this instance and its neighbours.
+    :ivar zone: the estimated demand in this availability zone.
+    :ivar all: the demand in all zones with a report.
+    :ivar mean_seconds: the mean slot seconds of a request.
+    :ivar zone_part: one divided by the number of zones.
+    :ivar zone_caller_count: the number of callers known in this zone.
+    :ivar caller_count: the number of callers in all zones with a report.
+    :ivar named_callers: the callers whose demand is known over all instances:
+        those named in reports, and all counted here if no neighbour has
+        sent a report.
+    :ivar oldest_report_at: the time of the oldest report that was used; None
+        without reports.
     """
 
     __slots__ = (
@@ -197,8 +201,8 @@
         self._reported_demand = functools.reduce(_report.add, reported, own)
         self.near = mean = _report.average(own, reported)
         if len(mates) < fleet.mates and mates and self._has_few_samples():
-            # Any mean of samples of the zone's flows is one; that over the
-            # neighbours' neighbours is of more of them, but older.
+            # The means of neighbours cover more instances, whose counts are
+            # samples of the zone's flows, but are older.
             near = (kind_report.near for _, kind_report in mates)
             mean = _report.average(self.near, near)
         zone = _report.scale(mean, self._instance_count)
@@ -220,11 +224,11 @@
             self.caller_count += kind_report.caller_count
 
     def measure(self, caller: bytes) -> tuple[float, float]:
-        """Tell what a caller asks for.
+        """Return the demand of a caller.
 
         :param caller: the caller.
-        :returns: slots, no more than what was counted here allows; and how
-            many of its requests were sampled.
+        :returns: slots, at most what is plausible by the local count; and the
+            number of its requests that were sampled.
         """
         slots = self.all.callers.get(caller, 0.0)
         slots = min(
@@ -235,26 +239,27 @@
         return slots, self._estimate_sample_count(reported)
 
     def _estimate_sample_count(self, slots: float) -> float:
-        """Tell how many requests a demand was counted from."""
+        """Estimate from how many requests a demand was counted."""
         if not self.mean_seconds:
             return 0.0
         return slots / self.mean_seconds * self._sample_seconds
 
     def _has_few_samples(self) -> bool:
-        """Tell whether too little was sampled for a mean of neighbours."""
+        """Tell whether the samples of neighbours are too few for a mean."""
         return (
             self._estimate_sample_count(self._reported_demand.total)
             < _MIN_RELIABLE_REQUESTS
         )
 
     def _compute_plausible_limit(self, own: float) -> float:
-        """Compute the most that is likely by what was counted here.
+        """Compute the largest demand that is plausible by the local count.
 
-        Routers spread flows over the zone by chance: a word that says far
-        more than the sample of this instance allows is none to act on.
+        Routers spread flows at random over the zone, so a report far above
+        the sample of this instance must be wrong.
         """
         if not self.mean_seconds:
-            # Who counted nothing refuses nothing, and passes on what it hears.
+            # Without own counts nothing is refused, and reports are passed
+            # on unchanged.
             return float('inf')
         sampled = self._estimate_sample_count(own)
         deviation = _DEVIATIONS * math.sqrt(sampled + 1.0)
--- a/skylarkfold/shares/_fill_level.py
+++ b/skylarkfold/shares/_fill_level.py
@@ -1,4 +1,4 @@
-"""Max-min fair shares of a room."""
+"""Max-min fair division of slots."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class ShareRequest:
-    """What one caller, or several alike, ask for.
+    """The demand of one caller, or of several with the same one.
 
-    :param demand: of one of them, in slots.
-    :param weight: its share is this many times the level.
-    :param cap: its share is not above this, in slots.
-    :param count: how many of them there are.
+    :param demand: the demand of each of them, in slots.
+    :param weight: the multiple of the fill level that each may have.
+    :param cap: the largest share of each, in slots.
+    :param count: the number of callers.
     """
 
     __slots__ = ('cap', 'count', 'demand', 'weight')
@@ -30,23 +30,23 @@
 
     @property
     def wanted(self) -> float:
-        """What one of them may have at most."""
+        """The most slots that one of them can be given."""
         return min(self.demand, self.cap)
 
 
 def compute_fill_level(
     available_slots: float, requests: Iterable[ShareRequest]
 ) -> float:
-    """Compute up to which level a room is filled.
+    """Compute the max-min fair share of a caller with a weight of one.
 
-    Each claim gets the least of its demand, its cap and the level times its
-    weight; together they fill the room.
+    Each request gets the least of its demand, its cap and the level times
+    its weight; together they use all available slots.
 
-    :param room: in slots.
-    :param claims: who wants it.
-    :returns: slots for a weight of one; infinite where all find room.
+    :param available_slots: the slots to divide.
+    :param requests: the demands.
+    :returns: the level in slots; infinite if all demands can be met.
     """
-    # Those that are satisfied at the lowest level come first.
+    # In the order of the levels at which they are satisfied.
     ordered = sorted(requests, key=lambda each: each.wanted / each.weight)
     remaining_slots = max(0.0, available_slots)
     total_weight = sum(each.weight * each.count for each in ordered)
--- a/skylarkfold/shares/_kind_shares.py
+++ b/skylarkfold/shares/_kind_shares.py
@@ -1,4 +1,4 @@
-"""Who is above its share of a service that is short of room."""
+"""Shares of callers of a service that is short of capacity."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from skylarkfold.shares import _report
 from skylarkfold.shares import _settings
 
-# Of its slots, what requests of a later priority may still try for where the
-# earlier ones seem to fill all: their work is estimated, and what does not
-# fit is refused by the estimate of its answer.
+# Least share of a service's slots for each priority. Demand is an estimate, so
+# later priorities keep some slots even if the earlier ones seem to fill all;
+# requests that don't fit are refused by their estimated response time.
 _MIN_PRIORITY_SHARE = 0.1
-# What other zones tell can't be compared with anything here: of an equal part
-# of the room a zone keeps at least this share.
+# Reports of other zones can't be verified here: whatever they say, a zone
+# keeps this share of an equal part of the slots.
 _MIN_ZONE_SHARE = 0.5
 _DAY_SECONDS = 86400.0
 
 
 class KindShares:
-    """The shares of the callers of one kind.
+    """The shares of the callers for one kind of requests.
 
-    :param view: what they ask for.
-    :param room: what the service has for the kind, in slots.
+    :param view: the demand for the kind.
+    :param available_slots: the slots of the service for the kind.
     :param settings: weights and caps.
-    :ivar level: what a caller with a weight of one may have, in slots.
+    :ivar level: the share of a caller with a weight of one, in slots.
     """
 
     __slots__ = (
@@ -55,7 +55,7 @@
         )
 
     def compute_share(self, caller: bytes) -> float:
-        """Compute what a caller may have.
+        """Compute the share of a caller.
 
         :param caller: the caller.
         :returns: slots.
@@ -67,12 +67,12 @@
     def check_share(
         self, now: float, caller: bytes, new_flow_share: float
     ) -> _over_share.OverShare | None:
-        """Tell which share of a caller's new flows is refused.
+        """Compute which share of a caller's new flows is refused.
 
         :param now: the time.
         :param caller: the caller.
-        :param opening_share: how much of what it asks for opens flows.
-        :returns: the figures; None for one that is within its share.
+        :param new_flow_share: the share of its demand that opens flows.
+        :returns: the figures; None if it is within its share.
         """
         demand, sampled = self.view.measure(caller)
         share = self.compute_share(caller)
@@ -81,8 +81,8 @@
         deviation = self._settings.certainty / math.sqrt(sampled)
         if demand * (1.0 - deviation) <= share:
             return None
-        # What it asks on open flows can't be refused, so that new ones make
-        # up for it.
+        # Requests on open flows can't be refused, so more of the new flows
+        # have to be.
         excess = (1.0 - share / demand) / max(new_flow_share, 1e-3)
         oldest_report_at = self.view.oldest_report_at
         age = (
@@ -115,7 +115,7 @@
             weight, cap = self._get_weight(caller), self._get_cap(caller)
             requests.append(_fill_level.ShareRequest(slots, weight, cap))
         if unnamed_demand > 0.0:
-            # Of the others only the number is known.
+            # Only the number and total of the unnamed callers are known.
             count = max(1, caller_count - len(named_callers))
             requests.append(
                 _fill_level.ShareRequest(
@@ -130,11 +130,11 @@
     slots: float,
     settings: _settings.SharesSettings,
 ) -> dict[int, KindShares]:
-    """Divide a service's slots, those of the first priority first.
+    """Divide a service's slots in the order of priorities.
 
-    :param views: what is asked for, by priority.
-    :param slots: of the service.
-    :param settings: how full it is filled.
+    :param views: the demand by priority.
+    :param slots: the slots of the service.
+    :param settings: the share of slots to fill, weights and caps.
     :returns: the shares, by priority.
     """
     remaining_slots = settings.filled_share * slots
--- a/skylarkfold/shares/_network.py
+++ b/skylarkfold/shares/_network.py
@@ -1,4 +1,4 @@
-"""Networks of callers and the values that settings give them."""
+"""Networks of callers, and values by network."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """A network of IPv4 addresses.
 
     :param base: its first address as a number.
-    :param length: the bits that all its addresses share.
+    :param length: the prefix length in bits.
     """
 
     __slots__ = ('base', 'length')
@@ -26,11 +26,12 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Network':
-        """Read a network, or a single address.
+        """Parse a network, or a single address.
 
         :param text: for example ``192.0.2.0/24`` or ``192.0.2.7``.
         :returns: the network.
-        :raises SettingsError: if it is none, or has bits beyond its length.
+        :raises SettingsError: if it is malformed, or has bits set beyond its
+            prefix.
         """
         host, has_length, bits = text.partition('/')
         if not has_length:
@@ -50,7 +51,7 @@
         return cls(base, length)
 
     def has(self, address: int) -> bool:
-        """Tell whether an address is of this network.
+        """Tell whether an address is in this network.
 
         :param address: the address as a number.
         :returns: whether it is.
@@ -59,7 +60,7 @@
 
 
 class NetworkTable:
-    """Values by network; the smallest network that has a caller counts.
+    """Values by network; the smallest network of a caller decides.
 
     :param entries: the networks, each once, with their values.
     """
@@ -76,7 +77,7 @@
         """Find the value of a caller.
 
         :param caller: its packed address.
-        :returns: the value, None where no network has it.
+        :returns: the value; None if the caller is in no network.
         """
         if not self._entries:
             return None
@@ -89,5 +90,5 @@
 
 def _is_number(text: str, maximum: int) -> bool:
     is_plain = text.isascii() and text.isdecimal() and len(text) <= 3
-    # A leading zero is octal to some readers.
+    # Some parsers read numbers with a leading zero as octal.
     return is_plain and str(int(text)) == text and int(text) <= maximum
--- a/skylarkfold/shares/_over_share.py
+++ b/skylarkfold/shares/_over_share.py
@@ -1,10 +1,10 @@
-"""What is told of a new flow that is refused for its caller's share."""
+"""Refusal of new flows of a caller that is above its share."""
 
 from __future__ import annotations
 
-# The bits of a flow's hash that are a draw, which falls alike on every
-# instance. Not those by which a late answer is refused: whoever passes here
-# is not more likely to pass there.
+# Position of the bits of a flow's hash that decide on its refusal, alike on
+# every instance. Refusals for expected lateness use other bits, so that both
+# decisions are independent.
 _DRAW_SHIFT = 48
 _DRAW_COUNT = 1 << 16
 
@@ -12,11 +12,11 @@
 class OverShare:
     """The figures of a refusal.
 
-    :param demand: what the caller asks for, in slots of the service.
-    :param share: what it may have.
-    :param room: what the service has for requests of this kind.
+    :param demand: the caller's demand, in slots of the service.
+    :param share: the caller's share, in slots.
+    :param room: the slots of the service for requests of this kind.
     :param refused_share: the share of its new flows that are refused.
-    :param age_seconds: of the oldest word that was used.
+    :param age_seconds: the age of the oldest report that was used.
     """
 
     __slots__ = ('age_seconds', 'demand', 'refused_share', 'room', 'share')
@@ -36,7 +36,7 @@
         self.age_seconds = age_seconds
 
     def refuses(self, hashed: int) -> bool:
-        """Tell whether one of the caller's new flows is refused.
+        """Tell whether a new flow of the caller is refused.
 
         :param hashed: the flow's hash, 64 bits.
         :returns: whether it is.
--- a/skylarkfold/shares/_report.py
+++ b/skylarkfold/shares/_report.py
@@ -1,4 +1,4 @@
-"""What instances tell one another of callers, and its bytes."""
+"""Reports of callers' demand between instances, and their encoding."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from skylarkfold.shares import _count
 
-# Digest of the service, priority, callers that follow, callers known, the
-# sender's total and the mean of its neighbours'; then of each caller address,
-# the sender's and the mean demand.
+# Service digest, priority, number of entries, number of known callers, total
+# demand of the sender, mean total of it and its neighbours. Each entry has the
+# caller's address, its demand at the sender and its mean demand.
 _KIND_HEADER = struct.Struct('!IBBHee')
 _CALLER_ENTRY = struct.Struct('!4see')
-# Half-precision floats end above it.
+# Below the largest half-precision float.
 _MAX_SLOTS = 60000.0
 _MAX_KINDS = 8
 _MAX_PRIORITY = 255
@@ -23,10 +23,10 @@
 
 
 class Demand:
-    """What is asked for of one kind of requests.
+    """The demand for one kind of requests, in slots.
 
-    :param total: by all callers, in slots.
-    :param callers: the same by the heaviest of them.
+    :param total: the demand of all callers.
+    :param callers: the demand of the heaviest callers, by address.
     """
 
     __slots__ = ('callers', 'total')
@@ -40,11 +40,12 @@
 
 
 class KindReport:
-    """What a word tells of one kind.
+    """The part of a report on one kind.
 
-    :param known: how many callers ask for it, as far as the sender knows.
-    :param own: the sender's demand; the zone's, in a word of a zone.
-    :param near: the mean of the sender's and its neighbours'.
+    :param caller_count: the number of callers known to the sender.
+    :param own: the demand at the sender; in a report of a zone, that of the
+        zone.
+    :param near: the mean demand at the sender and its neighbours.
     """
 
     __slots__ = ('caller_count', 'near', 'own')
@@ -62,14 +63,14 @@
 
 
 def average(own: Demand, others: Iterable[Demand]) -> Demand:
-    """Average demands of several instances.
+    """Average the demands of several instances.
 
-    A word names few callers: of one that it leaves out it says nothing. The
-    mean of such a caller is that of the instances that name it.
+    Reports name few callers and say nothing about the others, so the mean of
+    a caller is taken over the instances that name it.
 
-    :param own: counted here, of all callers.
-    :param others: told by others.
-    :returns: their mean; the callers' never sum up to more than the total.
+    :param own: the demand counted here, of all callers.
+    :param others: the reported demands.
+    :returns: the mean; the sum of its callers is at most its total.
     """
     others = list(others)
     total = own.total + sum(each.total for each in others)
@@ -95,7 +96,7 @@
     """Multiply a demand.
 
     :param demand: the demand.
-    :param factor: by what.
+    :param factor: the factor.
     :returns: the product.
     """
     callers = {name: one * factor for name, one in demand.callers.items()}
@@ -107,7 +108,7 @@
 
     :param one: a demand.
     :param other: another.
-    :returns: both together.
+    :returns: the sum.
     """
     callers = dict(one.callers)
     for caller, slots in other.callers.items():
@@ -116,11 +117,11 @@
 
 
 def pack(report: Report) -> bytes:
-    """Write a word.
+    """Encode a report.
 
-    :param word: by kind; the kinds with the largest demand are written, of
-        these the callers named first.
-    :returns: its bytes.
+    :param report: the report; only the kinds with the largest demand are
+        encoded, and of these the callers named first.
+    :returns: the bytes.
     """
     chunks = []
     remaining_callers = MOST_CALLERS
@@ -149,10 +150,10 @@
 
 
 def unpack(data: bytes) -> Report | None:
-    """Read a word.
+    """Decode a report.
 
-    :param data: its bytes.
-    :returns: the word; None where any of it can't be true.
+    :param data: the bytes.
+    :returns: the report; None if it is malformed or has impossible values.
     """
     report: Report = {}
     offset = 0
@@ -183,5 +184,5 @@
     values = (demand.total, *demand.callers.values())
     if not all(math.isfinite(each) and each >= 0.0 for each in values):
         return False
-    # Rounding may put the parts a little above their sum.
+    # Rounding may raise the sum of the callers slightly above the total.
     return sum(demand.callers.values()) <= 1.01 * demand.total + 1e-3
--- a/skylarkfold/shares/_settings.py
+++ b/skylarkfold/shares/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the callers' shares."""
+"""Settings of callers' shares."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 
 class SharesSettings:
-    """Whether and how callers' shares are kept.
+    """Whether and how callers' shares are enforced.
 
     :param is_enforced: whether new flows beyond a caller's share are refused.
-    :param callers: callers counted one by one, the heaviest; what the others
-        ask for is counted in total.
-    :param told_callers: of these, how many a word to peers holds at most.
-    :param window_seconds: time constant of the decay of what was counted; of
-        a change 0.81 are seen after half a second, when peers must know.
-    :param word_seconds: how long a peer's word counts; it comes several times
-        a second.
-    :param short_share: a service is short of room once it is asked for more
-        than this share of its slots: random arrivals queue from there on.
-    :param filled_share: up to which share of its slots it is filled then.
-        The rest keeps the queue short for those within their share.
-    :param joined_share: from this share of its slots on, an instance tells
-        what it counts; lower than ``short_share``, so that all tell once
-        one of them sees a shortage.
-    :param certainty: by how many standard deviations of what was sampled a
-        caller must be above its share before it is refused.
-    :param weights: by network, how much more of a share than others a caller
-        has; 1 where nothing is said.
+    :param callers: the number of callers counted individually, the heaviest;
+        the demand of the others is counted as a total.
+    :param told_callers: the most callers named in a report to peers.
+    :param window_seconds: time constant of the decay of counts; 0.81 of a
+        change are visible after half a second, when peers must know it.
+    :param word_seconds: how long a peer's report is used; reports are sent
+        several times per second.
+    :param short_share: a service is short of capacity once the demand exceeds
+        this share of its slots; above it random arrivals queue.
+    :param filled_share: the share of its slots that is then divided. The rest
+        keeps the queue short for callers within their share.
+    :param joined_share: the share of the slots from which on an instance sends
+        reports; below ``short_share``, so that all send them once one of
+        them sees a shortage.
+    :param certainty: the standard deviations of its sample by which a caller
+        must exceed its share before it is refused.
+    :param weights: by network, the factor on a caller's share; 1 for callers
+        in none of them.
     :param caps_per_second: by network, the largest share of a caller, in
-        requests a second of a service that is short.
+        requests per second, while the service is short.
     """
 
     __slots__ = (
@@ -72,7 +72,7 @@
         self.caps_per_second = caps_per_second or _network.NetworkTable(())
 
     def enforce(self) -> 'SharesSettings':
-        """Copy them with shares enforced.
+        """Return a copy with shares enforced.
 
         :returns: the copy.
         """
--- a/skylarkfold/tests/shares/fleet.py
+++ b/skylarkfold/tests/shares/fleet.py
@@ -1,4 +1,4 @@
-"""Deciders that share callers' flows by chance, and hear one another late."""
+"""Simulated instances that share flows at random, with delayed reports."""
 
 import random
 
@@ -7,7 +7,7 @@
 SERVICE = 7
 WORK_SECONDS = 0.05
 STEP_SECONDS = 0.2
-# Of a zone's ring, those beside an instance.
+# Offsets of an instance's neighbours on the ring of its zone.
 RING = (-2, -1, 1, 2)
 
 
@@ -17,7 +17,7 @@
 
 
 class SimulatedInstance:
-    """One instance with the words that are on their way to it."""
+    """One instance with the reports in transit to it."""
 
     def __init__(self, name, zone, settings):
         self.name = name
@@ -27,7 +27,7 @@
         self.in_transit = []
 
     def receive_reports(self, now):
-        """Take the words that have arrived."""
+        """Handle the reports that have arrived."""
         while self.in_transit and self.in_transit[0][0] <= now:
             _, sent_at, source, is_zone, report = self.in_transit.pop(0)
             age = now - sent_at if is_zone else 0.0
@@ -35,7 +35,7 @@
 
 
 class Fleet:
-    """Some deciders in zones of equal size.
+    """Simulated instances in zones of equal size.
 
     Callers belong to a zone, as routers see them.
     """
@@ -64,7 +64,7 @@
         self.report_bytes = 0
 
     def run_load(self, seconds, demands, priorities=None):
-        """Let callers ask for slots; tell what they were given.
+        """Simulate the demands of callers; return what was admitted.
 
         :param seconds: for how long.
         :param demands: slots by the caller's number.
--- a/skylarkfold/tests/shares/relayed.py
+++ b/skylarkfold/tests/shares/relayed.py
@@ -1,4 +1,4 @@
-"""Instances that keep callers to shares, with the words of the real relay."""
+"""Simulated instances that exchange reports over the real relay."""
 
 import random
 
@@ -8,12 +8,12 @@
 from skylarkfold.tests.shares import fleet as fleets
 
 WORK_SECONDS = fleets.WORK_SECONDS
-# As often as the daemon works out the shares.
+# Interval at which the daemon refreshes the shares.
 STEP_SECONDS = 0.2
 
 
 class RelayedFleet(_relay_fleet.Fleet):
-    """Callers, each of one zone, and the instances that routers choose.
+    """Callers, each of one zone, and instances that get their flows at random.
 
     :param zones: the availability zone of each instance.
     :param slots: of the service.
@@ -47,7 +47,7 @@
                 self.report_bytes += self.measure(wanted)
 
     def measure(self, wanted):
-        """Tell how many bytes of a beacon are about callers."""
+        """Return how many bytes of a beacon are reports on callers."""
         beacon = wanted.beacon
         whole = len(relay.encode_beacon(beacon))
         callers, beacon.callers = beacon.callers, None
@@ -56,7 +56,7 @@
         return (whole - rest) * len(wanted.hosts)
 
     def run_load(self, seconds, demands):
-        """Let callers ask for slots; tell what they were given."""
+        """Simulate the demands of callers; return what was admitted."""
         names = sorted(set(self.zones.values()))
         homes = {
             number: [
@@ -87,7 +87,7 @@
         return {number: each / seconds for number, each in given.items()}
 
     def refresh(self):
-        """Do what the daemon does several times a second."""
+        """Refresh the shares and reports, as the daemon does."""
         for name, core in self.cores.items():
             callers = self.callers[name]
             zones = len(set(self.zones.values()))
--- a/skylarkfold/tests/shares/test_callers.py
+++ b/skylarkfold/tests/shares/test_callers.py
@@ -1,12 +1,10 @@
-"""Tests of callers' shares on a fleet whose views are old.
-
-Load: one caller presses five times beyond its share of a service while seven
-others stay below theirs. Bounds, from what callers need: those below keep
-0.97 of their requests all the while, as on a calm day; who presses is brought
-to its share within a second (1.25 of it: counts of some dozens of flows are
-within 0.12 of the mean); the room is used to 0.9. Where words take a second
-or two, that second begins when they can have come: one makes the other zones
-tell, the next brings what they count.
+"""Tests of callers' shares on a fleet with delayed reports.
+
+One caller asks for five times its share while seven stay below theirs. Those
+must keep 0.97 of their requests, the heavy one must be limited to 1.25 of its
+share (the sampling error) within a second, and 0.9 of the slots must be used.
+With delayed reports that second begins after two delays: the first report
+makes other zones send theirs.
 """
 
 import testtools
@@ -21,7 +19,7 @@
 
 
 def build_overload(slots, factor=5.0):
-    """Let one press: the others ask for 0.7 of the slots, 0.25 are left."""
+    """Build demands: one is heavy, the others sum to 0.7 of the slots."""
     demands = dict.fromkeys(range(1, 8), 0.1 * slots)
     demands[HEAVY_CALLER] = factor * (FILLED_SHARE - 0.7) * slots
     return demands
@@ -29,7 +27,7 @@
 
 class CallersTest(testtools.TestCase):
     def check_overload(self, fleet, settle):
-        """Let one press; check who loses in the seconds after it settles."""
+        """Run an overload; check the shares after it settles."""
         demands = build_overload(fleet.slots)
         fleet.run_load(2.0, build_overload(fleet.slots, 0.4))
         self.check_kept(demands, fleet.run_load(settle, demands))
@@ -44,7 +42,7 @@
         )
 
     def check_kept(self, demands, given):
-        """Check that those below their share have what they ask for."""
+        """Check that callers below their share are served."""
         for number in range(1, 8):
             kept = given[number] / demands[number]
             self.assertGreaterEqual(kept, MIN_KEPT_SHARE, given)
--- a/skylarkfold/tests/shares/test_fill_level.py
+++ b/skylarkfold/tests/shares/test_fill_level.py
@@ -1,9 +1,4 @@
-"""Tests of max-min fair shares.
-
-Load: callers that ask together for more than there is. Bound: the computed
-level is that of filling all up in small steps, within a thousandth of the
-room, so that nobody below its share loses and no room is left over.
-"""
+"""Tests of the max-min fair fill level, against one found by bisection."""
 
 import math
 
@@ -28,7 +23,7 @@
 
 
 def sum_given(claims, level):
-    """Sum up what all get at a level."""
+    """Sum the slots that all get at a level."""
     return sum(
         min(each.demand, each.cap, level * each.weight) * each.count
         for each in claims
@@ -36,7 +31,7 @@
 
 
 def find_level(room, claims):
-    """Find the level by halving, without an order of the claims."""
+    """Find the level by bisection, without ordering the requests."""
     least, most = 0.0, 1e4
     if sum_given(claims, most) <= room:
         return math.inf
@@ -72,7 +67,7 @@
             given = sum_given(claims, level)
             self.assertAlmostEqual(room, given, delta=room * 1e-6)
 
-    def test_one_that_presses_takes_nothing_from_the_others(self):
+    def test_a_heavy_caller_takes_nothing_from_the_others(self):
         others = [shares.ShareRequest(1.0) for _ in range(7)]
         level = shares.compute_fill_level(
             10.0, [*others, shares.ShareRequest(15.0)]
--- a/skylarkfold/tests/shares/test_relayed.py
+++ b/skylarkfold/tests/shares/test_relayed.py
@@ -1,10 +1,8 @@
-"""Tests of callers' shares over the beacons of the relay.
+"""Tests of callers' shares with reports in the beacons of the relay.
 
-Load: one caller presses five times beyond its share, seen by instances that
-each get a few of its flows a second. Failure: its zone is cut off. Bounds:
-those below their share keep 0.97 of their requests; who presses is at 1.25
-of its share after a second; told of it are at most 600 bytes a second by an
-instance, none at rest, so that control stays within its 11 KB.
+The bounds are those of test_callers, also when a zone is partitioned off.
+Reports take at most 600 bytes per second and instance, and none without a
+shortage.
 """
 
 import testtools
@@ -49,9 +47,9 @@
     def test_64_instances_in_three_zones(self):
         self.check_overload(self.build(64, 3, 120.0))
 
-    def test_a_shortage_that_no_zone_has_alone_is_seen(self):
-        # Each zone asks for 0.4 of the slots: instances know few of those in
-        # other zones.
+    def test_a_shortage_over_all_zones_is_detected(self):
+        # Each zone asks for 0.4 of the slots, which is no shortage by itself;
+        # instances know few callers of other zones.
         fleet = self.build(64, 3, 120.0)
         demands = dict.fromkeys(range(9), 0.6 / 9 * 120.0)
         demands |= dict.fromkeys(range(9, 12), 0.2 * 120.0)
@@ -66,7 +64,7 @@
                 given[number], test_callers.MAX_SHARE_FACTOR * share, given
             )
 
-    def test_a_zone_that_is_cut_off_goes_by_what_it_sees(self):
+    def test_a_partitioned_zone_uses_its_own_reports(self):
         fleet = self.build(12, 3, 120.0)
         demands = test_callers.build_overload(fleet.slots)
         fleet.run_load(3.0, demands)
@@ -76,7 +74,7 @@
         )
         fleet.run_load(4.0, demands)
         given = fleet.run_load(3.0, demands)
-        # It sees itself, 3 and 6, which leave 0.75 of the slots.
+        # The zone sees callers 0, 3 and 6; the latter leave 0.75 of the slots.
         self.check(fleet, demands, given, 0.75 * fleet.slots)
         fleet.cut = lambda one, other: False
         fleet.run_load(4.0, demands)
--- a/skylarkfold/tests/shares/test_reports.py
+++ b/skylarkfold/tests/shares/test_reports.py
@@ -1,8 +1,8 @@
-"""Tests of what is told of callers, and of what memory and bytes it takes.
+"""Tests of reports on callers, and of the counts and shares behind them.
 
-Failures: words that are lost, old or untrue, instances that vanish, zones that
-lose each other. Bounds: nobody below its share loses more than 0.03 of its
-requests by any of these; memory and words have fixed sizes.
+Lost, old or false reports, failed instances and partitions must not cost a
+caller below its share more than 0.03 of its requests. Memory and the size of
+reports are bounded.
 """
 
 import math
@@ -16,6 +16,8 @@
 from skylarkfold import shares
 from skylarkfold.shares import _count
 from skylarkfold.shares import _demand_view
+
+# Under an old name: property tests draw their cases from their source text.
 from skylarkfold.shares import _report as _word
 from skylarkfold.tests.shares import fleet as fleets
 
@@ -40,13 +42,13 @@
 
 
 def pack_total(total, slots, service=fleets.SERVICE):
-    """Write a word of one caller, whatever it says."""
+    """Encode a report on one caller, valid or not."""
     head = struct.pack('!IBBHee', service, 0, 1, 1, total, total)
     caller = fleets.name_caller(1)
     return head + struct.pack('!4see', caller, slots, slots)
 
 
-class WordTest(testtools.TestCase):
+class ReportTest(testtools.TestCase):
     @hypothesis.given(WORDS)
     def test_a_word_is_bounded_and_arrives(self, word):
         data = _word.pack(word)
@@ -66,7 +68,7 @@
                 for slots in (demand.total, *demand.callers.values()):
                     self.assertTrue(0 <= slots < math.inf)
 
-    def test_what_can_t_be_true_is_left_out(self):
+    def test_invalid_reports_are_ignored(self):
         core = shares.CallerShares(shares.SharesSettings(True))
         nan, infinite = math.nan, math.inf
         for total, slots in (
@@ -89,7 +91,7 @@
         many = struct.pack('!IBBHee', 1, 0, 255, 1, 9.0, 9.0) + bytes(2040)
         self.assertFalse(core.handle_report(1.0, 'n', False, 0.0, many))
 
-    def test_an_old_word_does_not_count(self):
+    def test_an_old_report_is_ignored(self):
         core = shares.CallerShares(shares.SharesSettings(True))
         word = pack_total(2.0, 1.0)
         self.assertTrue(core.handle_report(9.0, 'a', True, 2.6, word))
@@ -99,7 +101,7 @@
         core.refresh(10.6, {}, shares.FleetSize(0))
         self.assertEqual(set(), core.list_services())
 
-    def test_a_later_word_replaces_an_earlier_one(self):
+    def test_a_later_report_replaces_an_earlier_one(self):
         reports = _demand_view.PeerReports(2.5)
         kind = (fleets.SERVICE, 0)
         early, late = (
@@ -131,7 +133,7 @@
                 counts.note(at, (1, 0), b'much', 0.05, True)
         return counts
 
-    def test_however_many_call_memory_is_bounded(self):
+    def test_memory_is_bounded_for_many_callers(self):
         counts = self.fill()
         self.assertEqual(256, len(counts))
         size = sum(
@@ -143,21 +145,21 @@
     def test_the_heaviest_are_counted_well_enough(self):
         counts = self.fill()
         callers = counts.measure_callers(1.0, {(1, 0)})[(1, 0)]
-        # 500 a second, of which 0.86 are seen after one; the count of one
-        # that comes and goes may be of others.
+        # 500 requests per second, of which 0.86 are counted after one; entries
+        # of light callers may contain counts of others.
         self.assertAlmostEqual(21.6, callers[b'much'], delta=2.0)
         total, rate = counts.measure_kind(1.0, (1, 0))
         self.assertAlmostEqual(0.86 * 5500 * 0.05, total, delta=5.0)
         self.assertAlmostEqual(0.86 * 5500, rate, delta=100.0)
 
-    def test_nobody_is_counted_for_more_than_it_asked(self):
+    def test_no_caller_is_overcounted(self):
         counts = self.fill(limit=8)
         callers = counts.measure_callers(1.0, {(1, 0)})[(1, 0)]
         for caller, slots in callers.items():
             if caller != b'much':
                 self.assertLessEqual(slots, 0.1001)
 
-    def test_counts_decay_and_are_forgotten(self):
+    def test_counts_decay_and_are_dropped(self):
         counts = self.fill(callers=100)
         counts.expire(100.0)
         self.assertEqual([], counts.list_kinds())
@@ -183,12 +185,12 @@
             share = given[number] / OVERLOAD_DEMANDS[number]
             self.assertGreaterEqual(share, kept, given)
 
-    def test_without_any_word_nobody_below_its_share_loses(self):
+    def test_without_reports_callers_below_their_share_are_served(self):
         fleet = fleets.Fleet(7, zones=3)
         fleet.muted = {each.name for each in fleet.instances}
         self.check(fleet.run_load(4.0, OVERLOAD_DEMANDS))
 
-    def test_an_instance_that_vanishes_takes_no_share_along(self):
+    def test_failed_instances_do_not_change_the_shares(self):
         fleet = fleets.Fleet(7)
         fleet.run_load(3.0, OVERLOAD_DEMANDS)
         fleet.muted = {'n-0', 'n-1'}
@@ -196,7 +198,7 @@
         self.check(given)
         self.assertLessEqual(given[0], 1.25 * 0.25 * SLOTS)
 
-    def test_in_a_cut_each_side_goes_by_what_it_sees(self):
+    def test_in_a_partition_each_side_uses_its_own_reports(self):
         fleet = fleets.Fleet(9, zones=3)
         fleet.run_load(3.0, OVERLOAD_DEMANDS)
         for each in fleet.instances:
@@ -204,13 +206,13 @@
         fleet.is_partitioned = True
         given = fleet.run_load(6.0, OVERLOAD_DEMANDS)
         self.check(given)
-        # The side of the one that presses sees itself, 3 and 6: what they
-        # leave of all slots is its share.
+        # The zone of the heavy caller sees it, 3 and 6: its share is what
+        # these leave of all slots.
         self.assertLessEqual(given[0], 1.25 * 0.75 * SLOTS)
         self.assertGreaterEqual(sum(given.values()), 0.9 * SLOTS)
 
-    def test_untrue_words_stop_nobody(self):
-        # One peer says that a caller asks for 500 times the slots.
+    def test_false_reports_of_a_peer_refuse_nobody(self):
+        # One peer reports a demand of 500 times the slots.
         fleet = fleets.Fleet(7)
         calm = dict.fromkeys(range(8), 0.08 * SLOTS)
         fleet.run_load(2.0, calm)
@@ -226,9 +228,9 @@
                 slots / calm[number], MIN_KEPT_SHARE, given
             )
 
-    def test_untrue_sums_of_other_zones_stop_nobody(self):
-        # They can't be compared with anything here: whatever they say, a
-        # zone's callers have half of an equal part of the room.
+    def test_false_sums_of_other_zones_leave_a_least_share(self):
+        # They can't be verified: whatever they say, a zone's callers keep
+        # half of an equal part of the slots.
         fleet = fleets.Fleet(6, zones=3)
         demands = dict.fromkeys(range(9), 0.08 * SLOTS)
         fleet.run_load(2.0, demands)
@@ -245,12 +247,12 @@
         for slots in given.values():
             self.assertGreaterEqual(slots, 0.9 * least, given)
 
-    def test_at_rest_nothing_is_told(self):
+    def test_nothing_is_sent_without_a_shortage(self):
         fleet = fleets.Fleet(7, zones=3)
         fleet.run_load(5.0, dict.fromkeys(range(8), 0.05 * SLOTS))
         self.assertEqual(0, fleet.report_count)
 
-    def test_after_the_shortage_nothing_is_told_any_more(self):
+    def test_nothing_is_sent_after_a_shortage(self):
         fleet = fleets.Fleet(7, zones=3)
         fleet.run_load(4.0, OVERLOAD_DEMANDS)
         self.assertGreater(fleet.report_count, 0)
@@ -264,8 +266,8 @@
 
 class PreferenceTest(testtools.TestCase):
     def test_the_first_priority_is_filled_first(self):
-        # Two live callers ask for 0.8 of the slots, two of reports for more
-        # than is left, one of them for more than half of that.
+        # Two callers of the first priority ask for 0.8 of the slots, two of
+        # the second for more than is left, one of them for more than half.
         fleet = fleets.Fleet(3)
         demands = {0: 48.0, 1: 48.0, 2: 9.0, 3: 60.0}
         priorities = {2: 1, 3: 1}
@@ -293,7 +295,7 @@
         self.assertAlmostEqual(100.0 * 0.05, given[1], delta=0.5)
         self.assertGreaterEqual(sum(given.values()), 0.9 * SLOTS)
 
-    def test_all_that_press_alike_get_alike(self):
+    def test_equal_demands_get_equal_shares(self):
         fleet = fleets.Fleet(7, zones=3)
         demands = dict.fromkeys(range(60), 0.05 * SLOTS)
         fleet.run_load(3.0, demands)
@@ -306,7 +308,7 @@
 
 
 class NetworkTest(testtools.TestCase):
-    def test_the_smallest_network_counts(self):
+    def test_the_smallest_network_decides(self):
         table = shares.NetworkTable(
             (shares.Network.parse(text), value)
             for text, value in (
