--- a/skylarkfold/store/__init__.py
+++ b/skylarkfold/store/__init__.py
@@ -1,4 +1,7 @@
-"""The platform client: budget, back-off, lost answers, older data."""
+"""Platform client: conditional writes with rate limits and back-off.
+
+Writes whose answers are lost are resolved by reads, which may be stale.
+"""
 
 from skylarkfold.backoff import Backoff
 from skylarkfold.store._core import FIRST_CALL_NUMBER
--- a/skylarkfold/store/_core.py
+++ b/skylarkfold/store/_core.py
@@ -1,4 +1,4 @@
-"""The platform client's decisions."""
+"""Core of the platform client, without I/O."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 _Status = platform_api.PlatformStatus
 _WriteOutcome = _write_outcome.WriteOutcome
-# The surroundings end a call after its timeout; one that is still open
-# after so many timeouts has been forgotten.
-_FORGOTTEN_TIMEOUTS = 2.0
+# The executor of effects ends a call after its timeout. A call that is still
+# open after this many timeouts counts as lost.
+_CALL_EXPIRY_TIMEOUTS = 2.0
 
 
 class StoreCore:
-    """Carries out the conditional writes that other cores ask for.
+    """Performs the conditional writes that other cores request.
 
-    Writes to one object go out one after the other. A write whose answer
-    is lost is read back before it is tried again. During an outage only
-    one call at a time probes the platform, with growing pauses.
+    Writes to one object are sent one after the other. If the answer to a
+    write is lost, its object is read before the write is retried. During an
+    outage only one call at a time is sent, with growing pauses.
 
     :param instance: the instance's identity.
-    :param settings: budget, patience and back-off.
+    :param settings: rate limits, deadlines and back-off.
     :param seed: the seed of the jitter; it should differ between starts.
     """
 
@@ -46,10 +46,10 @@
     ) -> None:
         generator = random.Random(f'{instance.name}/{seed}')
         self._settings = settings
-        self._writes = token_bucket.TokenBucket(
+        self._write_bucket = token_bucket.TokenBucket(
             settings.writes_per_second, settings.burst_calls
         )
-        self._reads = token_bucket.TokenBucket(
+        self._read_bucket = token_bucket.TokenBucket(
             settings.reads_per_second, settings.burst_calls
         )
         self._backoff = backoff.Backoff(
@@ -58,67 +58,69 @@
         self._queues: dict[
             str, collections.deque[_pending_write.PendingWrite]
         ] = {}
-        self._calls: dict[int, _pending_write.PendingWrite] = {}
-        self._count = 0
-        self._last_call = FIRST_CALL_NUMBER - 1
+        self._open_calls: dict[int, _pending_write.PendingWrite] = {}
+        self._write_count = 0
+        self._last_call_number = FIRST_CALL_NUMBER - 1
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether no write is left to settle."""
+        """Whether no write is pending."""
         return not self._queues
 
     @functools.singledispatchmethod
-    def _take(self, received: object, now: float) -> list[object]:
+    def _dispatch(self, received: object, now: float) -> list[object]:
         return []
 
     def handle(self, now: float, received: object) -> list[object]:
-        """Take one event.
+        """Handle one event.
 
         :param now: the time in seconds of a monotonic clock.
         :param received: an event of :mod:`skylarkfold.event`.
         :returns: effects of :mod:`skylarkfold.effect`, in order.
         """
-        return self._take(received, now)
+        return self._dispatch(received, now)
 
-    @_take.register
+    @_dispatch.register
     def _(self, received: event.WriteRequested, now: float) -> list[object]:
         return self.request_write(now, received.write)
 
-    @_take.register
+    @_dispatch.register
     def _(self, received: event.Tick, now: float) -> list[object]:
-        effects = self._forget_calls(now)
-        effects += self._end_impatient(now)
+        effects = self._expire_calls(now)
+        effects += self._expire_writes(now)
         return effects + self._send_calls(now)
 
-    @_take.register
+    @_dispatch.register
     def _(self, received: event.ObjectChanged, now: float) -> list[object]:
         queue = self._queues.get(received.stored.path)
         if queue is None:
             return []
         pending = queue[0]
-        pending.revision = max(pending.revision, received.stored.revision)
-        if not pending.must_read or not pending.is_waiting:
+        pending.known_revision = max(
+            pending.known_revision, received.stored.revision
+        )
+        if not pending.needs_read or not pending.is_idle:
             return []
-        effects = self._take_read(pending, received.stored, now)
+        effects = self._handle_read(pending, received.stored, now)
         return effects + self._send_calls(now)
 
-    @_take.register
+    @_dispatch.register
     def _(self, received: event.PlatformAnswered, now: float) -> list[object]:
-        pending = self._calls.pop(received.call, None)
+        pending = self._open_calls.pop(received.call, None)
         if pending is None:
             return []
-        pending.call = 0
-        effects = self._take_answer(pending, received.answer, now)
+        pending.call_number = 0
+        effects = self._handle_answer(pending, received.answer, now)
         return effects + self._send_calls(now)
 
     def request_write(
         self, now: float, write: platform_api.WriteObject
     ) -> list[object]:
-        """Begin a conditional write.
+        """Start a conditional write.
 
         :param now: the time in seconds of a monotonic clock.
-        :param write: the write; one that is asked for again while it is
-            pending is carried out once.
+        :param write: the write; a repeated request for a pending write is
+            ignored.
         :returns: effects; the outcome follows as a
             :class:`skylarkfold.effect.PublishWriteEnded`.
         """
@@ -126,152 +128,154 @@
         if any(each.write == write for each in queue):
             return []
         pending = _pending_write.PendingWrite(write, now)
-        if self._count >= self._settings.maximum_waiting:
-            self._rotate(write.path)
-            return self._report(pending, _Status.REFUSED)
+        if self._write_count >= self._settings.maximum_waiting:
+            self._move_to_end(write.path)
+            return self._report_outcome(pending, _Status.REFUSED)
         queue.append(pending)
-        self._count += 1
+        self._write_count += 1
         return self._send_calls(now)
 
-    def _take_answer(
+    def _handle_answer(
         self,
         pending: _pending_write.PendingWrite,
         answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
         if answer.status in (_Status.UNKNOWN, _Status.REFUSED):
-            return self._take_failure(pending, answer, now)
+            return self._handle_failure(pending, answer, now)
         self._backoff.record_success()
-        if pending.must_read:
+        if pending.needs_read:
             current = answer.find_object(pending.write.path)
-            return self._take_read(pending, current, now)
-        return self._take_written(pending, answer, now)
+            return self._handle_read(pending, current, now)
+        return self._handle_write_answer(pending, answer, now)
 
-    def _take_failure(
+    def _handle_failure(
         self,
         pending: _pending_write.PendingWrite,
         answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
         self._backoff.record_failure(now)
-        self._rotate(pending.write.path)
+        self._move_to_end(pending.write.path)
         if answer.status is _Status.REFUSED:
             return [effect.CountMetric(metric.STORE_REFUSED)]
-        if not pending.must_read:
-            pending.answer_lost = True
-            pending.must_read = True
+        if not pending.needs_read:
+            pending.is_answer_lost = True
+            pending.needs_read = True
         return [effect.CountMetric(metric.STORE_LOST)]
 
-    def _take_written(
+    def _handle_write_answer(
         self,
         pending: _pending_write.PendingWrite,
         answer: platform_api.PlatformAnswer,
         now: float,
     ) -> list[object]:
         if answer.status is _Status.OK:
-            pending.current = _find_written(pending.write, answer)
+            pending.current = _build_stored(pending.write, answer)
             return self._end(pending, _Status.OK)
-        pending.was_refused = True
-        if not pending.answer_lost:
+        pending.had_conflict = True
+        if not pending.is_answer_lost:
             pending.current = answer.find_object(pending.write.path)
             return self._end(pending, _Status.CONFLICT)
-        pending.must_read = True
+        pending.needs_read = True
         return []
 
-    def _take_read(
+    def _handle_read(
         self,
         pending: _pending_write.PendingWrite,
         current: platform_api.StoredObject | None,
         now: float,
     ) -> list[object]:
-        finding = self._judge(pending, current)
-        if finding is _WriteOutcome.STALE:
-            pending.wait_until = now + self._settings.retry_seconds
+        outcome = self._resolve_read(pending, current)
+        if outcome is _WriteOutcome.STALE:
+            pending.not_before = now + self._settings.retry_seconds
             return [effect.CountMetric(metric.STORE_STALE)]
-        if finding is _WriteOutcome.PENDING:
-            pending.must_read = False
+        if outcome is _WriteOutcome.PENDING:
+            pending.needs_read = False
             return []
         pending.current = current
-        if finding is _WriteOutcome.DONE:
+        if outcome is _WriteOutcome.DONE:
             return self._end(pending, _Status.OK)
-        may_have_stood = finding is _WriteOutcome.REPLACED
+        may_have_stood = outcome is _WriteOutcome.REPLACED
         return self._end(pending, _Status.CONFLICT, may_have_stood)
 
-    def _judge(
+    def _resolve_read(
         self,
         pending: _pending_write.PendingWrite,
         current: platform_api.StoredObject | None,
     ) -> _write_outcome.WriteOutcome:
-        if current is not None and current.revision < pending.revision:
+        if current is not None and current.revision < pending.known_revision:
             return _WriteOutcome.STALE
         return _write_outcome.resolve_write(
-            pending.write, current, pending.was_refused
+            pending.write, current, pending.had_conflict
         )
 
-    def _forget_calls(self, now: float) -> list[object]:
-        oldest = now - self._settings.timeout_seconds * _FORGOTTEN_TIMEOUTS
+    def _expire_calls(self, now: float) -> list[object]:
+        oldest = now - self._settings.timeout_seconds * _CALL_EXPIRY_TIMEOUTS
         effects: list[object] = []
-        for call, pending in list(self._calls.items()):
+        for call, pending in list(self._open_calls.items()):
             if pending.sent_at < oldest:
-                del self._calls[call]
-                pending.call = 0
+                del self._open_calls[call]
+                pending.call_number = 0
                 lost = platform_api.PlatformAnswer(_Status.UNKNOWN)
-                effects += self._take_answer(pending, lost, now)
+                effects += self._handle_answer(pending, lost, now)
         return effects
 
-    def _end_impatient(self, now: float) -> list[object]:
+    def _expire_writes(self, now: float) -> list[object]:
         oldest = now - self._settings.patience_seconds
-        impatient = [
+        expired = [
             each
             for queue in self._queues.values()
             for each in queue
-            if each.asked_at < oldest and each.is_waiting
+            if each.requested_at < oldest and each.is_idle
         ]
         effects: list[object] = []
-        for pending in impatient:
-            effects += self._end_unsettled(pending)
+        for pending in expired:
+            effects += self._end_expired(pending)
         return effects
 
-    def _end_unsettled(
+    def _end_expired(
         self, pending: _pending_write.PendingWrite
     ) -> list[object]:
-        if not pending.answer_lost:
+        if not pending.is_answer_lost:
             return self._end(pending, _Status.REFUSED)
-        if pending.was_refused:
+        if pending.had_conflict:
             return self._end(pending, _Status.CONFLICT, True)
         return self._end(pending, _Status.UNKNOWN)
 
     def _send_calls(self, now: float) -> list[object]:
         effects: list[object] = []
         for queue in list(self._queues.values()):
-            if not self._may_send(now):
+            if not self._can_send(now):
                 break
             pending = queue[0]
-            if not pending.is_waiting or now < pending.wait_until:
+            if not pending.is_idle or now < pending.not_before:
                 continue
-            budget = self._reads if pending.must_read else self._writes
-            if budget.take(now):
+            bucket = (
+                self._read_bucket if pending.needs_read else self._write_bucket
+            )
+            if bucket.take(now):
                 effects += self._send(pending, now)
         return effects
 
-    def _may_send(self, now: float) -> bool:
+    def _can_send(self, now: float) -> bool:
         if now < self._backoff.retry_at:
             return False
         limit = 1 if self._backoff.failures else self._settings.maximum_calls
-        return len(self._calls) < limit
+        return len(self._open_calls) < limit
 
     def _send(
         self, pending: _pending_write.PendingWrite, now: float
     ) -> list[object]:
-        self._last_call += 1
-        pending.call = self._last_call
+        self._last_call_number += 1
+        pending.call_number = self._last_call_number
         pending.sent_at = now
-        self._calls[pending.call] = pending
-        kind = 'reads' if pending.must_read else 'writes'
+        self._open_calls[pending.call_number] = pending
+        call_kind = 'reads' if pending.needs_read else 'writes'
         return [
-            effect.CountMetric(f'{metric.STORE_CALLS}.{kind}'),
+            effect.CountMetric(f'{metric.STORE_CALLS}.{call_kind}'),
             effect.CallPlatform(
-                pending.call,
+                pending.call_number,
                 pending.build_call(),
                 self._settings.timeout_seconds,
             ),
@@ -284,17 +288,17 @@
         may_have_stood: bool = False,
     ) -> list[object]:
         self._queues[pending.write.path].remove(pending)
-        self._rotate(pending.write.path)
-        self._count -= 1
-        return self._report(pending, status, may_have_stood)
+        self._move_to_end(pending.write.path)
+        self._write_count -= 1
+        return self._report_outcome(pending, status, may_have_stood)
 
-    def _rotate(self, path: str) -> None:
+    def _move_to_end(self, path: str) -> None:
         queue = self._queues.pop(path)
         if queue:
-            # At the end, so that no object keeps the others waiting.
+            # Sent last from now on, so that no object blocks the others.
             self._queues[path] = queue
 
-    def _report(
+    def _report_outcome(
         self,
         pending: _pending_write.PendingWrite,
         status: platform_api.PlatformStatus,
@@ -308,7 +312,7 @@
         ]
 
 
-def _find_written(
+def _build_stored(
     write: platform_api.WriteObject, answer: platform_api.PlatformAnswer
 ) -> platform_api.StoredObject | None:
     if write.value is None:
--- a/skylarkfold/store/_settings.py
+++ b/skylarkfold/store/_settings.py
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreSettings:
-    """Budget, patience and back-off of one instance's platform client.
-
-    It makes the instance's writes and reads back those whose answer was
-    lost; listings and watches are bounded by ``distribution`` and
-    ``membership``. 600 instances at these rates ask for at most 300
-    writes and 300 reads a second.
-
-    :param reads_per_second: reads in the long run.
-    :param writes_per_second: writes in the long run.
-    :param burst_calls: how many of each may come at once after a rest.
-    :param maximum_calls: calls on their way at the same time.
-    :param maximum_waiting: writes not yet settled; beyond it they are
-        refused at once.
-    :param timeout_seconds: how long a call waits for its answer.
-    :param patience_seconds: how long a write is tried in all.
+    """Rate limits, deadlines and back-off of an instance's platform client.
+
+    They apply to the instance's writes and to the reads after lost answers;
+    listings and watches are limited by ``distribution`` and ``membership``.
+    600 instances with the defaults send at most 300 writes and 300 reads per
+    second.
+
+    :param reads_per_second: the sustained rate of reads.
+    :param writes_per_second: the sustained rate of writes.
+    :param burst_calls: the largest burst of each.
+    :param maximum_calls: the largest number of open calls.
+    :param maximum_waiting: the largest number of pending writes; further
+        ones are refused at once.
+    :param timeout_seconds: the timeout of a call.
+    :param patience_seconds: the time for all tries of a write.
     :param retry_seconds: the first pause after a failed call.
     :param maximum_retry_seconds: the longest pause between tries.
     """
--- a/skylarkfold/store/_write_outcome.py
+++ b/skylarkfold/store/_write_outcome.py
@@ -1,4 +1,4 @@
-"""What a read tells about a conditional write."""
+"""Outcome of a conditional write, as a read of its object shows it."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class WriteOutcome(enum.StrEnum):
-    """What is known about a write after reading its object back.
+    """What is known about a write after reading its object.
 
-    ``DONE``: the value stands as it was written. ``PENDING``: the expected
-    version still stands; the write may be tried again. ``LOST``: another
-    writer's value stands in its place. ``REPLACED``: later versions stand;
-    the write may have stood before them. ``STALE``: the read is older
-    than what is known already and tells nothing.
+    ``DONE``: the object has the written value. ``PENDING``: it still has the
+    expected version, so the write may be retried. ``LOST``: another writer
+    has written the next version. ``REPLACED``: it has a later version; the
+    write may have been applied before. ``STALE``: the read is older than
+    what is known already and shows nothing.
     """
 
     DONE = 'done'
@@ -25,10 +25,10 @@
 
 
 def get_version(current: platform_api.StoredObject | None) -> int:
-    """Tell the version that a conditional write must expect.
+    """Return the version that a conditional write must expect.
 
-    :param current: what stands there; None for nothing.
-    :returns: its version, 0 for nothing.
+    :param current: the present object; None if there is none.
+    :returns: its version; 0 if there is none or it was deleted.
     """
     if current is None or current.value is None:
         return 0
@@ -38,25 +38,25 @@
 def resolve_write(
     write: platform_api.WriteObject,
     current: platform_api.StoredObject | None,
-    was_refused: bool,
+    had_conflict: bool,
 ) -> WriteOutcome:
-    """Judge a write whose answer was lost by what stands in its place.
+    """Find the outcome of a write whose answer was lost, from a read.
 
-    The values of writers that must not be taken for each other have to
-    differ, for example by the name of the writer or a write's identity.
+    Writes are told apart by their values, so values of different writers
+    have to differ, for example by the writer's name or a write's identity.
 
     :param write: the write.
-    :param current: what was read; None for nothing.
-    :param was_refused: whether the platform has answered a later try that
-        the expected version does not stand there.
-    :returns: what follows.
+    :param current: the object that was read; None if there is none.
+    :param had_conflict: whether the platform has answered a retry with a
+        conflict: the expected version is no longer present.
+    :returns: the outcome.
     """
     version = get_version(current)
-    if write.value is None and version == 0 and was_refused:
+    if write.value is None and version == 0 and had_conflict:
         return WriteOutcome.DONE
     if version <= write.expected_version:
-        # Trying again does no harm: the write is conditional.
-        return WriteOutcome.STALE if was_refused else WriteOutcome.PENDING
+        # A retry is safe because the write is conditional.
+        return WriteOutcome.STALE if had_conflict else WriteOutcome.PENDING
     if version != write.expected_version + 1 or current is None:
         return WriteOutcome.REPLACED
     if current.value == write.value:
--- a/skylarkfold/tests/store/test_core.py
+++ b/skylarkfold/tests/store/test_core.py
@@ -1,4 +1,4 @@
-"""Tests of the platform client's decisions."""
+"""Tests of the core of the platform client."""
 
 import hypothesis
 from hypothesis import stateful
@@ -46,7 +46,7 @@
         self.call = list_calls(effects)[0]
 
     def answer(self, answer):
-        """Answer the last call; give the end of the write, if it ended."""
+        """Answer the last call; return the end of the write, if it ended."""
         answered = event.PlatformAnswered(self.call.call, answer)
         effects = self.core.handle(self.now, answered)
         if not list_calls(effects):
@@ -74,7 +74,7 @@
         self.assertEqual(Status.CONFLICT, ended.status)
         self.assertFalse(ended.may_have_stood)
 
-    def test_a_lost_answer_is_read_back_before_a_new_try(self):
+    def test_a_lost_answer_is_resolved_by_a_read(self):
         self.assertIsNone(self.answer(fakes.LOST))
         self.assertEqual(
             platform_api.ReadObject(WRITE.path), self.call.request
@@ -93,16 +93,16 @@
         self.assertEqual(Status.CONFLICT, ended.status)
         self.assertFalse(ended.may_have_stood)
 
-    def test_a_lost_answer_and_another_writer_on_top(self):
+    def test_a_lost_answer_and_a_later_version(self):
         self.answer(fakes.LOST)
         ended = self.answer(self.read(3, b'other'))
         self.assertEqual(Status.CONFLICT, ended.status)
         self.assertTrue(ended.may_have_stood)
 
-    def test_a_stale_read_after_a_late_landing(self):
+    def test_a_stale_read_after_a_late_write(self):
         self.answer(fakes.LOST)
         self.answer(self.read(1, b'old'))
-        # The first try landed meanwhile, so the second one is refused.
+        # The first try was applied late, so the second one has a conflict.
         self.assertIsNone(
             self.answer(platform_api.PlatformAnswer(Status.CONFLICT))
         )
@@ -113,14 +113,14 @@
         ended = self.answer(self.read(2, b'new'))
         self.assertEqual(Status.OK, ended.status)
 
-    def test_a_change_seen_elsewhere_settles_a_lost_answer(self):
+    def test_a_watched_change_resolves_a_lost_answer(self):
         answered = event.PlatformAnswered(self.call.call, fakes.LOST)
         self.core.handle(self.now, answered)
         found = platform_api.StoredObject(WRITE.path, 2, 5, b'new')
         effects = self.core.handle(self.now, event.ObjectChanged(found))
         self.assertEqual([Status.OK], [e.status for e in list_ended(effects)])
 
-    def test_a_platform_that_stays_away(self):
+    def test_a_platform_that_never_answers(self):
         ended = None
         calls = 0
         while ended is None:
@@ -129,13 +129,13 @@
         self.assertEqual(Status.UNKNOWN, ended.status)
         self.assertLess(calls, 8)
 
-    def test_a_platform_that_sheds(self):
+    def test_a_platform_that_refuses_calls(self):
         ended = None
         while ended is None:
             ended = self.answer(fakes.SHED)
         self.assertEqual(Status.REFUSED, ended.status)
 
-    def test_an_outage_is_probed_by_one_call_at_a_time(self):
+    def test_an_outage_allows_one_call_at_a_time(self):
         core = make_core()
         calls = []
         for number in range(8):
@@ -148,7 +148,7 @@
         self.assertEqual(1, len(list_calls(effects)))
 
     def test_an_outage_of_an_hour(self):
-        """Writes are asked for again; few calls go out, then all succeed."""
+        """Writes are requested again; few calls are sent, then all succeed."""
         platform = fakes.FakePlatform()
         core = make_core()
         writes = [
@@ -170,7 +170,7 @@
                     if now >= 3600:
                         answer = platform.perform(each.request)
                     answered = event.PlatformAnswered(each.call, answer)
-                    # What follows is appended to what is gone through.
+                    # Extends the list that the loop iterates over.
                     effects += core.handle(now, answered)
             for ended in list_ended(effects):
                 if ended.status is Status.OK:
@@ -178,7 +178,7 @@
         self.assertEqual(8, len(settled))
         self.assertLess(calls, 3600 / 8)
 
-    def test_the_budget_bounds_writes(self):
+    def test_writes_are_rate_limited(self):
         core = make_core(writes_per_second=0.5, burst_calls=3)
         effects = []
         for number in range(50):
@@ -195,14 +195,14 @@
             sent += len(list_calls(effects))
         self.assertEqual(3 + 5, sent)
 
-    def test_more_writes_than_may_wait_are_refused(self):
+    def test_writes_beyond_the_limit_are_refused(self):
         core = make_core(maximum_waiting=1)
         core.request_write(0.0, WRITE)
         other = platform_api.WriteObject('/tables/y', b'', 0)
         ended = list_ended(core.request_write(0.0, other))
         self.assertEqual([Status.REFUSED], [each.status for each in ended])
 
-    def test_a_write_that_is_asked_for_twice_goes_out_once(self):
+    def test_a_repeated_request_is_sent_once(self):
         self.assertEqual([], self.core.request_write(0.0, WRITE))
 
 
