--- a/skylarkfold/shares/_network.py
+++ b/skylarkfold/shares/_network.py
@@ -37,17 +37,19 @@
         if not has_length:
             bits = str(_ADDRESS_BITS)
         if not _is_number(bits, _ADDRESS_BITS):
-            raise errors.SettingsError(f'{bits!a} is no prefix length')
+            raise errors.SettingsError(f'{bits!a} is not a prefix length')
         octets = host.split('.')
         is_address = len(octets) == _OCTETS and all(
             _is_number(each, _MAX_OCTET) for each in octets
         )
         if not is_address:
-            raise errors.SettingsError(f'{host!a} is no IPv4 address')
+            raise errors.SettingsError(f'{host!a} is not an IPv4 address')
         base = int.from_bytes(bytes(int(each) for each in octets), 'big')
         length = int(bits)
         if base & ((1 << (_ADDRESS_BITS - length)) - 1):
-            raise errors.SettingsError('it has bits beyond its prefix')
+            raise errors.SettingsError(
+                'network has bits set beyond its prefix'
+            )
         return cls(base, length)
 
     def has(self, address: int) -> bool:
