--- a/skylarkfold/tests/room/test_bulk_admission.py
+++ b/skylarkfold/tests/room/test_bulk_admission.py
@@ -171,7 +171,7 @@
         answered = link.Packet(number, acknowledged=9, address=address)
         self.gate.handle_packet(now, answered, answered.address, False)
 
-    def teach(self, size=MEAN_BYTES):
+    def make_route_bulk(self, size=MEAN_BYTES):
         for number in range(3):
             self.bring(number, 0.0, size)
         # By then the debt of these uploads is paid down.
@@ -184,7 +184,7 @@
     def begin(self, number, now):
         self.gate.begin(now, link.Packet(number))
 
-    def fill(self, now):
+    def admit_until_full(self, now):
         """Admit flows until one has to wait; return its number."""
         number = 100
         while self.decide(number, now) is None:
@@ -215,16 +215,16 @@
         self.assertIsNone(self.gate.transfers.find_bulk(link.BULK))
 
     def test_a_retransmission_is_queued_once(self):
-        self.teach()
-        number = self.fill(2.0)
+        self.make_route_bulk()
+        number = self.admit_until_full(2.0)
         self.assertEqual(1, self.gate.waiting_count)
         again = self.decide(number, 2.2, copies=1)
         self.assertEqual('repeated', again.outcome)
         self.assertEqual(1, self.gate.waiting_count)
 
     def test_a_retransmission_has_a_shorter_wait_limit(self):
-        self.teach()
-        self.fill(2.0)
+        self.make_route_bulk()
+        self.admit_until_full(2.0)
         self.gate.pop_late(9.0)
         limits = [
             self.decide(500 + copies, 2.0, copies).limit_seconds
@@ -234,8 +234,8 @@
         self.assertAlmostEqual(WAIT_SECONDS - 0.2, limits[1])
 
     def test_a_flow_opened_elsewhere_leaves_the_queue(self):
-        self.teach()
-        number = self.fill(2.0)
+        self.make_route_bulk()
+        number = self.admit_until_full(2.0)
         self.assertEqual(1, self.gate.waiting_count)
         packet = link.Packet(number, 1200, 5)
         self.gate.handle_packet(2.1, packet, packet.address, False)
@@ -243,8 +243,8 @@
         self.assertFalse(self.gate.is_waiting(packet.flow))
 
     def test_admission_keeps_the_order_of_arrival(self):
-        self.teach()
-        number = self.fill(2.0)
+        self.make_route_bulk()
+        number = self.admit_until_full(2.0)
         came = [number] + [
             each
             for each in range(number + 1, number + 4)
@@ -262,8 +262,8 @@
         self.assertEqual(flows, let_in)
 
     def test_a_stopped_transfer_frees_its_bytes(self):
-        self.teach()
-        last = self.fill(2.0)
+        self.make_route_bulk()
+        last = self.admit_until_full(2.0)
         for number in range(100, last):
             # One data packet arrives, then nothing more.
             packet = link.Packet(number, 1200, 0, acknowledged=7)
@@ -275,8 +275,8 @@
         self.assertEqual(0, len(self.gate.transfers))
 
     def test_a_transfer_that_never_opens_frees_its_bytes(self):
-        self.teach()
-        self.fill(2.0)
+        self.make_route_bulk()
+        self.admit_until_full(2.0)
         self.gate.pop_late(9.0)
         self.gate.pop_ready(2.9)
         self.assertGreater(self.gate.transfers.on_way, 0)
@@ -284,9 +284,9 @@
         self.assertEqual(0, self.gate.transfers.on_way)
 
     def test_find_due_leads_to_the_next_admission(self):
-        self.teach()
+        self.make_route_bulk()
         self.assertIsNone(self.gate.find_due(2.0))
-        self.fill(2.0)
+        self.admit_until_full(2.0)
         now, steps = 2.0, 0
         while self.gate.waiting_count:
             due = self.gate.find_due(now)
@@ -301,21 +301,21 @@
         self.settings.wait_limit = 2
         self.settings.wait_share = 100.0
         self.settings.wait_seconds = 100.0
-        self.teach()
-        first = self.fill(2.0)
+        self.make_route_bulk()
+        first = self.admit_until_full(2.0)
         outcomes = [self.decide(first + each, 2.0) for each in (1, 2)]
         self.assertEqual(
             ['waits', 'refused'], [each.outcome for each in outcomes]
         )
 
     def test_a_removed_route_is_dropped(self):
-        self.teach()
+        self.make_route_bulk()
         self.assertIsNotNone(self.gate.transfers.find_bulk(link.BULK))
         self.gate.keep_routes({link.LIVE})
         self.assertIsNone(self.gate.transfers.find_bulk(link.BULK))
 
     def test_an_upload_larger_than_the_queue_is_admitted_alone(self):
-        self.teach(MOST_BYTES * 4)
+        self.make_route_bulk(MOST_BYTES * 4)
         self.begin(9, 2.0)
         self.assertIsNotNone(self.decide(10, 2.0))
         self.gate.pop_late(9.0)
--- a/skylarkfold/tests/shares/relayed.py
+++ b/skylarkfold/tests/shares/relayed.py
@@ -94,9 +94,9 @@
             known = shares.FleetSize(core.peers.count_mates(), zones)
             rooms = {fleets.SERVICE: shares.Capacity(self.slots)}
             callers.refresh(self.now, rooms, known)
-            words = core.announcer.callers
-            words.put(callers.demand, callers.zone_demand)
+            reports = core.announcer.callers
+            reports.put(callers.demand, callers.zone_demand)
             if callers.other_zones:
-                words.put_other_zones(
+                reports.put_other_zones(
                     callers.other_zones_at, callers.other_zones
                 )
