--- a/skylarkfold/shares/_network.py
+++ b/skylarkfold/shares/_network.py
@@ -1,4 +1,4 @@
-"""Networks of callers and the values that settings give them."""
+"""Networks of callers, and values by network."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 from skylarkfold import errors
 
-_PARTS = 4
-_BITS = 32
-_MOST_PART = 255
+_OCTETS = 4
+_ADDRESS_BITS = 32
+_MAX_OCTET = 255
 
 
 class Network:
     """A network of IPv4 addresses.
 
     :param base: its first address as a number.
-    :param length: the bits that all its addresses share.
+    :param length: the prefix length in bits.
     """
 
     __slots__ = ('base', 'length')
@@ -26,40 +26,43 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Network':
-        """Read a network, or a single address.
+        """Parse a network, or a single address.
 
         :param text: for example ``192.0.2.0/24`` or ``192.0.2.7``.
         :returns: the network.
-        :raises SettingsError: if it is none, or has bits beyond its length.
+        :raises SettingsError: if it is malformed, or has bits set beyond its
+            prefix.
         """
         host, has_length, bits = text.partition('/')
         if not has_length:
-            bits = str(_BITS)
-        if not _is_number(bits, _BITS):
-            raise errors.SettingsError(f'{bits!a} is no prefix length')
-        parts = host.split('.')
-        is_address = len(parts) == _PARTS and all(
-            _is_number(each, _MOST_PART) for each in parts
+            bits = str(_ADDRESS_BITS)
+        if not _is_number(bits, _ADDRESS_BITS):
+            raise errors.SettingsError(f'{bits!a} is not a prefix length')
+        octets = host.split('.')
+        is_address = len(octets) == _OCTETS and all(
+            _is_number(each, _MAX_OCTET) for each in octets
         )
         if not is_address:
-            raise errors.SettingsError(f'{host!a} is no IPv4 address')
-        base = int.from_bytes(bytes(int(each) for each in parts), 'big')
+            raise errors.SettingsError(f'{host!a} is not an IPv4 address')
+        base = int.from_bytes(bytes(int(each) for each in octets), 'big')
         length = int(bits)
-        if base & ((1 << (_BITS - length)) - 1):
-            raise errors.SettingsError('it has bits beyond its prefix')
+        if base & ((1 << (_ADDRESS_BITS - length)) - 1):
+            raise errors.SettingsError(
+                'network has bits set beyond its prefix'
+            )
         return cls(base, length)
 
     def has(self, address: int) -> bool:
-        """Tell whether an address is of this network.
+        """Tell whether an address is in this network.
 
         :param address: the address as a number.
         :returns: whether it is.
         """
-        return (address ^ self.base) >> (_BITS - self.length) == 0
+        return (address ^ self.base) >> (_ADDRESS_BITS - self.length) == 0
 
 
 class NetworkTable:
-    """Values by network; the smallest network that has a caller counts.
+    """Values by network; the smallest network of a caller decides.
 
     :param entries: the networks, each once, with their values.
     """
@@ -76,7 +79,7 @@
         """Find the value of a caller.
 
         :param caller: its packed address.
-        :returns: the value, None where no network has it.
+        :returns: the value; None if the caller is in no network.
         """
         if not self._entries:
             return None
@@ -87,7 +90,7 @@
         return None
 
 
-def _is_number(text: str, most: int) -> bool:
+def _is_number(text: str, maximum: int) -> bool:
     is_plain = text.isascii() and text.isdecimal() and len(text) <= 3
-    # A leading zero is octal to some readers.
-    return is_plain and str(int(text)) == text and int(text) <= most
+    # Some parsers read numbers with a leading zero as octal.
+    return is_plain and str(int(text)) == text and int(text) <= maximum
--- a/skylarkfold/store/__init__.py
+++ b/skylarkfold/store/__init__.py
@@ -1,12 +1,15 @@
-"""The platform client: budget, back-off, lost answers, older data."""
+"""Platform client: conditional writes with rate limits and back-off.
+
+Writes whose answers are lost are resolved by reads, which may be stale.
+"""
 
 from skylarkfold.backoff import Backoff
 from skylarkfold.store._core import FIRST_CALL_NUMBER
 from skylarkfold.store._core import StoreCore
-from skylarkfold.store._judgement import get_version
-from skylarkfold.store._judgement import resolve_write
-from skylarkfold.store._judgement import WriteOutcome
 from skylarkfold.store._settings import StoreSettings
+from skylarkfold.store._write_outcome import get_version
+from skylarkfold.store._write_outcome import resolve_write
+from skylarkfold.store._write_outcome import WriteOutcome
 from skylarkfold.token_bucket import TokenBucket
 
 __all__ = [
--- a/skylarkfold/tests/affinity/test_link.py
+++ b/skylarkfold/tests/affinity/test_link.py
@@ -155,7 +155,7 @@
         run_uploads(core)
         _, held, _ = send_burst(core, 5.0, 40)
         # Admitted transfers never end and keep the link busy.
-        core.link._bulk_admission.transfers.debt.change(1e9)
+        core.link._bulk_admission.transfers.debt.adjust(1e9)
         effects = core.tick(5.0 + WAIT_SECONDS + 0.001)
         flows = [samples.build_flow(port) for port in held]
         self.assertEqual(flows, samples.list_resets(effects))
--- a/skylarkfold/tests/shares/relayed.py
+++ b/skylarkfold/tests/shares/relayed.py
@@ -1,4 +1,4 @@
-"""Instances that keep callers to shares, with the words of the real relay."""
+"""Simulated instances that exchange reports over the real relay."""
 
 import random
 
@@ -8,12 +8,12 @@
 from skylarkfold.tests.shares import fleet as fleets
 
 WORK_SECONDS = fleets.WORK_SECONDS
-# As often as the daemon works out the shares.
+# Interval at which the daemon refreshes the shares.
 STEP_SECONDS = 0.2
 
 
 class RelayedFleet(_relay_fleet.Fleet):
-    """Callers, each of one zone, and the instances that routers choose.
+    """Callers, each of one zone, and instances that get their flows at random.
 
     :param zones: the availability zone of each instance.
     :param slots: of the service.
@@ -23,7 +23,7 @@
         self.random = random.Random(5)
         self.slots = slots
         self.callers = {}
-        self.told = 0
+        self.report_bytes = 0
         super().__init__(zones)
         self.run(6.0)
 
@@ -44,10 +44,10 @@
                     wanted.demand,
                 )
             elif isinstance(wanted, relay.SendBeacon):
-                self.told += self.measure(wanted)
+                self.report_bytes += self.measure(wanted)
 
     def measure(self, wanted):
-        """Tell how many bytes of a beacon are about callers."""
+        """Return how many bytes of a beacon are reports on callers."""
         beacon = wanted.beacon
         whole = len(relay.encode_beacon(beacon))
         callers, beacon.callers = beacon.callers, None
@@ -55,8 +55,8 @@
         beacon.callers = callers
         return (whole - rest) * len(wanted.hosts)
 
-    def play(self, seconds, demands):
-        """Let callers ask for slots; tell what they were given."""
+    def run_load(self, seconds, demands):
+        """Simulate the demands of callers; return what was admitted."""
         names = sorted(set(self.zones.values()))
         homes = {
             number: [
@@ -87,16 +87,16 @@
         return {number: each / seconds for number, each in given.items()}
 
     def refresh(self):
-        """Do what the daemon does several times a second."""
+        """Refresh the shares and reports, as the daemon does."""
         for name, core in self.cores.items():
             callers = self.callers[name]
             zones = len(set(self.zones.values()))
             known = shares.FleetSize(core.peers.count_mates(), zones)
             rooms = {fleets.SERVICE: shares.Capacity(self.slots)}
             callers.refresh(self.now, rooms, known)
-            words = core.announcer.callers
-            words.put(callers.demand, callers.zone_demand)
+            reports = core.announcer.callers
+            reports.put(callers.demand, callers.zone_demand)
             if callers.other_zones:
-                words.put_other_zones(
+                reports.put_other_zones(
                     callers.other_zones_at, callers.other_zones
                 )
