--- a/skylarkfold/edge/_platform.py
+++ b/skylarkfold/edge/_platform.py
@@ -11,8 +11,8 @@
 import aiohttp
 import msgspec
 
+from skylarkfold.edge import _http_session
 from skylarkfold.edge import _runtime
-from skylarkfold.edge import _session
 from skylarkfold import effect
 from skylarkfold import errors
 from skylarkfold import event
@@ -151,7 +151,7 @@
 
     async def open(self) -> None:
         """Make the connection pool."""
-        self._session = _session.make_session(headers=self._headers)
+        self._session = _http_session.make_session(headers=self._headers)
 
     async def close(self) -> None:
         """Close all connections."""
--- a/skylarkfold/edge/_probe.py
+++ b/skylarkfold/edge/_probe.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from skylarkfold import configuration as configuration_module
+from skylarkfold.edge import _http_session
 from skylarkfold.edge import _runtime
-from skylarkfold.edge import _session
 from skylarkfold.edge import _settings
 from skylarkfold import event
 from skylarkfold import service as service_module
@@ -59,7 +59,7 @@
     async def run(self) -> None:
         """Ask all upstreams over and over; ends when cancelled."""
         timeout = aiohttp.ClientTimeout(total=_TIMEOUT_SECONDS)
-        async with _session.make_session(timeout=timeout) as session:
+        async with _http_session.make_session(timeout=timeout) as session:
             while True:
                 await self._ask_all(session)
 
--- a/skylarkfold/edge/_dispatch.py
+++ b/skylarkfold/edge/_upstream_client.py
@@ -11,9 +11,9 @@
 from aiohttp.connector import Connection
 import yarl
 
+from skylarkfold.edge import _http_session
 from skylarkfold.edge import _requests
 from skylarkfold.edge import _runtime
-from skylarkfold.edge import _session
 from skylarkfold.edge import _settings
 from skylarkfold import effect
 from skylarkfold import event
@@ -100,7 +100,7 @@
         self._single = self._make_session(force_close=True)
 
     def _make_session(self, force_close: bool) -> aiohttp.ClientSession:
-        return _session.make_session(
+        return _http_session.make_session(
             connector=_DeadlineConnector(limit=0, force_close=force_close),
             auto_decompress=False,
             cookie_jar=aiohttp.DummyCookieJar(),
--- a/skylarkfold/settings/__init__.py
+++ b/skylarkfold/settings/__init__.py
@@ -1,5 +1,6 @@
 """Settings files and objects, read into checked dataclasses."""
 
+from skylarkfold.settings._conversion import convert_section
 from skylarkfold.settings._document import encode_services
 from skylarkfold.settings._document import join_path
 from skylarkfold.settings._document import MAXIMUM_COMMENTED_BYTES
@@ -11,13 +12,12 @@
 from skylarkfold.settings._entry import PlatformSettings
 from skylarkfold.settings._entry import read_entry_settings
 from skylarkfold.settings._entry import TlsSettings
-from skylarkfold.settings._name import check_name
-from skylarkfold.settings._name import normalize_endpoint
-from skylarkfold.settings._section import convert_section
 from skylarkfold.settings._team import read_team_settings
 from skylarkfold.settings._team import TeamSettings
 from skylarkfold.settings._team import WriteEntry
 from skylarkfold.settings._team import WriteRecord
+from skylarkfold.settings._validation import check_name
+from skylarkfold.settings._validation import normalize_endpoint
 
 __all__ = [
     'MAXIMUM_COMMENTED_BYTES',
--- a/skylarkfold/settings/_entry.py
+++ b/skylarkfold/settings/_entry.py
@@ -18,9 +18,9 @@
 from skylarkfold import log as log_module
 from skylarkfold import membership as membership_package
 from skylarkfold import requests as requests_package
+from skylarkfold.settings import _conversion
 from skylarkfold.settings import _document
-from skylarkfold.settings import _name
-from skylarkfold.settings import _section
+from skylarkfold.settings import _validation
 from skylarkfold import store as store_package
 
 
@@ -124,7 +124,7 @@
     :raises SettingsError: as :func:`read_entry_settings` does.
     """
     value = _document.parse_document(text, source)
-    entry = _section.convert_section(value, EntrySettings, source)
+    entry = _conversion.convert_section(value, EntrySettings, source)
     for path, check, text in _list_checks(entry):
         try:
             check(text)
@@ -138,7 +138,7 @@
 ) -> Iterator[tuple[str, Callable[[str], object], str]]:
     for field in ('name', 'zone', 'region'):
         text = getattr(entry.instance, field)
-        yield f'$.instance.{field}', _name.check_name, text
+        yield f'$.instance.{field}', _validation.check_name, text
     for number, seed in enumerate(entry.membership.seeds):
         place = f'$.membership.seeds[{number}]'
         yield place, endpoint.parse_endpoint, seed
--- a/skylarkfold/settings/_team.py
+++ b/skylarkfold/settings/_team.py
@@ -10,9 +10,9 @@
 from skylarkfold import endpoint
 from skylarkfold import errors
 from skylarkfold import service
+from skylarkfold.settings import _conversion
 from skylarkfold.settings import _document
-from skylarkfold.settings import _name
-from skylarkfold.settings import _section
+from skylarkfold.settings import _validation
 
 _Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 _Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000_000)]
@@ -112,7 +112,7 @@
         is not as it must be; its subclasses tell what.
     """
     value = _document.parse_document(text, source)
-    fields = _section.convert_section(value, _TeamFields, source)
+    fields = _conversion.convert_section(value, _TeamFields, source)
     services = {
         name: _build_service(name, team, each, source)
         for name, each in fields.services.items()
@@ -165,7 +165,7 @@
 
 def _check_name(name: str, source: str, path: str) -> None:
     try:
-        _name.check_name(name)
+        _validation.check_name(name)
     except ValueError as error:
         raise errors.SettingsError(str(error), source, path) from None
 
@@ -174,7 +174,7 @@
     given: endpoint.Endpoint, source: str, path: str
 ) -> endpoint.Endpoint:
     try:
-        return _name.normalize_endpoint(given)
+        return _validation.normalize_endpoint(given)
     except ValueError as error:
         raise errors.SettingsError(str(error), source, path) from None
 
--- a/skylarkfold/teams/__init__.py
+++ b/skylarkfold/teams/__init__.py
@@ -12,6 +12,8 @@
 from skylarkfold.teams._claim import encode_claim
 from skylarkfold.teams._claim import list_claim_paths
 from skylarkfold.teams._claim import read_claim
+from skylarkfold.teams._configuration_builder import build_configuration
+from skylarkfold.teams._configuration_builder import list_lost_services
 from skylarkfold.teams._preview import Change
 from skylarkfold.teams._preview import ChangeKind
 from skylarkfold.teams._preview import list_changes
@@ -28,8 +30,6 @@
 from skylarkfold.teams._session import RetrySettings
 from skylarkfold.teams._session import Session
 from skylarkfold.teams._session import Steps
-from skylarkfold.teams._settlement import build_configuration
-from skylarkfold.teams._settlement import list_lost_services
 from skylarkfold.teams._status import build_status
 from skylarkfold.teams._status import InstanceLag
 from skylarkfold.teams._status import Status
--- a/skylarkfold/teams/_apply.py
+++ b/skylarkfold/teams/_apply.py
@@ -11,11 +11,11 @@
 from skylarkfold import service
 from skylarkfold import settings
 from skylarkfold.teams import _claim
-from skylarkfold.teams import _claiming
+from skylarkfold.teams import _claimant
 from skylarkfold.teams import _preview
 from skylarkfold.teams import _session
+from skylarkfold.teams import _snapshot
 from skylarkfold.teams import _subtree
-from skylarkfold.teams import _view
 
 _Outcome = _session.Outcome
 
@@ -64,7 +64,7 @@
     :raises PlatformError: if the platform does not answer.
     """
     _check_right(operator, new.team)
-    view = yield from _view.read_view(session, new.team)
+    view = yield from _snapshot.read_view(session, new.team)
     old = view.base.settings or settings.TeamSettings(new.team, {})
     warnings = _preview.list_warnings(old, new)
     if view.base.error is not None:
@@ -106,7 +106,7 @@
     if expected_version is not None:
         path = _subtree.build_subtree_path(new.team)
         session.record_version(path, expected_version)
-    view = yield from _view.read_view(session, new.team)
+    view = yield from _snapshot.read_view(session, new.team)
     if expected_version not in (None, view.base.version):
         raise _build_conflict(view.base, expected_version)
     needed = _subtree.list_claims(new)
@@ -159,7 +159,7 @@
     operator: Operator,
     edit: Callable[[_subtree.Subtree], dict[str, Any]],
 ) -> _session.Steps[Applied]:
-    view = yield from _view.read_view(session, operator.team)
+    view = yield from _snapshot.read_view(session, operator.team)
     services = edit(view.base)
     source = _subtree.build_subtree_path(operator.team)
     text = settings.encode_services(services)
@@ -176,7 +176,9 @@
         )
 
 
-def _list_foreign(view: _view.View, new: settings.TeamSettings) -> list[str]:
+def _list_foreign(
+    view: _snapshot.View, new: settings.TeamSettings
+) -> list[str]:
     found = []
     for path in sorted(_subtree.list_claims(new)):
         holder = view.find_holder(path)
@@ -202,7 +204,7 @@
         self,
         session: _session.Session,
         operator: Operator,
-        view: _view.View,
+        view: _snapshot.View,
         new: settings.TeamSettings,
         services: dict[str, Any],
     ) -> None:
@@ -217,7 +219,7 @@
         self._value = _subtree.encode_subtree(
             view.base, services, session.write_id, operator.name
         )
-        self._claimant = _claiming.Claimant(session, new.team, self._version)
+        self._claimant = _claimant.Claimant(session, new.team, self._version)
 
     def take_claims(self, needed: frozenset[str]) -> _session.Steps[None]:
         try:
@@ -310,7 +312,7 @@
         if self._base.error is not None:
             return False
         base_claims = self._base.list_claims()
-        claimant = _claiming.Claimant(
+        claimant = _claimant.Claimant(
             self._session, self._new.team, self._version + 1
         )
         try:
--- a/skylarkfold/teams/_runner.py
+++ b/skylarkfold/teams/_runner.py
@@ -14,9 +14,9 @@
 from skylarkfold.teams import _apply
 from skylarkfold.teams import _preview
 from skylarkfold.teams import _session
+from skylarkfold.teams import _snapshot
 from skylarkfold.teams import _status
 from skylarkfold.teams import _subtree
-from skylarkfold.teams import _view
 
 _Result = TypeVar('_Result')
 
@@ -183,6 +183,6 @@
     :raises PlatformError: if the platform does not answer.
     """
     session = _session.Session('status', retry)
-    steps = _view.read_all(session)
+    steps = _snapshot.read_all(session)
     subtrees, claims = await run_steps(client, steps, retry.timeout_seconds)
     return _status.build_status(subtrees, claims, members)
--- a/skylarkfold/teams/_status.py
+++ b/skylarkfold/teams/_status.py
@@ -10,7 +10,7 @@
 from skylarkfold import revision as revisions
 from skylarkfold import settings
 from skylarkfold.teams import _claim
-from skylarkfold.teams import _settlement
+from skylarkfold.teams import _configuration_builder
 from skylarkfold.teams import _subtree
 
 
@@ -102,7 +102,7 @@
         each.team: each.settings for each in subtrees if each.settings
     }
     lost: dict[str, list[str]] = {}
-    for each in _settlement.list_lost_services(usable, claims):
+    for each in _configuration_builder.list_lost_services(usable, claims):
         lost.setdefault(each.team, []).append(each.name)
     return lost
 
