--- a/skylarkfold/edge/__init__.py
+++ b/skylarkfold/edge/__init__.py
@@ -1,4 +1,4 @@
-"""The sockets of an instance; all decisions are elsewhere."""
+"""Network sockets of an instance; the cores make all decisions."""
 
 from skylarkfold.edge._admin import InstanceStatus
 from skylarkfold.edge._admin import listen as listen_admin
--- a/skylarkfold/edge/_admin.py
+++ b/skylarkfold/edge/_admin.py
@@ -1,4 +1,4 @@
-"""An instance's own HTTP port for operators: readiness and status."""
+"""Admin HTTP endpoint of an instance: readiness and status."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """One instance as another one sees it.
+    """Status of one instance as the reporting instance sees it.
 
     :param name: the instance's name.
     :param zone: its availability zone.
-    :param state: how it is seen.
-    :param revision: the configuration revision in force there.
+    :param state: its membership state.
+    :param revision: the configuration revision that it applies.
     """
 
     name: str
@@ -26,14 +26,14 @@
 
 
 class InstanceStatus(msgspec.Struct):
-    """What an instance says of itself.
+    """Status that an instance reports about itself.
 
     :param instance: its name.
-    :param ready: whether it may be given traffic.
-    :param revision: the configuration revision in force here.
-    :param services: the names of the services in force here.
+    :param ready: whether it is ready for traffic.
+    :param revision: the configuration revision that it applies.
+    :param services: the names of the services that it serves.
     :param members: all instances that it knows.
-    :param counters: its metrics since it started.
+    :param counters: its metric totals since it started.
     """
 
     instance: str
@@ -45,22 +45,22 @@
 
 
 async def listen(
-    address: endpoint.Endpoint, describe: Callable[[], InstanceStatus]
+    address: endpoint.Endpoint, get_status: Callable[[], InstanceStatus]
 ) -> web.AppRunner:
     """Serve ``/ready`` and ``/status``.
 
-    :param address: where.
-    :param describe: tells the present status.
-    :returns: the runner, to be cleaned up at the end.
+    :param address: the address to listen on.
+    :param get_status: returns the current status.
+    :returns: the runner, which the caller must clean up.
     :raises OSError: if the address can't be bound.
     """
 
     async def answer_ready(_: web.Request) -> web.Response:
-        status = 200 if describe().ready else 503
+        status = 200 if get_status().ready else 503
         return web.Response(status=status)
 
     async def answer_status(_: web.Request) -> web.Response:
-        body = msgspec.json.encode(describe())
+        body = msgspec.json.encode(get_status())
         return web.Response(body=body, content_type='application/json')
 
     application = web.Application()
--- a/skylarkfold/edge/_datagram.py
+++ b/skylarkfold/edge/_datagram.py
@@ -1,4 +1,4 @@
-"""Callers' datagrams to upstreams, and upstreams' answers to callers."""
+"""UDP forwarding between callers and upstreams."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 from skylarkfold import metric
 from skylarkfold import service as service_module
 
-_KIND = 'datagram'
+_DECISION_KIND = 'datagram'
 
 
 class FlowRouter(Protocol):
-    """What answers for a known flow without further work."""
+    """Synchronous lookup of the upstream of an established flow."""
 
     def route(
         self, now: float, service: str, caller: endpoint.Endpoint
     ) -> service_module.Upstream | None:
-        """Find the upstream of a flow that this instance can answer."""
+        """Return the flow's upstream, or None if a core must decide."""
 
 
 class UpstreamSocket(asyncio.DatagramProtocol):
-    """The one socket of an instance that upstreams see.
+    """The one socket of an instance for traffic with upstreams.
 
-    :param runtime: what all parts of the daemon share.
+    :param runtime: the runtime that all parts of the daemon share.
     """
 
     def __init__(self, runtime: _runtime.Runtime) -> None:
         self._runtime = runtime
         self._transport: asyncio.DatagramTransport | None = None
         self._listeners: dict[endpoint.Endpoint, DatagramListener] = {}
-        self._senders: dict[
+        self._upstreams_by_service: dict[
             endpoint.Endpoint, frozenset[endpoint.Endpoint]
         ] = {}
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Remember the socket."""
+        """Store the transport."""
         self._transport = transport
 
     def configure(
@@ -51,13 +51,13 @@
         configuration: configuration_module.Configuration,
         listeners: dict[endpoint.Endpoint, DatagramListener],
     ) -> None:
-        """Accept answers from the configuration's upstreams only.
+        """Accept answers only from the configuration's upstreams.
 
-        :param configuration: what is in force.
-        :param listeners: by the service address that they serve.
+        :param configuration: the configuration in force.
+        :param listeners: the listeners by service address.
         """
         self._listeners = listeners
-        self._senders = {
+        self._upstreams_by_service = {
             service.address: frozenset(
                 upstream.address for upstream in service.upstreams
             )
@@ -73,16 +73,16 @@
     ) -> None:
         """Send a caller's datagram to an upstream.
 
-        :param payload: the caller's bytes.
-        :param caller: who sent them.
-        :param address: the service's address that they were sent to.
-        :param upstream: where they go.
+        :param payload: the datagram's payload.
+        :param caller: the caller's address.
+        :param address: the service's address that the caller sent to.
+        :param upstream: the upstream's address.
         """
         header = _header.pack_datagram_header(caller, address)
         self._transport.sendto(header + payload, upstream)
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        """Pass an upstream's answer on to its caller."""
+        """Forward an upstream's answer to its caller."""
         try:
             caller, address, payload = _header.split(data)
         except errors.DecodeError:
@@ -90,8 +90,8 @@
             return
         listener = self._listeners.get(address)
         upstream = sender[:2]
-        senders = self._senders.get(address, ())
-        if listener is None or upstream not in senders:
+        known_upstreams = self._upstreams_by_service.get(address, ())
+        if listener is None or upstream not in known_upstreams:
             self._runtime.counters.add(metric.DATAGRAMS_MALFORMED)
             return
         self._runtime.heard.add(upstream)
@@ -99,7 +99,7 @@
         listener.answer(payload, caller)
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that an upstream's port is closed; probes see it."""
+        """Ignore an upstream's closed port; probes detect it."""
 
     def close(self) -> None:
         """Close the socket."""
@@ -108,12 +108,12 @@
 
 
 class DatagramListener(asyncio.DatagramProtocol):
-    """The socket of one service towards its callers.
+    """The socket on which one service receives callers' datagrams.
 
-    :param runtime: what all parts of the daemon share.
+    :param runtime: the runtime that all parts of the daemon share.
     :param service: the service.
-    :param router: what answers for known flows.
-    :param upstreams: the socket towards upstreams.
+    :param router: the lookup of established flows.
+    :param upstream_socket: the socket for traffic with upstreams.
     """
 
     def __init__(
@@ -121,39 +121,49 @@
         runtime: _runtime.Runtime,
         service: service_module.Service,
         router: FlowRouter,
-        upstreams: UpstreamSocket,
+        upstream_socket: UpstreamSocket,
     ) -> None:
         self._runtime = runtime
         self._name = service.name
         self._address = service.address
-        self._mark = service.first_datagram
+        self._first_datagram_prefix = service.first_datagram
         self._route = router.route
-        self._send = upstreams.send
+        self._send = upstream_socket.send
         self._transport: asyncio.DatagramTransport | None = None
         self._clock: Callable[[], float] = runtime.clock
         self._log_packets = runtime.log_packets
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Remember the socket."""
+        """Store the transport."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, caller: tuple) -> None:
-        """Forward a datagram at once, or ask the node about its flow."""
-        if self._mark and data.startswith(self._mark):
-            self._ask(data, caller, True)
+        """Forward an established flow's datagram; else notify the node."""
+        if self._first_datagram_prefix and data.startswith(
+            self._first_datagram_prefix
+        ):
+            self._report_datagram(data, caller, True)
             return
         upstream = self._route(self._clock(), self._name, caller)
         if upstream is None:
-            self._ask(data, caller, False if self._mark else None)
+            self._report_datagram(
+                data, caller, False if self._first_datagram_prefix else None
+            )
             return
         self._send(data, caller, self._address, upstream.address)
         self._runtime.counters.add(metric.DATAGRAMS_FORWARDED)
         if self._log_packets:
             self._runtime.decisions.append(
-                _KIND, self._name, caller, upstream.name, effect.Reason.CACHED
+                _DECISION_KIND,
+                self._name,
+                caller,
+                upstream.name,
+                effect.Reason.CACHED,
             )
 
-    def _ask(self, data: bytes, caller: tuple, is_first: bool | None) -> None:
+    def _report_datagram(
+        self, data: bytes, caller: tuple, is_first: bool | None
+    ) -> None:
         received = event.DatagramReceived(
             self._address,
             endpoint.Endpoint(caller[0], caller[1]),
@@ -165,14 +175,14 @@
     def answer(self, payload: bytes, caller: endpoint.Endpoint) -> None:
         """Send an upstream's answer to a caller.
 
-        :param payload: the answer's bytes.
-        :param caller: who asked.
+        :param payload: the answer's payload.
+        :param caller: the caller's address.
         """
         if not self._transport.is_closing():
             self._transport.sendto(payload, caller)
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a caller's port is closed."""
+        """Ignore a caller's closed port."""
 
     def close(self) -> None:
         """Close the socket."""
--- a/skylarkfold/edge/_header.py
+++ b/skylarkfold/edge/_header.py
@@ -1,8 +1,8 @@
-"""The PROXY protocol header in front of datagrams and streams.
+"""PROXY protocol v2 headers of datagrams and streams.
 
-Towards an upstream the header's source is the caller and its destination
-the service's address. The upstream puts the same header in front of its
-answer, so that any instance can pass the answer on without state.
+The header's source is the caller and its destination the service's
+address. An upstream prefixes its answer with the same header, so that any
+instance can forward the answer without state.
 """
 
 from __future__ import annotations
@@ -20,75 +20,77 @@
 from skylarkfold import endpoint
 from skylarkfold import errors
 
-_FIXED_BYTES = 16
-# A header for version 4 addresses without further fields.
-_PLAIN_BYTES = 28
-_CACHED_HEADERS = 65536
+_FIXED_PART_BYTES = 16
+# The header of IPv4 addresses without TLV fields.
+_IPV4_HEADER_BYTES = 28
+_HEADER_CACHE_SIZE = 65536
 _protocol = v2.ProxyProtocolV2()
 
 
-def _pack(
+def _pack_header(
     caller: endpoint.Endpoint,
     address: endpoint.Endpoint,
     kind: socket.SocketKind,
 ) -> bytes:
     source = (ipaddress.ip_address(caller[0]), caller[1])
     destination = (ipaddress.ip_address(address[0]), address[1])
-    make = result.ProxyResultIPv4
+    result_class = result.ProxyResultIPv4
     if source[0].version == 6:
-        make = result.ProxyResultIPv6
-    return _protocol.pack(make(source, destination, protocol=kind))
+        result_class = result.ProxyResultIPv6
+    return _protocol.pack(result_class(source, destination, protocol=kind))
 
 
-@functools.lru_cache(maxsize=_CACHED_HEADERS)
+@functools.lru_cache(maxsize=_HEADER_CACHE_SIZE)
 def pack_datagram_header(
     caller: endpoint.Endpoint, address: endpoint.Endpoint
 ) -> bytes:
-    """Build the header for a datagram.
+    """Build the header of a datagram.
 
-    :param caller: who sent it.
-    :param address: the service's address that it was sent to.
+    :param caller: the caller's address.
+    :param address: the service's address that the caller sent to.
     :returns: the header's bytes.
     """
-    return _pack(caller, address, socket.SOCK_DGRAM)
+    return _pack_header(caller, address, socket.SOCK_DGRAM)
 
 
 def pack_stream_header(
     caller: endpoint.Endpoint, address: endpoint.Endpoint
 ) -> bytes:
-    """Build the header for a stream.
+    """Build the header of a stream.
 
-    :param caller: who opened it.
-    :param address: the service's address that it was opened to.
+    :param caller: the caller's address.
+    :param address: the service's address that the caller connected to.
     :returns: the header's bytes.
     """
-    return _pack(caller, address, socket.SOCK_STREAM)
+    return _pack_header(caller, address, socket.SOCK_STREAM)
 
 
 def measure_header(data: bytes) -> int:
-    """Find out how long the header in front of a datagram is.
+    """Return the length of a datagram's header.
 
     :param data: the datagram.
     :returns: the header's length in bytes.
-    :raises DecodeError: if no whole header is there.
+    :raises DecodeError: if there is no complete header.
     """
-    if len(data) < _FIXED_BYTES:
-        raise errors.DecodeError('too short for a PROXY header')
+    if len(data) < _FIXED_PART_BYTES:
+        raise errors.DecodeError('datagram is too short for a PROXY header')
     try:
-        header = _protocol.unpack_header(data[:_FIXED_BYTES])
+        header = _protocol.unpack_header(data[:_FIXED_PART_BYTES])
     except proxyprotocol.ProxyProtocolSyntaxError as error:
-        raise errors.DecodeError('no PROXY header') from error
-    if len(data) < _FIXED_BYTES + header.data_len:
-        raise errors.DecodeError('the PROXY header is cut off')
-    return _FIXED_BYTES + header.data_len
+        raise errors.DecodeError(
+            'datagram does not begin with a PROXY header'
+        ) from error
+    if len(data) < _FIXED_PART_BYTES + header.data_len:
+        raise errors.DecodeError('PROXY header is truncated')
+    return _FIXED_PART_BYTES + header.data_len
 
 
-class Addressed(NamedTuple):
-    """An upstream's answer, taken apart.
+class AddressedPayload(NamedTuple):
+    """A payload with the addresses from its header.
 
-    :param caller: whom it is for.
+    :param caller: the caller's address.
     :param address: the service's address that the caller sent to.
-    :param payload: what the caller gets.
+    :param payload: the payload without the header.
     """
 
     caller: endpoint.Endpoint
@@ -96,40 +98,40 @@
     payload: bytes
 
 
-@functools.lru_cache(maxsize=_CACHED_HEADERS)
-def _unpack_plain(
+@functools.lru_cache(maxsize=_HEADER_CACHE_SIZE)
+def _unpack_ipv4_header(
     header: bytes,
 ) -> tuple[endpoint.Endpoint, endpoint.Endpoint] | None:
-    if measure_header(header) != _PLAIN_BYTES:
+    if measure_header(header) != _IPV4_HEADER_BYTES:
         return None
     return unpack_header(header)
 
 
-def split(data: bytes) -> Addressed:
-    """Take an upstream's answer apart.
+def split(data: bytes) -> AddressedPayload:
+    """Split an upstream's answer into header fields and payload.
 
     :param data: the datagram with its header.
-    :returns: its parts.
+    :returns: the addresses and the payload.
     :raises DecodeError: if the header is malformed.
     """
     try:
-        plain = _unpack_plain(data[:_PLAIN_BYTES])
+        endpoints = _unpack_ipv4_header(data[:_IPV4_HEADER_BYTES])
     except errors.DecodeError:
-        plain = None
-    if plain is not None:
-        return Addressed(*plain, data[_PLAIN_BYTES:])
+        endpoints = None
+    if endpoints is not None:
+        return AddressedPayload(*endpoints, data[_IPV4_HEADER_BYTES:])
     length = measure_header(data)
-    return Addressed(*unpack_header(data[:length]), data[length:])
+    return AddressedPayload(*unpack_header(data[:length]), data[length:])
 
 
 def unpack_header(
     header: bytes,
 ) -> tuple[endpoint.Endpoint, endpoint.Endpoint]:
-    """Read a header.
+    """Decode a header.
 
-    :param header: exactly the header's bytes.
-    :returns: the caller and the service's address.
-    :raises DecodeError: if the header names no addresses.
+    :param header: the header's bytes and nothing else.
+    :returns: the caller's and the service's address.
+    :raises DecodeError: if the header is malformed or has no IP addresses.
     """
     try:
         parsed = _protocol.unpack(header)
@@ -140,11 +142,11 @@
         struct.error,
         ValueError,
     ) as error:
-        raise errors.DecodeError('the PROXY header is malformed') from error
+        raise errors.DecodeError('PROXY header is malformed') from error
     if not isinstance(
         parsed, (result.ProxyResultIPv4, result.ProxyResultIPv6)
     ):
-        raise errors.DecodeError('the PROXY header names no addresses')
+        raise errors.DecodeError('PROXY header has no IP addresses')
     return (
         endpoint.Endpoint(str(parsed.source[0]), parsed.source[1]),
         endpoint.Endpoint(str(parsed.dest[0]), parsed.dest[1]),
--- a/skylarkfold/edge/_http_session.py
+++ b/skylarkfold/edge/_http_session.py
@@ -1,4 +1,4 @@
-"""HTTP client sessions that send each request once."""
+"""HTTP client sessions without automatic retries."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 def make_session(**options: Any) -> aiohttp.ClientSession:
-    """Make a session that never repeats a request on its own.
+    """Create a client session that never retries a request by itself.
 
-    The library repeats an idempotent request whose connection ended
-    without an answer. The node could then not tell what ran, and a
+    aiohttp retries an idempotent request whose connection closed without
+    an answer. The node could then not tell which attempt ran, and a
     conditional write whose answer was lost would look like a conflict.
 
-    :param options: what :class:`aiohttp.ClientSession` takes.
+    :param options: arguments of :class:`aiohttp.ClientSession`.
     :returns: the session.
     """
     session = aiohttp.ClientSession(**options)
-    # There is no public switch; a test checks that this one still works.
+    # aiohttp has no public option; a test detects if this one stops working.
     session._retry_connection = False
     return session
--- a/skylarkfold/edge/_listeners.py
+++ b/skylarkfold/edge/_listeners.py
@@ -1,4 +1,4 @@
-"""The sockets towards callers, kept in step with the configuration."""
+"""Listening sockets of services, updated with the configuration."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _logger = logging.getLogger(log.LOGGER_NAME)
 
 
-class _Opened:
+class _ServiceSockets:
     """The open sockets of one service."""
 
     def __init__(self, service: service_module.Service) -> None:
@@ -39,12 +39,12 @@
 
 
 class Listeners:
-    """Opens and closes the sockets of services.
+    """Opens and closes the listening sockets of services.
 
-    :param runtime: what all parts of the daemon share.
-    :param bind_host: where to bind; empty for each service's address.
-    :param router: what answers for known flows.
-    :param upstreams: the socket towards upstreams.
+    :param runtime: the runtime that all parts of the daemon share.
+    :param bind_host: the host to bind; empty for each service's address.
+    :param router: the lookup of established flows.
+    :param upstream_socket: the socket for traffic with upstreams.
     :param streams: the relay of TCP streams.
     :param requests: the server of HTTP requests.
     """
@@ -54,75 +54,77 @@
         runtime: _runtime.Runtime,
         bind_host: str,
         router: _datagram.FlowRouter,
-        upstreams: _datagram.UpstreamSocket,
+        upstream_socket: _datagram.UpstreamSocket,
         streams: _stream.StreamRelay,
         requests: _requests.RequestServer,
     ) -> None:
         self._runtime = runtime
         self._bind_host = bind_host
         self._router = router
-        self._upstreams = upstreams
+        self._upstream_socket = upstream_socket
         self._streams = streams
         self._requests = requests
-        self._opened: dict[str, _Opened] = {}
+        self._sockets: dict[str, _ServiceSockets] = {}
         self._lock = asyncio.Lock()
-        self._failed: set[str] = set()
+        self._unbound_services: set[str] = set()
 
     @property
     def has_failed(self) -> bool:
-        """Tell whether a service could not be bound at the last try."""
-        return bool(self._failed)
+        """Whether the last attempt to bind a service failed."""
+        return bool(self._unbound_services)
 
     async def configure(
         self, configuration: configuration_module.Configuration
     ) -> None:
-        """Open and close sockets until they match.
+        """Open and close sockets to match the configuration.
 
-        A service whose address can't be bound is logged and left out; the
+        A service whose address can't be bound is logged and skipped; the
         next call tries again.
 
-        :param configuration: what is in force.
+        :param configuration: the configuration in force.
         """
         async with self._lock:
-            await self._close_changed(configuration)
+            await self._close_outdated(configuration)
             for service in configuration.services.values():
-                if service.name not in self._opened:
+                if service.name not in self._sockets:
                     await self._open(service)
-            self._upstreams.configure(configuration, self._map_listeners())
+            self._upstream_socket.configure(
+                configuration, self._map_datagram_listeners()
+            )
 
-    async def _close_changed(
+    async def _close_outdated(
         self, configuration: configuration_module.Configuration
     ) -> None:
-        for name, opened in list(self._opened.items()):
-            wanted = configuration.services.get(name)
-            if wanted is not None and _has_same_sockets(
-                wanted, opened.service
+        for name, sockets in list(self._sockets.items()):
+            configured = configuration.services.get(name)
+            if configured is not None and _has_same_sockets(
+                configured, sockets.service
             ):
                 continue
-            del self._opened[name]
-            await opened.close()
+            del self._sockets[name]
+            await sockets.close()
 
     async def _open(self, service: service_module.Service) -> None:
-        opened = _Opened(service)
+        sockets = _ServiceSockets(service)
         host = self._bind_host or service.address.host
         try:
-            opened.datagrams = await self._open_datagrams(host, service)
-            opened.streams = await self._streams.listen(host, service)
+            sockets.datagrams = await self._open_datagrams(host, service)
+            sockets.streams = await self._streams.listen(host, service)
             if service.request_port:
-                opened.requests = await self._requests.listen(host, service)
+                sockets.requests = await self._requests.listen(host, service)
         except OSError as error:
-            await opened.close()
-            self._report(service, host, error)
+            await sockets.close()
+            self._report_bind_failure(service, host, error)
             return
-        self._failed.discard(service.name)
-        self._opened[service.name] = opened
+        self._unbound_services.discard(service.name)
+        self._sockets[service.name] = sockets
 
-    def _report(
+    def _report_bind_failure(
         self, service: service_module.Service, host: str, error: OSError
     ) -> None:
-        if service.name in self._failed:
+        if service.name in self._unbound_services:
             return
-        self._failed.add(service.name)
+        self._unbound_services.add(service.name)
         reason = f'{service.name} at {host}:{service.address.port}: {error}'
         _logger.error('%s', errors.AddressInUseError(reason))
 
@@ -132,40 +134,40 @@
         loop = asyncio.get_running_loop()
         _, listener = await loop.create_datagram_endpoint(
             lambda: _datagram.DatagramListener(
-                self._runtime, service, self._router, self._upstreams
+                self._runtime, service, self._router, self._upstream_socket
             ),
             local_addr=(host, service.address.port),
         )
         return listener
 
-    def _map_listeners(
+    def _map_datagram_listeners(
         self,
     ) -> dict[endpoint.Endpoint, _datagram.DatagramListener]:
         return {
-            opened.service.address: opened.datagrams
-            for opened in self._opened.values()
-            if opened.datagrams is not None
+            sockets.service.address: sockets.datagrams
+            for sockets in self._sockets.values()
+            if sockets.datagrams is not None
         }
 
     async def stop_accepting(self) -> None:
-        """Refuse new streams; datagrams and requests still get answers."""
-        for opened in self._opened.values():
-            if opened.streams is not None:
-                opened.streams.close()
+        """Stop accepting streams; datagrams and requests are still served."""
+        for sockets in self._sockets.values():
+            if sockets.streams is not None:
+                sockets.streams.close()
 
     async def close(self) -> None:
-        """Close all sockets towards callers."""
+        """Close the listening sockets of all services."""
         async with self._lock:
-            for opened in self._opened.values():
-                await opened.close()
-            self._opened.clear()
+            for sockets in self._sockets.values():
+                await sockets.close()
+            self._sockets.clear()
 
 
 def _has_same_sockets(
-    one: service_module.Service, other: service_module.Service
+    first: service_module.Service, second: service_module.Service
 ) -> bool:
-    return (one.address, one.request_port, one.first_datagram) == (
-        other.address,
-        other.request_port,
-        other.first_datagram,
+    return (first.address, first.request_port, first.first_datagram) == (
+        second.address,
+        second.request_port,
+        second.first_datagram,
     )
--- a/skylarkfold/edge/_platform.py
+++ b/skylarkfold/edge/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API over HTTP."""
+"""HTTP client of the platform's object API."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         )
 
 
-class _Value(msgspec.Struct):
+class _WriteBody(msgspec.Struct):
     value: str
 
 
@@ -71,7 +71,7 @@
 _REFUSED = platform_api.PlatformAnswer(platform_api.PlatformStatus.REFUSED)
 
 
-def _judge_status(status: int) -> platform_api.PlatformStatus:
+def _convert_status(status: int) -> platform_api.PlatformStatus:
     if status in _STATUSES:
         return _STATUSES[status]
     # A server error may come after the write took effect.
@@ -90,9 +90,9 @@
 
 
 def _convert_object(body: bytes) -> platform_api.PlatformAnswer:
-    single = msgspec.json.decode(body, type=_Object).convert()
+    stored = msgspec.json.decode(body, type=_Object).convert()
     return platform_api.PlatformAnswer(
-        platform_api.PlatformStatus.OK, (single,), single.revision
+        platform_api.PlatformStatus.OK, (stored,), stored.revision
     )
 
 
@@ -109,36 +109,38 @@
     )
 
 
-def _stamp(
+def _add_era(
     answer: platform_api.PlatformAnswer, era: int
 ) -> platform_api.PlatformAnswer:
-    """Put the store's era into all revisions of an answer."""
+    """Add the store's era to all revisions of an answer."""
     return dataclasses.replace(
         answer,
-        revision=_place(answer.revision, era),
+        revision=_build_revision(answer.revision, era),
         objects=tuple(
-            dataclasses.replace(each, revision=_place(each.revision, era))
+            dataclasses.replace(
+                each, revision=_build_revision(each.revision, era)
+            )
             for each in answer.objects
         ),
     )
 
 
-def _place(number: int, era: int) -> int:
+def _build_revision(number: int, era: int) -> int:
     if not 0 <= number <= revisions.MAXIMUM_NUMBER:
-        raise ValueError('a revision is out of range')
-    # Messages hold plain integers only.
+        raise ValueError('revision is out of range')
+    # Messages hold plain integers.
     return int(revisions.Revision(number, era))
 
 
 class PlatformClient:
     """Performs calls to the platform.
 
-    Revisions in answers hold the store's era, so that they order all that it
-    ever said; one that doesn't say it is taken to be in the era that it said
-    last.
+    Revisions in answers contain the store's era, so that they are ordered
+    across restores of the store. A response without an era gets the latest
+    era seen.
 
     :param url: the API's base URL.
-    :param token: sent as a bearer token; empty for none.
+    :param token: the bearer token; empty for none.
     """
 
     def __init__(self, url: str, token: str = '') -> None:
@@ -150,11 +152,11 @@
         self._era = 0
 
     async def open(self) -> None:
-        """Make the connection pool."""
+        """Create the client session."""
         self._session = _http_session.make_session(headers=self._headers)
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close the client session and its connections."""
         if self._session is not None:
             await self._session.close()
 
@@ -163,10 +165,10 @@
     ) -> platform_api.PlatformAnswer:
         """Perform one call.
 
-        :param request: what to ask.
-        :param timeout_seconds: how long to wait.
-        :returns: the answer; its status is ``UNKNOWN`` where none came or
-            none that can be read.
+        :param request: the call.
+        :param timeout_seconds: how long to wait for the answer.
+        :returns: the answer; its status is ``UNKNOWN`` if none came or it
+            can't be decoded.
         """
         try:
             async with asyncio.timeout(timeout_seconds):
@@ -210,8 +212,9 @@
         answer = await self._get(f'/watch?{query}', _convert_objects)
         era = revisions.get_era(request.revision)
         if revisions.get_era(answer.revision) > era:
-            # What the store has from where its copy ends up to the number
-            # that was asked from isn't in it: all has to be listed.
+            # The store was restored from an older copy. The answer lacks
+            # changes between the copy and the requested revision, so that
+            # the client must list all objects again.
             return _REFUSED
         return answer
 
@@ -233,16 +236,18 @@
         body = None
         if request.value is not None:
             value = base64.b64encode(request.value).decode()
-            body = msgspec.json.encode(_Value(value))
+            body = msgspec.json.encode(_WriteBody(value))
         async with self._session.request(
             method, url, data=body, headers=headers
         ) as response:
             body = await response.read()
-            status = _judge_status(response.status)
+            status = _convert_status(response.status)
             era = self._read_era(response)
         if status is not platform_api.PlatformStatus.OK or not body:
-            return platform_api.PlatformAnswer(status, revision=_place(0, era))
-        return _stamp(_convert_object(body), era)
+            return platform_api.PlatformAnswer(
+                status, revision=_build_revision(0, era)
+            )
+        return _add_era(_convert_object(body), era)
 
     def _read_era(self, response: aiohttp.ClientResponse) -> int:
         text = response.headers.get(_ERA_HEADER)
@@ -252,24 +257,28 @@
         self._era = max(self._era, era)
         return era
 
-    async def _get(self, path: str, convert) -> platform_api.PlatformAnswer:
+    async def _get(
+        self, path: str, convert_body
+    ) -> platform_api.PlatformAnswer:
         async with self._session.get(self._url + path) as response:
             body = await response.read()
-            status = _judge_status(response.status)
+            status = _convert_status(response.status)
             era = self._read_era(response)
         if status is not platform_api.PlatformStatus.OK:
-            return platform_api.PlatformAnswer(status, revision=_place(0, era))
-        return _stamp(convert(body), era)
+            return platform_api.PlatformAnswer(
+                status, revision=_build_revision(0, era)
+            )
+        return _add_era(convert_body(body), era)
 
     def _quote(self, path: str) -> str:
         return urllib.parse.quote(path, safe='/:')
 
 
 class PlatformCallRunner:
-    """Performs the node's platform calls and feeds the answers back.
+    """Performs the node's platform calls and reports the answers to it.
 
-    :param runtime: what all parts of the daemon share.
-    :param client: the API.
+    :param runtime: the runtime that all parts of the daemon share.
+    :param client: the client of the platform's API.
     """
 
     def __init__(
@@ -278,16 +287,14 @@
         self._runtime = runtime
         self._client = client
 
-    def call(self, wanted: effect.CallPlatform) -> None:
-        """Begin a call.
+    def call(self, call: effect.CallPlatform) -> None:
+        """Start a call.
 
-        :param wanted: the node's decision.
+        :param call: the effect that describes the call.
         """
         self._runtime.counters.add(metric.PLATFORM_CALLS)
-        self._runtime.start(self._run(wanted))
+        self._runtime.start(self._run(call))
 
-    async def _run(self, wanted: effect.CallPlatform) -> None:
-        answer = await self._client.call(
-            wanted.request, wanted.timeout_seconds
-        )
-        self._runtime.handle(event.PlatformAnswered(wanted.call, answer))
+    async def _run(self, call: effect.CallPlatform) -> None:
+        answer = await self._client.call(call.request, call.timeout_seconds)
+        self._runtime.handle(event.PlatformAnswered(call.call, answer))
--- a/skylarkfold/edge/_probe.py
+++ b/skylarkfold/edge/_probe.py
@@ -1,6 +1,6 @@
-"""Polls of upstreams' health and load endpoints.
+"""Probes of upstreams' health and load endpoints.
 
-What they say lags and may be wrong; it is passed on as a report.
+A result may be stale or wrong; it is only reported to the node.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from skylarkfold import event
 from skylarkfold import service as service_module
 
-_TIMEOUT_SECONDS = 1.0
-_IDLE_SECONDS = 0.5
+_PROBE_TIMEOUT_SECONDS = 1.0
+_NO_TARGETS_DELAY_SECONDS = 0.5
 
 
 class _Load(msgspec.Struct):
@@ -27,10 +27,10 @@
 
 
 class Prober:
-    """Asks upstreams in turn, at a bounded rate.
+    """Probes upstreams in turn, at a limited rate.
 
-    :param runtime: what all parts of the daemon share.
-    :param settings: the rates.
+    :param runtime: the runtime that all parts of the daemon share.
+    :param settings: the probe interval and the rate limit.
     """
 
     def __init__(
@@ -45,9 +45,9 @@
     def configure(
         self, configuration: configuration_module.Configuration
     ) -> None:
-        """Take the upstreams to ask.
+        """Set the upstreams to probe.
 
-        :param configuration: what is in force.
+        :param configuration: the configuration in force.
         """
         self._targets = [
             (service, upstream)
@@ -57,46 +57,47 @@
         ]
 
     async def run(self) -> None:
-        """Ask all upstreams over and over; ends when cancelled."""
-        timeout = aiohttp.ClientTimeout(total=_TIMEOUT_SECONDS)
+        """Probe all upstreams repeatedly until cancelled."""
+        timeout = aiohttp.ClientTimeout(total=_PROBE_TIMEOUT_SECONDS)
         async with _http_session.make_session(timeout=timeout) as session:
             while True:
-                await self._ask_all(session)
+                await self._probe_all(session)
 
-    async def _ask_all(self, session: aiohttp.ClientSession) -> None:
+    async def _probe_all(self, session: aiohttp.ClientSession) -> None:
         targets = self._targets
         if not targets:
-            await asyncio.sleep(_IDLE_SECONDS)
+            await asyncio.sleep(_NO_TARGETS_DELAY_SECONDS)
             return
-        pause = max(
+        interval = max(
             1.0 / self._settings.probes_per_second,
             self._settings.probe_seconds / len(targets),
         )
         for service, upstream in targets:
-            self._runtime.start(self._ask(session, service, upstream))
-            await asyncio.sleep(pause)
+            self._runtime.start(self._probe(session, service, upstream))
+            await asyncio.sleep(interval)
 
-    async def _ask(
+    async def _probe(
         self,
         session: aiohttp.ClientSession,
         service: service_module.Service,
         upstream: service_module.Upstream,
     ) -> None:
-        base = f'http://{upstream.address.host}:{upstream.request_port}'
+        base_url = f'http://{upstream.address.host}:{upstream.request_port}'
         healthy = reachable = False
         load = _Load()
         try:
-            async with session.get(f'{base}/health') as response:
+            async with session.get(f'{base_url}/health') as response:
                 reachable = True
                 healthy = response.status == 200
-            async with session.get(f'{base}/load') as response:
+            async with session.get(f'{base_url}/load') as response:
                 body = await response.read()
                 load = msgspec.json.decode(body, type=_Load)
         except (aiohttp.ClientError, OSError, TimeoutError):
             healthy = False
         except (msgspec.MsgspecError, ValueError):
             load = _Load()
-        # A probe that is late says less than an answer that came.
+        # An answered datagram shows that an upstream is reachable even if
+        # its probe timed out.
         if upstream.address in self._runtime.heard:
             self._runtime.heard.discard(upstream.address)
             reachable = True
--- a/skylarkfold/edge/_requests.py
+++ b/skylarkfold/edge/_requests.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP requests: read whole, handed to the node, answered."""
+"""HTTP server for callers' requests, which the node handles."""
 
 from __future__ import annotations
 
@@ -37,19 +37,19 @@
     }
 )
 _MILLISECONDS = 1000.0
-_LAST_ALERT_URGENCY = 1
-_FIRST_BULK_URGENCY = 5
+_MAXIMUM_ALERT_URGENCY = 1
+_MINIMUM_BULK_URGENCY = 5
 
 
 class Problem(msgspec.Struct, omit_defaults=True):
-    """The body of an answer that did not come from an upstream (RFC 9457).
+    """Problem details of an answer that no upstream gave (RFC 9457).
 
     :param type: always ``about:blank``.
-    :param title: the status in words.
+    :param title: the reason phrase of the HTTP status.
     :param status: the HTTP status.
-    :param code: why, one of the documented codes.
+    :param code: the error code.
     :param verdict: whether the request may have run.
-    :param retry_after_seconds: when to come back.
+    :param retry_after_seconds: the delay before a retry.
     """
 
     title: str
@@ -61,16 +61,16 @@
 
 
 class HeaderError(ValueError):
-    """A header of a caller's request that can't be read."""
+    """A malformed header in a caller's request."""
 
 
-def read_timeout(text: str | None, settings: _settings.EdgeSettings) -> float:
-    """Read the time that a caller gives its request.
+def parse_timeout(text: str | None, settings: _settings.EdgeSettings) -> float:
+    """Parse the timeout header of a caller's request.
 
-    :param text: the header's value in milliseconds, None where missing.
-    :param settings: the default and the bound.
-    :returns: seconds.
-    :raises HeaderError: if it is no positive number.
+    :param text: the header's value in milliseconds, None if missing.
+    :param settings: the default and the maximum timeout.
+    :returns: the timeout in seconds.
+    :raises HeaderError: if the value is no positive integer.
     """
     if text is None:
         return settings.default_timeout_seconds
@@ -80,29 +80,29 @@
     return min(seconds, settings.maximum_timeout_seconds)
 
 
-def read_priority(text: str | None) -> request_module.Priority:
-    """Read the urgency of RFC 9218; what can't be read is ignored.
+def parse_priority(text: str | None) -> request_module.Priority:
+    """Parse the urgency of a priority header (RFC 9218).
 
-    :param text: the header's value, None where missing.
-    :returns: the request's class.
+    :param text: the header's value, None if missing.
+    :returns: the priority; ``EXCHANGE`` if there is no valid urgency.
     """
     for part in (text or '').split(','):
         name, _, value = part.strip().partition('=')
         if name == 'u' and value.isdecimal():
-            return _classify(int(value))
+            return _classify_urgency(int(value))
     return request_module.Priority.EXCHANGE
 
 
-def _classify(urgency: int) -> request_module.Priority:
-    if urgency <= _LAST_ALERT_URGENCY:
+def _classify_urgency(urgency: int) -> request_module.Priority:
+    if urgency <= _MAXIMUM_ALERT_URGENCY:
         return request_module.Priority.ALERT
-    if urgency >= _FIRST_BULK_URGENCY:
+    if urgency >= _MINIMUM_BULK_URGENCY:
         return request_module.Priority.BULK
     return request_module.Priority.EXCHANGE
 
 
 def build_response(answer: request_module.Answer) -> web.Response:
-    """Turn an answer into an HTTP response with its verdict.
+    """Build the HTTP response of an answer, with the verdict header.
 
     :param answer: the node's answer.
     :returns: the response.
@@ -132,17 +132,17 @@
     return msgspec.json.encode(problem)
 
 
-def _refuse(status: int, code: str) -> web.Response:
+def _build_refusal(status: int, code: str) -> web.Response:
     return build_response(
         request_module.Answer(verdict.Verdict.NOT_RUN, status, code=code)
     )
 
 
 class RequestServer:
-    """Takes callers' requests for all services.
+    """Receives callers' requests for all services and sends the answers.
 
-    :param runtime: what all parts of the daemon share.
-    :param settings: bounds on sizes and times.
+    :param runtime: the runtime that all parts of the daemon share.
+    :param settings: limits on sizes and times.
     """
 
     def __init__(
@@ -150,11 +150,11 @@
     ) -> None:
         self._runtime = runtime
         self._settings = settings
-        self._numbers = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future] = {}
+        self._request_numbers = itertools.count(1)
+        self._pending: dict[int, asyncio.Future] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     async def listen(
         self, host: str, service: service_module.Service
@@ -163,12 +163,12 @@
 
         :param host: the address to bind.
         :param service: the service.
-        :returns: the runner, to be cleaned up when the service goes.
+        :returns: the runner, which the caller must clean up.
         :raises OSError: if the address can't be bound.
         """
 
         async def answer(received: web.Request) -> web.Response:
-            return await self._answer(service.name, received)
+            return await self._handle_request(service.name, received)
 
         application = web.Application(
             client_max_size=self._settings.maximum_body_bytes
@@ -181,28 +181,28 @@
         await web.TCPSite(runner, host, service.request_port).start()
         return runner
 
-    async def _answer(
+    async def _handle_request(
         self, service_name: str, received: web.Request
     ) -> web.Response:
         self._runtime.counters.add(metric.REQUESTS_RECEIVED)
         try:
-            request = await self._read(service_name, received)
+            request = await self._read_request(service_name, received)
         except HeaderError:
-            return _refuse(400, 'header-malformed')
+            return _build_refusal(400, 'header-malformed')
         except web.HTTPRequestEntityTooLarge:
             self._runtime.counters.add(metric.REQUESTS_OVERSIZED)
-            return _refuse(413, 'request-too-large')
-        return build_response(await self._ask(request))
+            return _build_refusal(413, 'request-too-large')
+        return build_response(await self._submit_request(request))
 
-    async def _read(
+    async def _read_request(
         self, service_name: str, received: web.Request
     ) -> request_module.Request:
         headers = received.headers
         timeout = headers.get(request_module.DEADLINE_HEADER)
-        seconds = read_timeout(timeout, self._settings)
+        seconds = parse_timeout(timeout, self._settings)
         body = await received.read()
         return request_module.Request(
-            number=next(self._numbers),
+            number=next(self._request_numbers),
             service=service_name,
             method=received.method,
             target=received.raw_path,
@@ -214,17 +214,17 @@
             body=body,
             key=headers.get(request_module.KEY_HEADER, ''),
             idempotent=received.method in IDEMPOTENT_METHODS,
-            priority=read_priority(
+            priority=parse_priority(
                 headers.get(request_module.PRIORITY_HEADER)
             ),
             timeout_seconds=seconds,
         )
 
-    async def _ask(
+    async def _submit_request(
         self, request: request_module.Request
     ) -> request_module.Answer:
         future = asyncio.get_running_loop().create_future()
-        self._waiting[request.number] = future
+        self._pending[request.number] = future
         try:
             self._runtime.handle(event.RequestReceived(request))
             return await future
@@ -232,14 +232,14 @@
             self._runtime.handle(event.RequestCancelled(request.number))
             raise
         finally:
-            self._waiting.pop(request.number, None)
+            self._pending.pop(request.number, None)
 
     def send(self, number: int, answer: request_module.Answer) -> None:
-        """Answer a request whose caller still waits.
+        """Answer a request, unless its caller has disconnected.
 
         :param number: the request's number.
-        :param answer: its final answer.
+        :param answer: the final answer.
         """
-        future = self._waiting.get(number)
+        future = self._pending.get(number)
         if future is not None and not future.done():
             future.set_result(answer)
--- a/skylarkfold/edge/_runtime.py
+++ b/skylarkfold/edge/_runtime.py
@@ -1,4 +1,4 @@
-"""What all parts of a daemon share."""
+"""Clock, logs, counters and background tasks that a daemon shares."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class Runtime:
-    """The clock, the logs, the counters and the way into the node.
+    """Clock, logs, counters, background tasks and the event handler.
 
-    :param clock: gives the seconds of a monotonic clock.
-    :param counters: where metrics are counted.
-    :param decisions: where decisions are logged.
+    :param clock: returns the seconds of a monotonic clock.
+    :param counters: the metric counters.
+    :param decisions: the decision log.
     :param log_packets: whether each forwarded datagram is logged.
     """
 
@@ -34,43 +34,44 @@
         self.counters = counters
         self.decisions = decisions
         self.log_packets = log_packets
-        self.handle: Callable[[object], None] = _ignore
-        # Upstreams that answered a datagram since their last probe.
+        self.handle: Callable[[object], None] = _discard_event
+        # Addresses of upstreams that answered a datagram since their last
+        # probe.
         self.heard: set[endpoint.Endpoint] = set()
         self._tasks: set[asyncio.Task] = set()
 
-    def handle_later(self, received: object) -> None:
-        """Feed an event to the node once the present one is done.
+    def handle_later(self, event: object) -> None:
+        """Pass an event to the node after the current callback.
 
-        :param received: the event.
+        :param event: the event.
         """
-        asyncio.get_running_loop().call_soon(self.handle, received)
+        asyncio.get_running_loop().call_soon(self.handle, event)
 
-    def start(self, work: Coroutine) -> asyncio.Task:
-        """Run work in the background and log it if it fails.
+    def start(self, coroutine: Coroutine) -> asyncio.Task:
+        """Run a coroutine in the background and log it if it fails.
 
-        :param work: the coroutine.
+        :param coroutine: the coroutine.
         :returns: its task.
         """
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._finish)
+        task.add_done_callback(self._handle_task_done)
         return task
 
-    def _finish(self, task: asyncio.Task) -> None:
+    def _handle_task_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
         error = task.exception()
-        _logger.error('background work failed: %r', error, exc_info=error)
+        _logger.error('background task failed: %r', error, exc_info=error)
 
     async def cancel_all(self) -> None:
-        """Cancel all background work and wait for its end."""
+        """Cancel all background tasks and wait until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def _ignore(received: object) -> None:
-    """Take events before the node is there."""
+def _discard_event(event: object) -> None:
+    """Discard events that come before the node's handler is set."""
--- a/skylarkfold/edge/_settings.py
+++ b/skylarkfold/edge/_settings.py
@@ -7,21 +7,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EdgeSettings:
-    """Bounds on what callers, upstreams and peers may send.
+    """Limits on sizes, times and rates of the daemon's sockets.
 
-    :param default_timeout_seconds: for requests that name no deadline.
-    :param maximum_timeout_seconds: the longest deadline granted.
-    :param maximum_body_bytes: the largest request body taken.
-    :param maximum_answer_bytes: the largest answer taken.
-    :param connect_seconds: how long a connection may take to open.
-    :param tick_seconds: how often the node is told that time passed.
-    :param probe_seconds: how often one upstream's health and load
-        endpoints are asked.
-    :param probes_per_second: probes by this instance at most.
-    :param stop_seconds: how long a planned stop may take.
-    :param drain_seconds: how long a stream may go on over a draining
+    :param default_timeout_seconds: the timeout of requests without the
+        timeout header.
+    :param maximum_timeout_seconds: the maximum timeout of a request.
+    :param maximum_body_bytes: the maximum size of a request body.
+    :param maximum_answer_bytes: the maximum size of an answer's body.
+    :param connect_seconds: the timeout for connecting to an upstream.
+    :param tick_seconds: the interval of the node's timer events.
+    :param probe_seconds: the interval between probes of one upstream.
+    :param probes_per_second: the maximum rate of this instance's probes.
+    :param stop_seconds: the maximum duration of a graceful stop.
+    :param drain_seconds: how long a stream may continue on a draining
         upstream, 0 for no limit.
-    :param peer_queue_bytes: bytes waiting for one peer at most.
+    :param peer_queue_bytes: the maximum size of one peer's send queue.
     """
 
     default_timeout_seconds: float = 10.0
--- a/skylarkfold/edge/_stream.py
+++ b/skylarkfold/edge/_stream.py
@@ -1,7 +1,7 @@
-"""Callers' TCP streams, relayed to upstreams both ways.
+"""Relay of callers' TCP streams to upstreams.
 
-A stream lives in the instance that accepted it: its state is in that
-machine's kernel. It is not moved when settings change.
+A stream stays on the instance that accepted it, whose kernel holds its
+state. It is not moved when settings change.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from skylarkfold import metric
 from skylarkfold import service as service_module
 
-_PORTION_BYTES = 64 * 1024
-_LINGER_NOT = struct.pack('ii', 1, 0)
+_READ_BYTES = 64 * 1024
+_NO_LINGER = struct.pack('ii', 1, 0)
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,29 +36,29 @@
     service: str = ''
     upstream: str = ''
     task: asyncio.Task | None = None
-    limit: asyncio.TimerHandle | None = None
+    drain_timer: asyncio.TimerHandle | None = None
 
 
-def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection so that the other end can't take it for whole.
+def reset_connection(writer: asyncio.StreamWriter) -> None:
+    """Close a connection with a TCP reset.
 
-    Without the linger option an abort sends a regular end, after which a
-    cut-off answer looks like a whole one.
+    Without the linger option an abort sends a FIN, after which a truncated
+    answer looks complete to the other end.
 
-    :param writer: the connection.
+    :param writer: the connection's writer.
     """
     connection = writer.get_extra_info('socket')
     if connection is None:
         return
     with contextlib.suppress(OSError):
-        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_NOT)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
     writer.transport.abort()
 
 
-async def _copy(
+async def _copy_until_eof(
     reader: asyncio.StreamReader, writer: asyncio.StreamWriter
 ) -> None:
-    while data := await reader.read(_PORTION_BYTES):
+    while data := await reader.read(_READ_BYTES):
         writer.write(data)
         await writer.drain()
     if writer.can_write_eof():
@@ -66,10 +66,10 @@
 
 
 class StreamRelay:
-    """All streams that this instance relays.
+    """Accepts callers' streams and relays them to upstreams.
 
-    :param runtime: what all parts of the daemon share.
-    :param settings: bounds on sizes and times.
+    :param runtime: the runtime that all parts of the daemon share.
+    :param settings: limits on sizes and times.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._runtime = runtime
         self._settings = settings
         self._streams: dict[int, _Stream] = {}
-        self._numbers = itertools.count(1)
+        self._stream_numbers = itertools.count(1)
 
     def __len__(self) -> int:
         return len(self._streams)
@@ -97,50 +97,50 @@
         def accept(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            self._accept(service.address, reader, writer)
+            self._register(service.address, reader, writer)
 
         return await asyncio.start_server(accept, host, service.address.port)
 
-    def _accept(
+    def _register(
         self,
         address: endpoint.Endpoint,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        number = next(self._numbers)
+        number = next(self._stream_numbers)
         caller = endpoint.Endpoint(*writer.get_extra_info('peername')[:2])
         self._streams[number] = _Stream(reader, writer, caller, address)
         self._runtime.handle(event.StreamOpened(number, address, caller))
 
-    def connect(self, decided: effect.ConnectStream) -> None:
-        """Relay a stream to the upstream decided on.
+    def connect(self, decision: effect.ConnectStream) -> None:
+        """Relay a stream to the selected upstream.
 
-        :param decided: the decision.
+        :param decision: the stream and its upstream.
         """
-        stream = self._streams.get(decided.stream)
+        stream = self._streams.get(decision.stream)
         if stream is None or stream.task is not None:
             return
-        stream.service = decided.service.name
-        stream.upstream = decided.upstream.name
+        stream.service = decision.service.name
+        stream.upstream = decision.upstream.name
         stream.task = self._runtime.start(
-            self._relay(decided.stream, stream, decided.upstream)
+            self._relay(decision.stream, stream, decision.upstream)
         )
 
     def configure(
         self, configuration: configuration_module.Configuration
     ) -> None:
-        """Start the drain limit of streams over draining upstreams.
+        """Start the drain timers of streams on draining upstreams.
 
-        All other changes leave established streams as they are.
+        No other change affects established streams.
 
-        :param configuration: what is in force.
+        :param configuration: the configuration in force.
         """
         if not self._settings.drain_seconds:
             return
         for stream in self._streams.values():
-            self._limit(stream, configuration)
+            self._update_drain_timer(stream, configuration)
 
-    def _limit(
+    def _update_drain_timer(
         self,
         stream: _Stream,
         configuration: configuration_module.Configuration,
@@ -150,25 +150,25 @@
         if upstream is None or stream.task is None:
             return
         if upstream.takes_new_work:
-            if stream.limit is not None:
-                stream.limit.cancel()
-            stream.limit = None
-        elif stream.limit is None:
+            if stream.drain_timer is not None:
+                stream.drain_timer.cancel()
+            stream.drain_timer = None
+        elif stream.drain_timer is None:
             loop = asyncio.get_running_loop()
-            stream.limit = loop.call_later(
+            stream.drain_timer = loop.call_later(
                 self._settings.drain_seconds, stream.task.cancel
             )
 
-    def refuse(self, decided: effect.RefuseStream) -> None:
-        """Reset a stream that could not be placed.
+    def refuse(self, decision: effect.RefuseStream) -> None:
+        """Reset a stream for which there is no upstream.
 
-        :param decided: the decision.
+        :param decision: the refused stream.
         """
-        stream = self._streams.pop(decided.stream, None)
+        stream = self._streams.pop(decision.stream, None)
         if stream is None:
             return
         self._runtime.counters.add(metric.STREAMS_REFUSED)
-        reset(stream.writer)
+        reset_connection(stream.writer)
 
     async def _relay(
         self, number: int, stream: _Stream, upstream: service_module.Upstream
@@ -183,43 +183,44 @@
             self._runtime.counters.add(metric.STREAMS_OPENED)
             header = _header.pack_stream_header(stream.caller, stream.address)
             writer.write(header)
-            await self._copy_both(stream, reader, writer)
+            await self._copy_both_ways(stream, reader, writer)
         except (OSError, asyncio.TimeoutError):
-            # One end was cut off: the other must see a reset, no regular end.
-            reset(stream.writer)
+            # The caller must see a reset, since a FIN would make a truncated
+            # answer look complete.
+            reset_connection(stream.writer)
         except asyncio.CancelledError:
-            reset(stream.writer)
+            reset_connection(stream.writer)
             raise
         finally:
             self._streams.pop(number, None)
-            if stream.limit is not None:
-                stream.limit.cancel()
+            if stream.drain_timer is not None:
+                stream.drain_timer.cancel()
             stream.writer.close()
             self._runtime.handle(event.StreamClosed(number, failed))
 
-    async def _copy_both(
+    async def _copy_both_ways(
         self,
         stream: _Stream,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        copies = [
-            asyncio.ensure_future(_copy(stream.reader, writer)),
-            asyncio.ensure_future(_copy(reader, stream.writer)),
+        copy_tasks = [
+            asyncio.ensure_future(_copy_until_eof(stream.reader, writer)),
+            asyncio.ensure_future(_copy_until_eof(reader, stream.writer)),
         ]
         try:
-            await asyncio.gather(*copies)
+            await asyncio.gather(*copy_tasks)
             writer.close()
         except BaseException:
-            for copy in copies:
-                copy.cancel()
-            reset(writer)
+            for copy_task in copy_tasks:
+                copy_task.cancel()
+            reset_connection(writer)
             raise
 
     async def close(self) -> None:
-        """Cut all streams that are left."""
+        """Reset all remaining streams."""
         for stream in list(self._streams.values()):
             if stream.task is not None:
                 stream.task.cancel()
             with contextlib.suppress(Exception):
-                reset(stream.writer)
+                reset_connection(stream.writer)
--- a/skylarkfold/edge/_tls.py
+++ b/skylarkfold/edge/_tls.py
@@ -9,9 +9,9 @@
 
 
 class TlsContexts(NamedTuple):
-    """The two ends of a peer's stream.
+    """TLS contexts for streams between instances.
 
-    :param server: for accepted streams; the peer must have a certificate.
+    :param server: for accepted streams; requires the peer's certificate.
     :param client: for opened streams.
     """
 
@@ -22,16 +22,17 @@
 def make_tls_contexts(
     certificate: str, key: str, authority: str
 ) -> TlsContexts:
-    """Read the certificates that peers prove themselves with.
+    """Create the TLS contexts from certificate files.
 
-    Names are checked against the greeting by the receiver, not against
-    host names: peers are reached by IP numbers.
+    The receiver checks the certificate against the name in the greeting.
+    There is no host name check, since peers connect by IP address.
 
     :param certificate: the path of this instance's certificate.
     :param key: the path of its private key.
-    :param authority: the path of the authority that signed all peers'.
-    :returns: the contexts of both ends.
-    :raises SettingsError: if a file can't be read or used.
+    :param authority: the path of the CA certificate that signed the
+        certificates of all peers.
+    :returns: the contexts for accepted and for opened streams.
+    :raises SettingsError: if a file can't be read or is invalid.
     """
     server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
--- a/skylarkfold/edge/_upstream_client.py
+++ b/skylarkfold/edge/_upstream_client.py
@@ -1,4 +1,4 @@
-"""Attempts: one HTTP exchange with one upstream each."""
+"""HTTP client for attempts, each one exchange with one upstream."""
 
 from __future__ import annotations
 
@@ -26,63 +26,63 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _End:
-    """How an exchange ended."""
+class _AttemptResult:
+    """The outcome of an attempt, with the answer if there is one."""
 
     outcome: request_module.Outcome
     answer: request_module.Answer | None = None
 
 
-class _LateError(Exception):
-    """The deadline passed before anything was written."""
+class _DeadlinePassedError(Exception):
+    """The deadline passed before the request was written."""
 
 
-class _Departure:
-    """When a request must be written, and whether it may have been."""
+class _WriteState:
+    """The deadline of a request's write and whether the write began."""
 
-    __slots__ = ('before', 'is_written')
+    __slots__ = ('is_write_started', 'write_deadline')
 
-    def __init__(self, before: float) -> None:
-        self.before = before
-        self.is_written = False
+    def __init__(self, write_deadline: float) -> None:
+        self.write_deadline = write_deadline
+        self.is_write_started = False
 
 
-_departure: contextvars.ContextVar[_Departure] = contextvars.ContextVar(
+_write_state: contextvars.ContextVar[_WriteState] = contextvars.ContextVar(
     'departure'
 )
 
 
 class _DeadlineConnector(aiohttp.TCPConnector):
-    """Looks at the deadline once more when the connection is there.
+    """Connector that checks the deadline again once it has a connection.
 
-    Connecting takes time, and a paused process may go on long after its
-    decision. What the upstream is told is the time left at the write.
+    Connecting takes time, and a paused process may resume long after its
+    decision. The deadline header holds the time left at the write.
     """
 
     async def connect(
         self, req: aiohttp.ClientRequest, *arguments: Any, **options: Any
     ) -> Connection:
         connection = await super().connect(req, *arguments, **options)
-        departure = _departure.get()
-        left = departure.before - self._loop.time()
-        milliseconds = int(left * _MILLISECONDS)
-        if milliseconds < 1:
+        write_state = _write_state.get()
+        remaining_seconds = write_state.write_deadline - self._loop.time()
+        remaining_ms = int(remaining_seconds * _MILLISECONDS)
+        if remaining_ms < 1:
             connection.close()
-            raise _LateError
-        departure.is_written = True
-        req.headers[request_module.DEADLINE_HEADER] = str(milliseconds)
+            raise _DeadlinePassedError
+        write_state.is_write_started = True
+        req.headers[request_module.DEADLINE_HEADER] = str(remaining_ms)
         return connection
 
 
 class UpstreamClient:
-    """Performs attempts and reports how each ended.
+    """Performs attempts and reports their outcomes.
 
-    A request that may not be repeated gets a connection of its own: on a
-    kept connection that the upstream is closing, it could not be told
-    whether the request was taken.
+    A request that is not idempotent gets a connection of its own: on a
+    pooled connection that the upstream closes meanwhile, the client can't
+    tell whether the upstream received the request.
 
-    :param runtime: what all parts of the daemon share.
-    :param settings: bounds on sizes and times.
+    :param runtime: the runtime that all parts of the daemon share.
+    :param settings: limits on sizes and times.
     """
 
     def __init__(
@@ -90,14 +90,14 @@
     ) -> None:
         self._runtime = runtime
         self._settings = settings
-        self._attempts: dict[int, asyncio.Task] = {}
-        self._kept: aiohttp.ClientSession | None = None
-        self._single: aiohttp.ClientSession | None = None
+        self._tasks: dict[int, asyncio.Task] = {}
+        self._pooled_session: aiohttp.ClientSession | None = None
+        self._unpooled_session: aiohttp.ClientSession | None = None
 
     async def open(self) -> None:
-        """Make the connection pools."""
-        self._kept = self._make_session(force_close=False)
-        self._single = self._make_session(force_close=True)
+        """Create the client sessions."""
+        self._pooled_session = self._make_session(force_close=False)
+        self._unpooled_session = self._make_session(force_close=True)
 
     def _make_session(self, force_close: bool) -> aiohttp.ClientSession:
         return _http_session.make_session(
@@ -107,90 +107,98 @@
             skip_auto_headers=('User-Agent', 'Accept-Encoding', 'Accept'),
         )
 
-    def dispatch(self, wanted: effect.DispatchAttempt) -> None:
-        """Begin an attempt.
+    def dispatch(self, attempt: effect.DispatchAttempt) -> None:
+        """Start an attempt.
 
-        :param wanted: the node's decision.
+        :param attempt: the effect that describes the attempt.
         """
         self._runtime.counters.add(metric.ATTEMPTS)
-        deadline = self._runtime.clock() + wanted.timeout_seconds
-        task = self._runtime.start(self._run(wanted, deadline))
-        self._attempts[wanted.attempt] = task
+        deadline = self._runtime.clock() + attempt.timeout_seconds
+        task = self._runtime.start(self._run_attempt(attempt, deadline))
+        self._tasks[attempt.attempt] = task
 
     def cancel(self, attempt: int) -> None:
-        """Give up an attempt; its connection is closed.
+        """Cancel an attempt and close its connection.
 
         :param attempt: the attempt's number.
         """
-        task = self._attempts.pop(attempt, None)
+        task = self._tasks.pop(attempt, None)
         if task is not None:
             task.cancel()
 
-    async def _run(
-        self, wanted: effect.DispatchAttempt, deadline: float
+    async def _run_attempt(
+        self, attempt: effect.DispatchAttempt, deadline: float
     ) -> None:
-        _departure.set(_Departure(deadline))
+        _write_state.set(_WriteState(deadline))
         try:
-            end = await self._exchange(wanted)
+            result = await self._perform_exchange(attempt)
         finally:
-            self._attempts.pop(wanted.attempt, None)
+            self._tasks.pop(attempt.attempt, None)
         self._runtime.handle(
-            event.AttemptEnded(wanted.attempt, end.outcome, end.answer)
+            event.AttemptEnded(attempt.attempt, result.outcome, result.answer)
         )
 
-    async def _exchange(self, wanted: effect.DispatchAttempt) -> _End:
+    async def _perform_exchange(
+        self, attempt: effect.DispatchAttempt
+    ) -> _AttemptResult:
         try:
-            async with asyncio.timeout(wanted.timeout_seconds):
-                return await self._send(wanted)
+            async with asyncio.timeout(attempt.timeout_seconds):
+                return await self._send_request(attempt)
         except (
             aiohttp.ClientConnectorError,
             aiohttp.ConnectionTimeoutError,
-            _LateError,
+            _DeadlinePassedError,
         ):
-            return _End(request_module.Outcome.UNREACHABLE)
+            return _AttemptResult(request_module.Outcome.UNREACHABLE)
         except TimeoutError:
-            if not _departure.get().is_written:
-                return _End(request_module.Outcome.UNREACHABLE)
-            return _End(request_module.Outcome.TIMED_OUT)
+            if not _write_state.get().is_write_started:
+                return _AttemptResult(request_module.Outcome.UNREACHABLE)
+            return _AttemptResult(request_module.Outcome.TIMED_OUT)
         except (aiohttp.ClientError, OSError, ValueError):
-            return _End(request_module.Outcome.BROKEN)
-
-    async def _send(self, wanted: effect.DispatchAttempt) -> _End:
-        request = wanted.request
-        session = self._kept if request.idempotent else self._single
-        host = wanted.upstream.address.host
-        url = f'http://{host}:{wanted.upstream.request_port}{request.target}'
+            return _AttemptResult(request_module.Outcome.BROKEN)
+
+    async def _send_request(
+        self, attempt: effect.DispatchAttempt
+    ) -> _AttemptResult:
+        request = attempt.request
+        session = (
+            self._pooled_session
+            if request.idempotent
+            else self._unpooled_session
+        )
+        host = attempt.upstream.address.host
+        url = f'http://{host}:{attempt.upstream.request_port}{request.target}'
         async with session.request(
             request.method,
             yarl.URL(url, encoded=True),
-            headers=self._list_headers(wanted),
+            headers=self._build_headers(attempt),
             data=request.body or None,
             allow_redirects=False,
             timeout=aiohttp.ClientTimeout(
                 total=None, sock_connect=self._settings.connect_seconds
             ),
         ) as response:
-            return await self._read(response, request)
+            return await self._read_response(response, request)
 
-    def _list_headers(
-        self, wanted: effect.DispatchAttempt
+    def _build_headers(
+        self, attempt: effect.DispatchAttempt
     ) -> list[tuple[str, str]]:
         deadline = request_module.DEADLINE_HEADER.lower()
         return [
             (name, value)
-            for name, value in wanted.request.headers
+            for name, value in attempt.request.headers
             if name != deadline
         ]
 
-    async def _read(
+    async def _read_response(
         self, response: aiohttp.ClientResponse, request: request_module.Request
-    ) -> _End:
+    ) -> _AttemptResult:
         body = await self._read_body(response, request)
         if body is None:
-            return _End(request_module.Outcome.BROKEN)
-        said = response.headers.get(request_module.VERDICT_HEADER)
-        if said == verdict.Verdict.NOT_RUN.value:
-            return _End(request_module.Outcome.REFUSED)
+            return _AttemptResult(request_module.Outcome.BROKEN)
+        verdict_value = response.headers.get(request_module.VERDICT_HEADER)
+        if verdict_value == verdict.Verdict.NOT_RUN.value:
+            return _AttemptResult(request_module.Outcome.REFUSED)
         headers = tuple(
             (name.lower(), value)
             for name, value in response.headers.items()
@@ -199,7 +207,7 @@
         answer = request_module.Answer(
             verdict.Verdict.RAN, response.status, headers, body
         )
-        return _End(request_module.Outcome.ANSWERED, answer)
+        return _AttemptResult(request_module.Outcome.ANSWERED, answer)
 
     async def _read_body(
         self, response: aiohttp.ClientResponse, request: request_module.Request
@@ -208,22 +216,22 @@
             return b''
         chunked = 'chunked' in response.headers.get('Transfer-Encoding', '')
         if response.content_length is None and not chunked:
-            # The end of the connection would end the body: whether it is
-            # whole could not be told.
+            # Only the end of the connection delimits the body, so that a
+            # truncated body can't be detected.
             response.close()
             return None
-        portions = []
+        chunks = []
         size = 0
-        async for portion in response.content.iter_any():
-            size += len(portion)
+        async for chunk in response.content.iter_any():
+            size += len(chunk)
             if size > self._settings.maximum_answer_bytes:
                 response.close()
                 return None
-            portions.append(portion)
-        return b''.join(portions)
+            chunks.append(chunk)
+        return b''.join(chunks)
 
     async def close(self) -> None:
-        """Close all connections."""
-        for session in (self._kept, self._single):
+        """Close the client sessions and their connections."""
+        for session in (self._pooled_session, self._unpooled_session):
             if session is not None:
                 await session.close()
--- a/skylarkfold/tests/edge/fixture.py
+++ b/skylarkfold/tests/edge/fixture.py
@@ -1,4 +1,4 @@
-"""What the tests of the sockets share."""
+"""Helpers shared by the tests of sockets."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 def run(coroutine):
-    """Run a test's coroutine under a limit."""
+    """Run a test's coroutine with a timeout."""
 
     async def limited():
         async with asyncio.timeout(LIMIT_SECONDS):
@@ -25,33 +25,33 @@
     return uvloop.run(limited())
 
 
-class Recorder:
-    """Stands in for the node: keeps events and answers some of them."""
+class EventRecorder:
+    """Node substitute that records events and runs callbacks for some."""
 
     def __init__(self):
         self.events = []
-        self.arrived = asyncio.Event()
-        self.reactions = {}
+        self.event_arrived = asyncio.Event()
+        self.callbacks = {}
 
     def handle(self, received):
         self.events.append(received)
-        self.arrived.set()
-        reaction = self.reactions.get(type(received))
-        if reaction is not None:
-            reaction(received)
+        self.event_arrived.set()
+        callback = self.callbacks.get(type(received))
+        if callback is not None:
+            callback(received)
 
     async def wait_for(self, kind):
-        """Wait for an event of a type and return the first one."""
+        """Return the first event of a type, waiting for it if needed."""
         while True:
             for received in self.events:
                 if isinstance(received, kind):
                     return received
-            self.arrived.clear()
-            await self.arrived.wait()
+            self.event_arrived.clear()
+            await self.event_arrived.wait()
 
 
 def make_runtime(recorder, name='a'):
-    """Make a runtime whose events go to a recorder."""
+    """Build a runtime that passes its events to a recorder."""
     runtime = edge.Runtime(
         asyncio.get_running_loop().time,
         metric.Counters(name, None),
@@ -63,7 +63,7 @@
 
 
 def make_service(upstream_port, port, request_port=0, upstream_http=0):
-    """Make a service with one upstream."""
+    """Build a service with one upstream."""
     upstream = service.Upstream(
         'desk-1',
         endpoint.Endpoint(HOST, upstream_port),
@@ -80,9 +80,9 @@
 
 
 def find_port():
-    """Find a port that no other test process takes meanwhile.
+    """Return a port that no other test process can bind meanwhile.
 
-    The host is this process's own: on a shared one, another test's
-    connection may take the port before it is bound.
+    ``HOST`` is private to this process: on a shared host, another test's
+    connection could take the port before it is bound.
     """
     return load.find_port([HOST])
--- a/skylarkfold/tests/edge/test_datagram.py
+++ b/skylarkfold/tests/edge/test_datagram.py
@@ -1,4 +1,4 @@
-"""Tests of callers' datagrams over real sockets."""
+"""Tests of UDP forwarding over real sockets."""
 
 import asyncio
 import dataclasses
@@ -14,8 +14,8 @@
 from skylarkfold.tests.edge import fixture
 
 
-class Peer(asyncio.DatagramProtocol):
-    """A socket of a caller or an upstream."""
+class DatagramSocket(asyncio.DatagramProtocol):
+    """The socket of a caller or an upstream."""
 
     def __init__(self):
         self.received = asyncio.Queue()
@@ -29,16 +29,16 @@
         self.received.put_nowait((data, sender))
 
 
-async def open_peer():
+async def open_socket():
     loop = asyncio.get_running_loop()
-    _, peer = await loop.create_datagram_endpoint(
-        Peer, local_addr=(fixture.HOST, 0)
+    _, opened = await loop.create_datagram_endpoint(
+        DatagramSocket, local_addr=(fixture.HOST, 0)
     )
-    return peer
+    return opened
 
 
-class Router:
-    """Answers every flow with one upstream, or with none."""
+class FixedRouter:
+    """Router that returns one fixed upstream, or None."""
 
     def __init__(self):
         self.upstream = None
@@ -47,18 +47,20 @@
         return self.upstream
 
 
-class Site:
-    """A listener between a caller and an upstream."""
+class ListenerHarness:
+    """A datagram listener with one caller and one upstream."""
 
     async def open(self, **changes):
-        self.recorder = fixture.Recorder()
+        self.recorder = fixture.EventRecorder()
         self.runtime = fixture.make_runtime(self.recorder)
-        self.upstream = await open_peer()
-        self.caller = await open_peer()
+        self.upstream = await open_socket()
+        self.caller = await open_socket()
         port = fixture.find_port()
-        plain = fixture.make_service(self.upstream.address.port, port)
-        self.service = dataclasses.replace(plain, **changes)
-        self.router = Router()
+        default_service = fixture.make_service(
+            self.upstream.address.port, port
+        )
+        self.service = dataclasses.replace(default_service, **changes)
+        self.router = FixedRouter()
         self.router.upstream = self.service.upstreams[0]
         self.socket = edge.UpstreamSocket(self.runtime)
         loop = asyncio.get_running_loop()
@@ -79,66 +81,66 @@
 
 
 class DatagramTest(testtools.TestCase):
-    def test_round_trip_names_the_caller(self):
+    def test_header_carries_the_caller_s_address(self):
         async def check():
-            site = await Site().open()
-            site.caller.transport.sendto(b'ping', site.service.address)
-            data, sender = await site.upstream.received.get()
+            harness = await ListenerHarness().open()
+            harness.caller.transport.sendto(b'ping', harness.service.address)
+            data, sender = await harness.upstream.received.get()
             length = _header.measure_header(data)
             self.assertEqual(
-                (site.caller.address, site.service.address),
+                (harness.caller.address, harness.service.address),
                 _header.unpack_header(data[:length]),
             )
             self.assertEqual(b'ping', data[length:])
-            site.upstream.transport.sendto(data[:length] + b'pong', sender)
-            answer, source = await site.caller.received.get()
+            harness.upstream.transport.sendto(data[:length] + b'pong', sender)
+            answer, source = await harness.caller.received.get()
             self.assertEqual(b'pong', answer)
-            self.assertEqual(site.service.address, source)
+            self.assertEqual(harness.service.address, source)
 
         fixture.run(check())
 
-    def test_unknown_flow_is_asked_of_the_node(self):
+    def test_unknown_flow_is_reported_to_the_node(self):
         async def check():
-            site = await Site().open()
-            site.router.upstream = None
-            site.caller.transport.sendto(b'ping', site.service.address)
-            received = await site.recorder.wait_for(event.DatagramReceived)
-            self.assertEqual(site.caller.address, received.caller)
-            self.assertEqual(site.service.address, received.address)
+            harness = await ListenerHarness().open()
+            harness.router.upstream = None
+            harness.caller.transport.sendto(b'ping', harness.service.address)
+            received = await harness.recorder.wait_for(event.DatagramReceived)
+            self.assertEqual(harness.caller.address, received.caller)
+            self.assertEqual(harness.service.address, received.address)
             self.assertEqual(b'ping', received.payload)
             self.assertIsNone(received.is_first)
 
         fixture.run(check())
 
-    def test_first_datagram_is_told_by_its_mark(self):
+    def test_first_datagram_is_recognized_by_its_prefix(self):
         async def check():
-            site = await Site().open(first_datagram=b'\x93\x01')
-            target = site.service.address
-            site.caller.transport.sendto(b'\x93\x01first', target)
-            received = await site.recorder.wait_for(event.DatagramReceived)
+            harness = await ListenerHarness().open(first_datagram=b'\x93\x01')
+            target = harness.service.address
+            harness.caller.transport.sendto(b'\x93\x01first', target)
+            received = await harness.recorder.wait_for(event.DatagramReceived)
             self.assertTrue(received.is_first)
-            site.router.upstream = None
-            site.recorder.events.clear()
-            site.caller.transport.sendto(b'\x93\x02later', target)
-            received = await site.recorder.wait_for(event.DatagramReceived)
+            harness.router.upstream = None
+            harness.recorder.events.clear()
+            harness.caller.transport.sendto(b'\x93\x02later', target)
+            received = await harness.recorder.wait_for(event.DatagramReceived)
             self.assertIs(False, received.is_first)
 
         fixture.run(check())
 
-    def test_answer_from_a_stranger_reaches_no_caller(self):
+    def test_answer_from_an_unknown_sender_is_dropped(self):
         async def check():
-            site = await Site().open()
-            stranger = await open_peer()
+            harness = await ListenerHarness().open()
+            unknown_sender = await open_socket()
             header = _header.pack_datagram_header(
-                site.caller.address, site.service.address
+                harness.caller.address, harness.service.address
             )
-            target = site.socket._transport.get_extra_info('sockname')
-            stranger.transport.sendto(header + b'forged', target)
-            stranger.transport.sendto(b'garbage', target)
-            site.upstream.transport.sendto(header + b'real', target)
-            answer, _ = await site.caller.received.get()
+            target = harness.socket._transport.get_extra_info('sockname')
+            unknown_sender.transport.sendto(header + b'forged', target)
+            unknown_sender.transport.sendto(b'garbage', target)
+            harness.upstream.transport.sendto(header + b'real', target)
+            answer, _ = await harness.caller.received.get()
             self.assertEqual(b'real', answer)
-            counters = site.runtime.counters.totals
+            counters = harness.runtime.counters.totals
             self.assertEqual(2, counters[metric.DATAGRAMS_MALFORMED])
 
         fixture.run(check())
--- a/skylarkfold/tests/edge/test_header.py
+++ b/skylarkfold/tests/edge/test_header.py
@@ -1,4 +1,4 @@
-"""Tests of the PROXY protocol header."""
+"""Tests of PROXY protocol headers."""
 
 import hypothesis
 from hypothesis import strategies
--- a/skylarkfold/tests/edge/test_peer.py
+++ b/skylarkfold/tests/edge/test_peer.py
@@ -1,4 +1,4 @@
-"""Tests of streams between instances over real sockets."""
+"""Tests of message streams between instances over real sockets."""
 
 import asyncio
 import datetime
@@ -24,12 +24,12 @@
 from skylarkfold.tests.edge import fixture
 
 
-class Note(message.PeerMessage, tag=1):
+class TextMessage(message.PeerMessage, tag=1):
     text: str
 
 
-class Authority:
-    """Signs certificates into a directory."""
+class CertificateAuthority:
+    """Certificate authority that writes PEM files into a directory."""
 
     def __init__(self, directory):
         self.directory = pathlib.Path(directory)
@@ -84,10 +84,10 @@
 
 
 class Instance:
-    """One end: streams whose events are recorded."""
+    """The peer streams of one instance, with recorded events."""
 
     def __init__(self, name, addresses, contexts=(None, None), **settings):
-        self.recorder = fixture.Recorder()
+        self.recorder = fixture.EventRecorder()
         self.runtime = fixture.make_runtime(self.recorder, name)
         self.address = endpoint.Endpoint(fixture.HOST, fixture.find_port())
         addresses[name] = self.address
@@ -95,13 +95,13 @@
             self.runtime,
             edge.EdgeSettings(**settings),
             name,
-            Note,
+            TextMessage,
             addresses.get,
             *contexts,
         )
 
     def send(self, peer, text):
-        self.streams.send(effect.SendToPeer(peer, Note(text)))
+        self.streams.send(effect.SendToPeer(peer, TextMessage(text)))
 
     def count(self, name):
         return self.runtime.counters.totals[name]
@@ -117,8 +117,8 @@
                 a.send('b', str(number))
             await a.recorder.wait_for(event.PeerConnected)
             while len(b.recorder.events) < 100:
-                b.recorder.arrived.clear()
-                await b.recorder.arrived.wait()
+                b.recorder.event_arrived.clear()
+                await b.recorder.event_arrived.wait()
             self.assertEqual(
                 [('a', str(number)) for number in range(100)],
                 [(e.sender, e.message.text) for e in b.recorder.events],
@@ -162,21 +162,21 @@
             await b.recorder.wait_for(event.PeerMessageReceived)
             await b.streams.close()
             await a.recorder.wait_for(event.PeerLost)
-            again = Instance('c', {})
-            await again.streams.listen(b.address)
-            while not again.recorder.events:
+            restarted = Instance('c', {})
+            await restarted.streams.listen(b.address)
+            while not restarted.recorder.events:
                 a.send('b', 'two')
                 await asyncio.sleep(0.05)
-            self.assertEqual('two', again.recorder.events[0].message.text)
+            self.assertEqual('two', restarted.recorder.events[0].message.text)
 
         fixture.run(check())
 
-    def test_malformed_stream_is_cut_and_counted(self):
+    def test_malformed_stream_is_closed_and_counted(self):
         async def check():
             addresses = {}
             b = Instance('b', addresses)
             await b.streams.listen(b.address)
-            for data in (b'\xc1', codec.encode(Note('no greeting'))):
+            for data in (b'\xc1', codec.encode(TextMessage('no greeting'))):
                 reader, writer = await asyncio.open_connection(*b.address)
                 writer.write(data)
                 self.assertEqual(b'', await reader.read())
@@ -185,22 +185,26 @@
 
         fixture.run(check())
 
-    def test_proved_names_are_taken_and_others_refused(self):
+    def test_only_names_in_certificates_are_accepted(self):
         async def check(directory, other):
             addresses = {}
-            trusted = Authority(directory)
-            a = Instance('a', addresses, trusted.make_contexts('a'))
-            b = Instance('b', addresses, trusted.make_contexts('b'))
-            liar = Instance('liar', {'b': b.address})
-            liar.streams._client_context = trusted.make_contexts('x').client
-            stranger = Instance(
-                's', {'b': b.address}, Authority(other).make_contexts('a')
+            authority = CertificateAuthority(directory)
+            a = Instance('a', addresses, authority.make_contexts('a'))
+            b = Instance('b', addresses, authority.make_contexts('b'))
+            impostor = Instance('liar', {'b': b.address})
+            impostor.streams._client_context = authority.make_contexts(
+                'x'
+            ).client
+            untrusted = Instance(
+                's',
+                {'b': b.address},
+                CertificateAuthority(other).make_contexts('a'),
             )
             await b.streams.listen(b.address)
-            liar.send('b', 'forged name')
-            stranger.send('b', 'other authority')
-            await liar.recorder.wait_for(event.PeerLost)
-            await stranger.recorder.wait_for(event.PeerLost)
+            impostor.send('b', 'forged name')
+            untrusted.send('b', 'other authority')
+            await impostor.recorder.wait_for(event.PeerLost)
+            await untrusted.recorder.wait_for(event.PeerLost)
             a.send('b', 'proved')
             received = await b.recorder.wait_for(event.PeerMessageReceived)
             self.assertEqual('a', received.sender)
@@ -218,5 +222,5 @@
                 return {'subjectAltName': names}
 
         self.assertEqual(
-            frozenset({'a'}), _peer.list_certified_names(Writer())
+            frozenset({'a'}), _peer.list_certificate_names(Writer())
         )
--- a/skylarkfold/tests/edge/test_platform.py
+++ b/skylarkfold/tests/edge/test_platform.py
@@ -1,4 +1,4 @@
-"""Tests of the platform client against the stand-in."""
+"""Tests of the platform client against the platform stand-in."""
 
 import contextlib
 from unittest import mock
@@ -18,7 +18,7 @@
 
 @contextlib.asynccontextmanager
 async def open_client():
-    """Serve a stand-in and connect a client to it."""
+    """Start a platform stand-in and yield it with a client."""
     platform = standin.PlatformStandin()
     runner = await _daemon.start_server(
         platform.make_application(), fixture.HOST, 0
@@ -32,12 +32,12 @@
         await runner.cleanup()
 
 
-def place(number, era=1):
-    """Place a number in the store's history."""
+def build_revision(number, era=1):
+    """Build a revision as a plain integer."""
     return int(revisions.Revision(number, era))
 
 
-def write(value, version, path='/teams/desk/settings'):
+def build_write(value, version, path='/teams/desk/settings'):
     return platform_api.WriteObject(path, value, version)
 
 
@@ -46,14 +46,14 @@
         async def check():
             async with open_client() as (_, client):
                 calls = [
-                    write(b'one', 0),
-                    write(b'two', 0),
-                    write(b'two', 1),
+                    build_write(b'one', 0),
+                    build_write(b'two', 0),
+                    build_write(b'two', 1),
                     platform_api.ReadObject('/teams/desk/settings'),
                     platform_api.ReadObject('/none'),
                     platform_api.ListObjects('/teams/'),
-                    platform_api.WatchObjects('/', place(1), 1.0),
-                    write(None, 2),
+                    platform_api.WatchObjects('/', build_revision(1), 1.0),
+                    build_write(None, 2),
                 ]
                 return [await client.call(each, 5.0) for each in calls]
 
@@ -63,39 +63,39 @@
         missing = platform_api.PlatformStatus.NOT_FOUND
         self.assertEqual([OK, conflict, OK, OK, missing, OK, OK, OK], statuses)
         expected = platform_api.StoredObject(
-            '/teams/desk/settings', 2, place(2), b'two'
+            '/teams/desk/settings', 2, build_revision(2), b'two'
         )
         for index in (2, 3, 5, 6):
             self.assertEqual((expected,), answers[index].objects)
-        self.assertEqual(place(2), answers[5].revision)
+        self.assertEqual(build_revision(2), answers[5].revision)
 
-    def test_after_a_return_revisions_are_later_though_numbers_are_lower(self):
+    def test_revisions_are_greater_after_a_restore(self):
         async def check():
             async with open_client() as (platform, client):
-                await client.call(write(b'one', 0), 5.0)
+                await client.call(build_write(b'one', 0), 5.0)
                 saved = platform.store.copy()
-                await client.call(write(b'two', 1), 5.0)
-                await client.call(write(b'three', 2), 5.0)
+                await client.call(build_write(b'two', 1), 5.0)
+                await client.call(build_write(b'three', 2), 5.0)
                 before = await client.call(platform_api.ListObjects('/'), 5.0)
                 platform.store = platform.store.restore(saved)
                 watch = platform_api.WatchObjects('/', before.revision, 0.1)
                 watched = await client.call(watch, 5.0)
                 for version in (1, 2, 3):
-                    await client.call(write(b'x', version), 5.0)
+                    await client.call(build_write(b'x', version), 5.0)
                 again = await client.call(watch, 5.0)
                 after = await client.call(platform_api.ListObjects('/'), 5.0)
                 return before, watched, again, after
 
         before, watched, again, after = fixture.run(check())
-        self.assertEqual(place(3), before.revision)
-        # One that the store doesn't have, then one that it has given to
-        # something else since.
+        self.assertEqual(build_revision(3), before.revision)
+        # The revision is first unknown to the restored store, then reused
+        # by it for another write.
         refused = platform_api.PlatformStatus.REFUSED
         self.assertEqual([refused] * 2, [watched.status, again.status])
-        self.assertEqual(place(4, era=2), after.revision)
-        self.assertEqual(place(4, era=2), after.objects[0].revision)
+        self.assertEqual(build_revision(4, era=2), after.revision)
+        self.assertEqual(build_revision(4, era=2), after.objects[0].revision)
 
-    def test_that_nothing_is_there_is_of_an_era_too(self):
+    def test_missing_object_has_an_era(self):
         async def check():
             async with open_client() as (platform, client):
                 saved = platform.store.copy()
@@ -104,12 +104,12 @@
 
         answer = fixture.run(check())
         self.assertEqual(platform_api.PlatformStatus.NOT_FOUND, answer.status)
-        self.assertEqual(place(0, era=2), answer.revision)
+        self.assertEqual(build_revision(0, era=2), answer.revision)
 
-    def test_an_answer_without_an_era_is_of_the_last_one(self):
+    def test_answer_without_an_era_gets_the_latest_one(self):
         async def check():
             async with open_client() as (platform, client):
-                await client.call(write(b'one', 0), 5.0)
+                await client.call(build_write(b'one', 0), 5.0)
                 platform.store = platform.store.restore(platform.store.copy())
                 await client.call(platform_api.ListObjects('/'), 5.0)
                 with mock.patch.object(_platform, 'ERA_HEADER', 'X-Other'):
@@ -118,13 +118,13 @@
                     )
 
         answer = fixture.run(check())
-        self.assertEqual(place(1, era=2), answer.revision)
+        self.assertEqual(build_revision(1, era=2), answer.revision)
 
-    def test_lost_answer_is_unknown_and_took_effect(self):
+    def test_write_with_a_lost_answer_is_unknown(self):
         async def check():
             async with open_client() as (platform, client):
                 platform.faults = standin.Faults(lose_answers=1)
-                lost = await client.call(write(b'one', 0), 5.0)
+                lost = await client.call(build_write(b'one', 0), 5.0)
                 read = await client.call(
                     platform_api.ReadObject('/teams/desk/settings'), 5.0
                 )
@@ -134,7 +134,7 @@
         self.assertEqual(platform_api.PlatformStatus.UNKNOWN, lost.status)
         self.assertEqual(b'one', read.objects[0].value)
 
-    def test_platform_that_is_down_or_slow_is_unknown(self):
+    def test_unavailable_or_slow_platform_is_unknown(self):
         async def check():
             async with open_client() as (platform, client):
                 platform.faults = standin.Faults(down=True)
--- a/skylarkfold/tests/edge/test_probe.py
+++ b/skylarkfold/tests/edge/test_probe.py
@@ -1,4 +1,4 @@
-"""Tests of polls of upstreams' health and load."""
+"""Tests of probes of upstreams' health and load."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 async def probe(status, heard=False, load=b'{"running": 2, "flows": 5}'):
-    """Let a prober ask an upstream once and return its report."""
+    """Probe an upstream once and return the reported event."""
 
     async def answer_health(_):
         return web.Response(status=status)
@@ -28,16 +28,16 @@
     port = _daemon.get_address(runner).port
     if not status:
         await runner.cleanup()
-    recorder = fixture.Recorder()
+    recorder = fixture.EventRecorder()
     runtime = fixture.make_runtime(recorder)
     prober = edge.Prober(runtime, edge.EdgeSettings())
     service = fixture.make_service(9, 1, upstream_http=port)
     prober.configure(configuration.Configuration(1, {'desk': service}))
     if heard:
         runtime.heard.add(service.upstreams[0].address)
-    asking = asyncio.ensure_future(prober.run())
+    probing = asyncio.ensure_future(prober.run())
     report = await recorder.wait_for(event.LoadReported)
-    asking.cancel()
+    probing.cancel()
     await runner.cleanup()
     return report
 
@@ -45,20 +45,25 @@
 class ProbeTest(testtools.TestCase):
     def check(self, expected, *arguments, **options):
         report = fixture.run(probe(*arguments, **options))
-        told = (report.healthy, report.reachable, report.running, report.flows)
-        self.assertEqual(expected, told)
+        reported = (
+            report.healthy,
+            report.reachable,
+            report.running,
+            report.flows,
+        )
+        self.assertEqual(expected, reported)
 
-    def test_well(self):
+    def test_healthy_upstream(self):
         self.check((True, True, 2, 5), 200)
 
-    def test_unwell_is_reachable(self):
+    def test_unhealthy_upstream_is_reachable(self):
         self.check((False, True, 2, 5), 503)
 
     def test_closed_port_is_unreachable(self):
         self.check((False, False, 0, 0), 0)
 
-    def test_late_probe_of_one_that_answers_datagrams(self):
+    def test_upstream_that_answers_datagrams_is_reachable(self):
         self.check((False, True, 0, 0), 0, heard=True)
 
-    def test_garbage_is_no_load(self):
+    def test_invalid_load_counts_as_zero(self):
         self.check((True, True, 0, 0), 200, load=b'idle')
--- a/skylarkfold/tests/edge/test_requests.py
+++ b/skylarkfold/tests/edge/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of callers' HTTP requests over real sockets."""
+"""Tests of the request server over real sockets."""
 
 import asyncio
 import json
@@ -21,11 +21,11 @@
 )
 
 
-class Site:
-    """A request server whose node answers what the test says."""
+class ServerHarness:
+    """A request server whose node gives one fixed answer, or none."""
 
     async def open(self, answer=None, **settings):
-        self.recorder = fixture.Recorder()
+        self.recorder = fixture.EventRecorder()
         runtime = fixture.make_runtime(self.recorder)
         self.server = edge.RequestServer(
             runtime, edge.EdgeSettings(**settings)
@@ -35,7 +35,7 @@
         self.runner = await self.server.listen(fixture.HOST, service)
         self.url = f'http://{fixture.HOST}:{port}/holds?x=1'
         if answer is not None:
-            self.recorder.reactions[event.RequestReceived] = lambda received: (
+            self.recorder.callbacks[event.RequestReceived] = lambda received: (
                 self.server.send(received.request.number, answer)
             )
         return self
@@ -49,16 +49,16 @@
 
 
 class RequestServerTest(testtools.TestCase):
-    def test_answer_carries_its_verdict(self):
+    def test_answer_has_the_verdict_header(self):
         async def check():
-            site = await Site().open(RAN)
+            harness = await ServerHarness().open(RAN)
             headers = {
                 'Idempotency-Key': 'k1',
                 'Priority': 'u=0',
                 'Request-Timeout-Ms': '2500',
             }
-            answer = await site.send(data=b'body', headers=headers)
-            return *answer, site.recorder.events[0].request
+            answer = await harness.send(data=b'body', headers=headers)
+            return *answer, harness.recorder.events[0].request
 
         response, body, received = fixture.run(check())
         self.assertEqual(201, response.status)
@@ -71,10 +71,10 @@
         self.assertFalse(received.idempotent)
         self.assertEqual('/holds?x=1', received.target)
 
-    def test_refusal_is_a_problem_with_advice(self):
+    def test_refusal_has_problem_details_and_retry_after(self):
         async def check():
-            site = await Site().open(REFUSED)
-            return await site.send('GET')
+            harness = await ServerHarness().open(REFUSED)
+            return await harness.send('GET')
 
         response, body = fixture.run(check())
         self.assertEqual('2', response.headers['Retry-After'])
@@ -85,8 +85,10 @@
 
     def test_oversized_request_is_refused(self):
         async def check():
-            site = await Site().open(RAN, maximum_body_bytes=10)
-            return *(await site.send(data=b'x' * 11)), site.recorder.events
+            harness = await ServerHarness().open(RAN, maximum_body_bytes=10)
+            return *(
+                await harness.send(data=b'x' * 11)
+            ), harness.recorder.events
 
         response, body, events = fixture.run(check())
         self.assertEqual(413, response.status)
@@ -95,29 +97,29 @@
 
     def test_malformed_deadline_is_refused(self):
         async def check():
-            site = await Site().open(RAN)
+            harness = await ServerHarness().open(RAN)
             headers = {'Request-Timeout-Ms': 'soon'}
-            return await site.send(headers=headers)
+            return await harness.send(headers=headers)
 
         response, body = fixture.run(check())
         self.assertEqual(400, response.status)
         self.assertEqual('header-malformed', json.loads(body)['code'])
 
-    def test_caller_that_goes_away_cancels_its_request(self):
+    def test_disconnected_caller_cancels_its_request(self):
         async def check():
-            site = await Site().open()
-            sending = asyncio.ensure_future(site.send())
-            received = await site.recorder.wait_for(event.RequestReceived)
+            harness = await ServerHarness().open()
+            sending = asyncio.ensure_future(harness.send())
+            received = await harness.recorder.wait_for(event.RequestReceived)
             sending.cancel()
-            cancelled = await site.recorder.wait_for(event.RequestCancelled)
+            cancelled = await harness.recorder.wait_for(event.RequestCancelled)
             self.assertEqual(received.request.number, cancelled.request)
-            site.server.send(cancelled.request, RAN)
+            harness.server.send(cancelled.request, RAN)
 
         fixture.run(check())
 
 
 class PriorityTest(testtools.TestCase):
-    def test_urgencies_of_the_standard(self):
+    def test_urgencies_of_rfc_9218(self):
         expected = {
             'u=0': request.Priority.ALERT,
             'u=1, i': request.Priority.ALERT,
@@ -127,4 +129,4 @@
             None: request.Priority.EXCHANGE,
         }
         for text, priority in expected.items():
-            self.assertEqual(priority, _requests.read_priority(text))
+            self.assertEqual(priority, _requests.parse_priority(text))
--- a/skylarkfold/tests/edge/test_stream.py
+++ b/skylarkfold/tests/edge/test_stream.py
@@ -1,4 +1,4 @@
-"""Tests of relayed streams over real sockets."""
+"""Tests of the stream relay over real sockets."""
 
 import asyncio
 import contextlib
@@ -19,18 +19,18 @@
 LARGE = bytes(range(256)) * 8192
 
 
-class Site:
-    """A relay between callers and one upstream."""
+class RelayHarness:
+    """A stream relay between callers and one upstream."""
 
     async def open(self, serve, **settings):
-        self.recorder = fixture.Recorder()
+        self.recorder = fixture.EventRecorder()
         runtime = fixture.make_runtime(self.recorder)
         self.server = await asyncio.start_server(serve, fixture.HOST, 0)
         upstream_port = self.server.sockets[0].getsockname()[1]
         port = fixture.find_port()
         self.service = fixture.make_service(upstream_port, port)
         self.relay = edge.StreamRelay(runtime, edge.EdgeSettings(**settings))
-        self.recorder.reactions[event.StreamOpened] = self.connect
+        self.recorder.callbacks[event.StreamOpened] = self.connect
         await self.relay.listen(fixture.HOST, self.service)
         return self
 
@@ -44,12 +44,12 @@
             )
         )
 
-    async def call(self):
+    async def connect_caller(self):
         return await asyncio.open_connection(*self.service.address)
 
 
 async def echo_after_end(reader, writer):
-    """Read to the end, then send everything back but the header."""
+    """Read until EOF, then send everything back except the header."""
     data = await reader.read(-1)
     writer.write(data[_header.measure_header(data) :])
     await writer.drain()
@@ -57,82 +57,84 @@
 
 
 async def echo(reader, writer):
-    """Send everything back but the header, as it comes."""
+    """Send everything back except the header as it arrives."""
     await reader.readexactly(28)
     while data := await reader.read(100):
         writer.write(data)
 
 
 class StreamTest(testtools.TestCase):
-    def test_half_close_still_gets_the_whole_answer(self):
+    def test_half_closed_stream_gets_the_complete_answer(self):
         async def check():
-            site = await Site().open(echo_after_end)
-            reader, writer = await site.call()
+            harness = await RelayHarness().open(echo_after_end)
+            reader, writer = await harness.connect_caller()
             writer.write(LARGE)
             writer.write_eof()
             self.assertEqual(LARGE, await reader.read(-1))
-            closed = await site.recorder.wait_for(event.StreamClosed)
+            closed = await harness.recorder.wait_for(event.StreamClosed)
             self.assertFalse(closed.failed)
 
         fixture.run(check())
 
-    def test_upstream_learns_the_caller(self):
+    def test_upstream_gets_the_caller_s_address(self):
         async def check():
-            heads = asyncio.Queue()
+            headers = asyncio.Queue()
 
             async def serve(reader, writer):
-                heads.put_nowait(await reader.readexactly(28))
+                headers.put_nowait(await reader.readexactly(28))
 
-            site = await Site().open(serve)
-            _, writer = await site.call()
-            caller, address = _header.unpack_header(await heads.get())
+            harness = await RelayHarness().open(serve)
+            _, writer = await harness.connect_caller()
+            caller, address = _header.unpack_header(await headers.get())
             self.assertEqual(writer.get_extra_info('sockname'), caller)
-            self.assertEqual(site.service.address, address)
+            self.assertEqual(harness.service.address, address)
 
         fixture.run(check())
 
     def test_unreachable_upstream_resets_the_caller(self):
         async def check():
-            site = await Site().open(echo_after_end)
-            site.server.close()
-            await site.server.wait_closed()
-            reader, _ = await site.call()
+            harness = await RelayHarness().open(echo_after_end)
+            harness.server.close()
+            await harness.server.wait_closed()
+            reader, _ = await harness.connect_caller()
             with testtools.ExpectedException(ConnectionResetError):
                 await reader.read()
-            closed = await site.recorder.wait_for(event.StreamClosed)
+            closed = await harness.recorder.wait_for(event.StreamClosed)
             self.assertTrue(closed.failed)
 
         fixture.run(check())
 
-    def test_cut_upstream_is_no_regular_end(self):
+    def test_upstream_reset_resets_the_caller(self):
         async def check():
-            async def cut(reader, writer):
+            async def send_partial_answer(reader, writer):
                 await reader.read(1)
                 writer.write(b'half of the ans')
                 await writer.drain()
                 await asyncio.sleep(0.05)
-                _stream.reset(writer)
+                _stream.reset_connection(writer)
 
-            site = await Site().open(cut)
-            reader, _ = await site.call()
+            harness = await RelayHarness().open(send_partial_answer)
+            reader, _ = await harness.connect_caller()
             with testtools.ExpectedException(ConnectionResetError):
                 await reader.read(-1)
 
         fixture.run(check())
 
     def check_drain(self, **settings):
-        """Drain the upstream of a stream that is in use."""
+        """Drain the upstream of an active stream; return the next byte."""
 
         async def check():
-            site = await Site().open(echo, **settings)
-            reader, writer = await site.call()
+            harness = await RelayHarness().open(echo, **settings)
+            reader, writer = await harness.connect_caller()
             writer.write(b'a')
             await reader.readexactly(1)
             draining = dataclasses.replace(
-                site.service.upstreams[0], state=DRAINING
+                harness.service.upstreams[0], state=DRAINING
             )
-            changed = dataclasses.replace(site.service, upstreams=(draining,))
-            site.relay.configure(
+            changed = dataclasses.replace(
+                harness.service, upstreams=(draining,)
+            )
+            harness.relay.configure(
                 configuration.Configuration(2, {'desk': changed})
             )
             await asyncio.sleep(0.3)
@@ -142,18 +144,18 @@
 
         return fixture.run(check())
 
-    def test_drain_leaves_streams_as_they_are(self):
+    def test_draining_keeps_streams_open(self):
         self.assertEqual(b'b', self.check_drain())
 
-    def test_drain_s_limit_cuts_streams(self):
+    def test_drain_timeout_resets_streams(self):
         with testtools.ExpectedException(ConnectionResetError):
             self.check_drain(drain_seconds=0.05)
 
-    def test_slow_reader_holds_back_the_upstream(self):
+    def test_slow_reader_applies_backpressure_to_the_upstream(self):
         async def check():
             written = 0
 
-            async def pour(reader, writer):
+            async def send_endlessly(reader, writer):
                 nonlocal written
                 with contextlib.suppress(ConnectionError):
                     while True:
@@ -161,11 +163,11 @@
                         await writer.drain()
                         written += len(LARGE)
 
-            site = await Site().open(pour)
-            await site.call()
-            previous = -1
-            while written > previous or written == 0:
-                previous = written
+            harness = await RelayHarness().open(send_endlessly)
+            await harness.connect_caller()
+            previously_written = -1
+            while written > previously_written or written == 0:
+                previously_written = written
                 await asyncio.sleep(0.3)
             self.assertLess(written, 64 * len(LARGE))
 
--- a/skylarkfold/tests/test_daemon.py
+++ b/skylarkfold/tests/test_daemon.py
@@ -124,7 +124,7 @@
 
     async def probe(self):
         """Send a datagram until an answer tells its upstream."""
-        caller = await test_datagram.open_peer()
+        caller = await test_datagram.open_socket()
         sent = msgspec.msgpack.encode(standin.Probe(1, 'desk', 1))
         while caller.received.empty():
             caller.transport.sendto(sent, (HOST, self.port))
@@ -214,7 +214,7 @@
     def test_garbage_does_not_stop_the_instance(self):
         async def check(site):
             await site.start()
-            caller = await test_datagram.open_peer()
+            caller = await test_datagram.open_socket()
             for data in (b'', b'\x00' * 60000):
                 caller.transport.sendto(data, (HOST, site.port))
             for port in (site.peers, site.port, site.request_port):
