--- a/skylarkfold/edge/_peer.py
+++ b/skylarkfold/edge/_peer.py
@@ -259,7 +259,7 @@
         if received.name not in list_certificate_names(writer):
             self._runtime.counters.add(metric.PEERS_REFUSED)
             raise errors.DecodeError(
-                f'peer name {received.name!r} is not in its certificate'
+                f'{received.name!r} is not in the certificate of the peer'
             )
         return received.name
 
--- a/skylarkfold/settings/__init__.py
+++ b/skylarkfold/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings files and objects, read into checked dataclasses."""
+"""Parsing and validation of settings files and objects."""
 
 from skylarkfold.settings._conversion import convert_section
 from skylarkfold.settings._document import encode_services
--- a/skylarkfold/settings/_conversion.py
+++ b/skylarkfold/settings/_conversion.py
@@ -1,4 +1,4 @@
-"""Plain values turned into settings dataclasses."""
+"""Conversion of plain values into settings dataclasses."""
 
 from __future__ import annotations
 
@@ -23,58 +23,62 @@
 
 
 def convert_section(
-    value: Any, kind: Any, source: str, path: str = '$'
+    value: Any, target_type: Any, source: str, path: str = '$'
 ) -> Any:
-    """Turn a plain value into an instance of a settings type.
-
-    Dataclasses take objects without unknown fields, endpoints take texts
-    of the form ``host:port``, numbers are finite and not negative; all
-    else is checked by :func:`msgspec.convert`.
-
-    :param value: what the text holds.
-    :param kind: the type that is wanted.
-    :param source: the file or object path, for messages.
-    :param path: where the value stands in it.
-    :returns: the value as that type.
-    :raises SettingsError: if it does not fit; its subclasses tell why.
+    """Convert a plain value into an instance of a settings type.
+
+    Dataclasses are built from objects without unknown fields, endpoints
+    from strings of the form ``host:port``; numbers must be finite and not
+    negative. :func:`msgspec.convert` checks all other types.
+
+    :param value: the plain value.
+    :param target_type: the type to convert it to.
+    :param source: the file or object path, for error messages.
+    :param path: the value's path in the source.
+    :returns: the converted value.
+    :raises SettingsError: if the value is invalid; its subclasses tell why.
     """
     try:
-        return _find_converter(kind)(value, source)
+        return _find_converter(target_type)(value, source)
     except errors.SettingsError as error:
         error.path = path + error.path
         raise
 
 
 @functools.cache
-def _find_converter(kind: Any) -> _Converter:
-    if dataclasses.is_dataclass(kind):
-        return _Record(kind).convert
-    if kind is endpoint.Endpoint:
+def _find_converter(target_type: Any) -> _Converter:
+    if dataclasses.is_dataclass(target_type):
+        return _DataclassConverter(target_type).convert
+    if target_type is endpoint.Endpoint:
         return _convert_endpoint
-    origin = typing.get_origin(kind)
+    origin = typing.get_origin(target_type)
     if origin in (types.UnionType, typing.Union):
-        return functools.partial(_convert_optional, _find_wanted(kind))
+        return functools.partial(
+            _convert_optional, _find_optional_converter(target_type)
+        )
     if origin is dict:
-        wanted = _find_converter(typing.get_args(kind)[1])
-        return functools.partial(_convert_mapping, wanted)
+        converter = _find_converter(typing.get_args(target_type)[1])
+        return functools.partial(_convert_mapping, converter)
     if origin in (tuple, list):
-        wanted = _find_converter(typing.get_args(kind)[0])
-        return functools.partial(_convert_sequence, origin, wanted)
-    return functools.partial(_convert_leaf, kind)
+        converter = _find_converter(typing.get_args(target_type)[0])
+        return functools.partial(_convert_sequence, origin, converter)
+    return functools.partial(_convert_builtin, target_type)
 
 
-def _find_wanted(kind: Any) -> _Converter:
-    known = [each for each in typing.get_args(kind) if each is not type(None)]
+def _find_optional_converter(target_type: Any) -> _Converter:
+    known = [
+        each for each in typing.get_args(target_type) if each is not type(None)
+    ]
     return _find_converter(known[0])
 
 
 def _convert_member(
     converter: _Converter, value: Any, source: str, key: str | int
 ) -> Any:
-    """Convert a part of a value; an error is told where it stands.
+    """Convert a member of a value, adding its key to an error's path.
 
-    The path is put together only on the way up from an error, since most
-    settings have none.
+    The path is built only while an error propagates, which keeps the
+    conversion of valid settings fast.
     """
     try:
         return converter(value, source)
@@ -83,18 +87,20 @@
         raise
 
 
-class _Record:
-    """The converter of a dataclass.
+class _DataclassConverter:
+    """Converter of objects into a dataclass.
 
-    :param kind: the dataclass.
+    :param target_type: the dataclass.
     """
 
-    __slots__ = ('_fields', '_kind', '_required')
+    __slots__ = ('_fields', '_dataclass', '_required')
 
-    def __init__(self, kind: type) -> None:
-        hints = typing.get_type_hints(kind, include_extras=True)
-        fields = [each for each in dataclasses.fields(kind) if each.init]
-        self._kind = kind
+    def __init__(self, target_type: type) -> None:
+        hints = typing.get_type_hints(target_type, include_extras=True)
+        fields = [
+            each for each in dataclasses.fields(target_type) if each.init
+        ]
+        self._dataclass = target_type
         self._fields = {
             each.name: _find_converter(hints[each.name]) for each in fields
         }
@@ -106,74 +112,76 @@
         )
 
     def convert(self, value: Any, source: str) -> Any:
-        members = _convert_leaf(dict, value, source)
-        self._check_names(members, source)
+        members = _convert_builtin(dict, value, source)
+        self._check_field_names(members, source)
         converted = {
             name: _convert_member(self._fields[name], member, source, name)
             for name, member in members.items()
         }
         try:
-            return self._kind(**converted)
+            return self._dataclass(**converted)
         except errors.SettingsError as error:
             raise errors.SettingsError(error.reason, source, '') from None
         except ValueError as error:
             raise errors.SettingsError(str(error), source, '') from None
 
-    def _check_names(self, members: dict[str, Any], source: str) -> None:
+    def _check_field_names(self, members: dict[str, Any], source: str) -> None:
         for name in members:
             if name not in self._fields:
                 known = ', '.join(sorted(self._fields))
-                reason = f'unknown field; known are {known}'
-                place = _document.join_path('', name)
-                raise errors.UnknownFieldError(reason, source, place)
+                reason = f'unknown field; known fields are {known}'
+                field_path = _document.join_path('', name)
+                raise errors.UnknownFieldError(reason, source, field_path)
         for name in self._required:
             if name not in members:
-                place = _document.join_path('', name)
-                raise errors.MissingFieldError('must be given', source, place)
+                field_path = _document.join_path('', name)
+                raise errors.MissingFieldError(
+                    'required field is missing', source, field_path
+                )
 
 
 def _convert_endpoint(value: Any, source: str) -> endpoint.Endpoint:
-    text = _convert_leaf(str, value, source)
+    text = _convert_builtin(str, value, source)
     try:
         return endpoint.parse_endpoint(text)
     except ValueError as error:
         raise errors.SettingsError(str(error), source, '') from None
 
 
-def _convert_optional(wanted: _Converter, value: Any, source: str) -> Any:
+def _convert_optional(converter: _Converter, value: Any, source: str) -> Any:
     if value is None or value == '':
         return None
-    return wanted(value, source)
+    return converter(value, source)
 
 
-def _convert_mapping(wanted: _Converter, value: Any, source: str) -> Any:
-    members = _convert_leaf(dict, value, source)
+def _convert_mapping(converter: _Converter, value: Any, source: str) -> Any:
+    members = _convert_builtin(dict, value, source)
     return {
-        key: _convert_member(wanted, member, source, key)
+        key: _convert_member(converter, member, source, key)
         for key, member in members.items()
     }
 
 
 def _convert_sequence(
-    origin: type, wanted: _Converter, value: Any, source: str
+    origin: type, converter: _Converter, value: Any, source: str
 ) -> Any:
-    members = _convert_leaf(list[Any], value, source)
+    members = _convert_builtin(list[Any], value, source)
     return origin(
-        _convert_member(wanted, member, source, index)
+        _convert_member(converter, member, source, index)
         for index, member in enumerate(members)
     )
 
 
-def _convert_leaf(kind: Any, value: Any, source: str) -> Any:
-    if kind is str and type(value) is str:
+def _convert_builtin(target_type: Any, value: Any, source: str) -> Any:
+    if target_type is str and type(value) is str:
         return value
     try:
-        converted = msgspec.convert(value, kind)
+        converted = msgspec.convert(value, target_type)
     except msgspec.ValidationError as error:
         raise errors.SettingsError(str(error), source, '') from None
     if isinstance(converted, bool) or not isinstance(converted, (int, float)):
         return converted
     if not math.isfinite(converted) or not 0 <= converted <= _MAXIMUM_NUMBER:
-        reason = f'{converted!r} is not from 0 to {_MAXIMUM_NUMBER}'
+        reason = f'{converted!r} is not between 0 and {_MAXIMUM_NUMBER}'
         raise errors.SettingsError(reason, source, '')
     return converted
--- a/skylarkfold/settings/_entry.py
+++ b/skylarkfold/settings/_entry.py
@@ -1,4 +1,4 @@
-"""The settings of one instance."""
+"""Settings of one instance."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """Where the platform's object API is.
+    """Access to the platform's object API.
 
-    :param url: its base, ``http`` or ``https``.
-    :param token: sent as a bearer token; empty for none.
+    :param url: the base URL, ``http`` or ``https``.
+    :param token: the bearer token; empty for none.
     """
 
     url: str
@@ -42,12 +42,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TlsSettings:
-    """The files by which peers prove who they are, in PEM.
+    """PEM files for mutual TLS between instances.
 
-    :param certificate: this instance's certificate; its common name or
-        first DNS name is the instance's name.
+    :param certificate: this instance's certificate; its DNS names must
+        include the instance's name.
     :param key: its private key.
-    :param authority: the authority that signed all peers' certificates.
+    :param authority: the CA certificate that signed all peers'
+        certificates.
     """
 
     certificate: str
@@ -57,9 +58,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """Streams between instances.
+    """Settings of the streams between instances.
 
-    :param tls: None for streams without proof, which suits tests only.
+    :param tls: None for unauthenticated streams, for tests only.
     """
 
     tls: TlsSettings | None = None
@@ -67,20 +68,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """All that an instance is told by its file.
-
-    :param instance: its identity and addresses.
-    :param platform: the object API.
-    :param admin_address: where it answers ``/ready`` and ``/status``.
-    :param statsd: where counts go; None for nowhere.
-    :param peers: streams to other instances.
-    :param log: log lines.
+    """All settings of one instance.
+
+    :param instance: the instance's identity and addresses.
+    :param platform: access to the platform's object API.
+    :param admin_address: the address that serves ``/ready`` and
+        ``/status``; None for no such server.
+    :param statsd: the address of the StatsD server; None for none.
+    :param peers: streams between instances.
+    :param log: logging.
     :param edge: sockets, deadlines and body sizes.
-    :param flows: placement of flows and notes of pins.
-    :param requests: retries, deadlines, queues, choice of an upstream.
+    :param flows: routing of flows to upstreams.
+    :param requests: retries, deadlines, queues and upstream selection.
     :param membership: heartbeats and seeds.
-    :param distribution: how objects reach this instance.
-    :param store: the platform client.
+    :param distribution: distribution of objects to this instance.
+    :param store: calls to the platform's store.
     """
 
     instance: instance_module.InstanceSettings
@@ -108,18 +110,18 @@
 
     :param path: the file, in JSON with comments.
     :returns: the settings.
-    :raises SettingsError: with the place and the reason, if the file can't
-        be read or used; its subclasses tell what.
+    :raises SettingsError: with the path and the reason, if the file can't
+        be read or is invalid; its subclasses tell why.
     """
     source = str(path)
     return parse_entry_settings(files.read_bytes(path), source)
 
 
 def parse_entry_settings(text: str | bytes, source: str) -> EntrySettings:
-    """Read an instance's settings from a text.
+    """Parse an instance's settings.
 
     :param text: JSON with comments, or its bytes in UTF-8.
-    :param source: where the text comes from, for messages.
+    :param source: the text's file, for error messages.
     :returns: the settings.
     :raises SettingsError: as :func:`read_entry_settings` does.
     """
@@ -140,12 +142,12 @@
         text = getattr(entry.instance, field)
         yield f'$.instance.{field}', _validation.check_name, text
     for number, seed in enumerate(entry.membership.seeds):
-        place = f'$.membership.seeds[{number}]'
-        yield place, endpoint.parse_endpoint, seed
-    yield '$.log.level', _check_level, entry.log.level
+        seed_path = f'$.membership.seeds[{number}]'
+        yield seed_path, endpoint.parse_endpoint, seed
+    yield '$.log.level', _check_log_level, entry.log.level
 
 
-def _check_level(level: str) -> None:
+def _check_log_level(level: str) -> None:
     known = logging.getLevelNamesMapping()
     if level not in known:
-        raise ValueError(f'{level!a} is none of {", ".join(sorted(known))}')
+        raise ValueError(f'{level!a} is not one of {", ".join(sorted(known))}')
--- a/skylarkfold/settings/_team.py
+++ b/skylarkfold/settings/_team.py
@@ -1,4 +1,4 @@
-"""A team's settings: its services and their upstreams."""
+"""Settings of a team: its services and their upstreams."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from skylarkfold.settings import _validation
 
 _Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
-_Count = Annotated[int, msgspec.Meta(ge=1, le=1_000_000_000)]
+_PositiveInteger = Annotated[int, msgspec.Meta(ge=1, le=1_000_000_000)]
 _Weight = Annotated[float, msgspec.Meta(ge=0, le=1000)]
-_Mark = Annotated[
+_HexPrefix = Annotated[
     str, msgspec.Meta(pattern='^([0-9a-fA-F]{2})*$', max_length=64)
 ]
 _IdleSeconds = Annotated[float, msgspec.Meta(ge=1, le=86400)]
@@ -25,33 +25,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteEntry:
-    """Who wrote one version of a subtree.
+    """The write that created one version of a subtree.
 
     :param version: the version.
-    :param id: the write's identity, unique among all writes.
-    :param operator: who asked for it.
+    :param id: the write's unique id.
+    :param operator: the operator who made the write.
     """
 
-    version: _Count
+    version: _PositiveInteger
     id: str
     operator: str = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteRecord:
-    """Who wrote a subtree and the versions before it.
+    """The write that created a subtree's version, and earlier writes.
 
-    It lets an operator whose answer was lost find out what became of the
-    write after others have written on top.
+    If the answer to a write was lost, it shows whether the write took
+    effect even after later writes.
 
-    :param version: the version that this record was written with; another
-        one in the store means that it was copied from there.
-    :param id: the write's identity, unique among all writes.
-    :param operator: who asked for it.
-    :param history: the writes before it, the last one first.
+    :param version: the version that this record was written with; if the
+        stored object has another version, the record was copied.
+    :param id: the write's unique id.
+    :param operator: the operator who made the write.
+    :param history: the earlier writes, latest first.
     """
 
-    version: _Count
+    version: _PositiveInteger
     id: str
     operator: str = ''
     history: tuple[WriteEntry, ...] = ()
@@ -59,12 +59,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamSettings:
-    """What one team configured.
+    """The services of one team.
 
     :param team: the team's name.
-    :param services: by name.
-    :param write: who wrote it; None for a file that was not written by
-        the operators' commands.
+    :param services: the services by name.
+    :param write: the write that created this version; None if it was not
+        written by the operators' commands.
     """
 
     team: str
@@ -77,8 +77,8 @@
     address: endpoint.Endpoint
     zone: str
     request_port: _Port = 0
-    slots: _Count = 2
-    connections: _Count = 2000
+    slots: _PositiveInteger = 2
+    connections: _PositiveInteger = 2000
     weight: _Weight = 1.0
     state: service.UpstreamState = service.UpstreamState.ACTIVE
 
@@ -90,7 +90,7 @@
     request_port: _Port = 0
     preference: service.Preference = service.Preference.CONTINUITY
     flow_idle_seconds: _IdleSeconds = 60.0
-    first_datagram: _Mark = ''
+    first_datagram: _HexPrefix = ''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -102,14 +102,14 @@
 def read_team_settings(
     text: str | bytes, source: str, team: str
 ) -> TeamSettings:
-    """Read a team's subtree.
+    """Parse and validate a team's settings.
 
     :param text: JSON with comments, or its bytes in UTF-8.
-    :param source: the file or object path, for messages.
+    :param source: the file or object path, for error messages.
     :param team: the team's name.
-    :returns: the team's services, whole and checked against each other.
-    :raises SettingsError: with the place and the reason, if anything in it
-        is not as it must be; its subclasses tell what.
+    :returns: the team's validated settings.
+    :raises SettingsError: with the path and the reason, if the settings
+        are invalid; its subclasses tell why.
     """
     value = _document.parse_document(text, source)
     fields = _conversion.convert_section(value, _TeamFields, source)
@@ -117,7 +117,7 @@
         name: _build_service(name, team, each, source)
         for name, each in fields.services.items()
     }
-    _check_addresses(services, source)
+    _check_duplicate_endpoints(services, source)
     return TeamSettings(team, services, fields.write)
 
 
@@ -127,16 +127,18 @@
     path = _document.join_path('$.services', name)
     _check_name(name, source, path)
     if not fields.upstreams:
-        place = f'{path}.upstreams'
-        raise errors.SettingsError('needs an upstream', source, place)
+        used_path = f'{path}.upstreams'
+        raise errors.SettingsError(
+            'service has no upstream', source, used_path
+        )
     upstreams = [
-        _build_upstream(each, upstream_fields, source, path)
-        for each, upstream_fields in sorted(fields.upstreams.items())
+        _build_upstream(upstream_name, upstream_fields, source, path)
+        for upstream_name, upstream_fields in sorted(fields.upstreams.items())
     ]
     return service.Service(
         name=name,
         team=team,
-        address=_normalize(fields.address, source, f'{path}.address'),
+        address=_normalize_endpoint(fields.address, source, f'{path}.address'),
         upstreams=tuple(upstreams),
         request_port=fields.request_port,
         preference=fields.preference,
@@ -153,7 +155,7 @@
     _check_name(fields.zone, source, f'{path}.zone')
     return service.Upstream(
         name=name,
-        address=_normalize(fields.address, source, f'{path}.address'),
+        address=_normalize_endpoint(fields.address, source, f'{path}.address'),
         zone=fields.zone,
         request_port=fields.request_port,
         slots=fields.slots,
@@ -170,41 +172,48 @@
         raise errors.SettingsError(str(error), source, path) from None
 
 
-def _normalize(
-    given: endpoint.Endpoint, source: str, path: str
+def _normalize_endpoint(
+    original: endpoint.Endpoint, source: str, path: str
 ) -> endpoint.Endpoint:
     try:
-        return _validation.normalize_endpoint(given)
+        return _validation.normalize_endpoint(original)
     except ValueError as error:
         raise errors.SettingsError(str(error), source, path) from None
 
 
-def _check_addresses(
+def _check_duplicate_endpoints(
     services: dict[str, service.Service], source: str
 ) -> None:
-    holders: dict[endpoint.Endpoint, str] = {}
+    paths_by_endpoint: dict[endpoint.Endpoint, str] = {}
     for name, each in services.items():
         path = _document.join_path('$.services', name)
-        _hold_addresses(each, path, holders, source)
+        _register_endpoints(each, path, paths_by_endpoint, source)
         for upstream in each.upstreams:
             upstream_path = _document.join_path(
                 f'{path}.upstreams', upstream.name
             )
-            _hold_addresses(upstream, upstream_path, holders, source)
+            _register_endpoints(
+                upstream, upstream_path, paths_by_endpoint, source
+            )
 
 
-def _hold_addresses(
+def _register_endpoints(
     owner: service.Service | service.Upstream,
     path: str,
-    holders: dict[endpoint.Endpoint, str],
+    paths_by_endpoint: dict[endpoint.Endpoint, str],
     source: str,
 ) -> None:
-    places = [(f'{path}.address', owner.address)]
+    used_endpoints = [(f'{path}.address', owner.address)]
     if owner.request_port:
-        held = endpoint.Endpoint(owner.address.host, owner.request_port)
-        places.append((f'{path}.request_port', held))
-    for place, held in places:
-        if held in holders:
-            reason = f'{held} stands at {holders[held]} too'
-            raise errors.DuplicateError(reason, source, place)
-        holders[held] = place
+        used_endpoint = endpoint.Endpoint(
+            owner.address.host, owner.request_port
+        )
+        used_endpoints.append((f'{path}.request_port', used_endpoint))
+    for used_path, used_endpoint in used_endpoints:
+        if used_endpoint in paths_by_endpoint:
+            reason = (
+                f'{used_endpoint} is used at'
+                f' {paths_by_endpoint[used_endpoint]} too'
+            )
+            raise errors.DuplicateError(reason, source, used_path)
+        paths_by_endpoint[used_endpoint] = used_path
--- a/skylarkfold/tests/settings/__init__.py
+++ b/skylarkfold/tests/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of skylarkfold.settings."""
+"""Tests of settings."""
--- a/skylarkfold/tests/settings/test_entry.py
+++ b/skylarkfold/tests/settings/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of reading an instance's settings."""
+"""Tests of parsing an instance's settings."""
 
 import pathlib
 import tempfile
@@ -18,7 +18,7 @@
 
 
 class ReadEntrySettingsTest(testtools.TestCase):
-    def test_a_file(self):
+    def test_settings_file(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'entry.json5')
             path.write_text(TEXT)
@@ -27,7 +27,7 @@
         self.assertEqual(endpoint.Endpoint('127.0.0.1', 8125), entry.statsd)
         self.assertIsNone(entry.peers.tls)
 
-    def test_every_section_may_be_given(self):
+    def test_optional_sections(self):
         sections = (
             'edge: {}, flows: {bucket_count: 64}, requests: {selection: {},'
             ' admission: {}}, membership: {seeds: ["10.0.0.1:4000"]},'
@@ -38,7 +38,7 @@
         self.assertEqual(64, entry.flows.bucket_count)
         self.assertEqual(('10.0.0.1:4000',), entry.membership.seeds)
 
-    def test_no_file(self):
+    def test_missing_file(self):
         error = self.assertRaises(
             errors.SettingsUnreadableError,
             settings.read_entry_settings,
@@ -55,7 +55,7 @@
         )
         self.assertEqual((code, path), (error.code, error.path))
 
-    def test_faults(self):
+    def test_invalid_settings(self):
         self.assertRefused(
             'http://', 'ftp://', 'settings-invalid', '$.platform'
         )
--- a/skylarkfold/tests/settings/test_examples.py
+++ b/skylarkfold/tests/settings/test_examples.py
@@ -1,4 +1,4 @@
-"""The example files are what they are said to be."""
+"""Tests that the example files contain the documented settings."""
 
 import pathlib
 
@@ -24,21 +24,21 @@
         }
 
     def test_co_operative(self):
-        halls = ['hall-a', 'hall-b', 'hall-c']
+        zones = ['hall-a', 'hall-b', 'hall-c']
         self.assertEqual(
             {
-                'press-desk': (7, {2}, {2000}, halls),
-                'plano-vault': (3, {2}, {2000}, halls),
+                'press-desk': (7, {2}, {2000}, zones),
+                'plano-vault': (3, {2}, {2000}, zones),
             },
             self.read_team('co-operative', 'tooling'),
         )
 
     def test_association(self):
-        castles = ['abertawe', 'caerdydd', 'casnewydd']
+        zones = ['abertawe', 'caerdydd', 'casnewydd']
         self.assertEqual(
             {
-                'archebu': (7, {3}, {2000}, castles),
-                'tocyn': (3, {3}, {2000}, castles),
+                'archebu': (7, {3}, {2000}, zones),
+                'tocyn': (3, {3}, {2000}, zones),
             },
             self.read_team('association', 'ticketing'),
         )
--- a/skylarkfold/tests/settings/test_fuzz.py
+++ b/skylarkfold/tests/settings/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Settings readers against anything that may stand in a file."""
+"""Fuzz tests of the settings parsers."""
 
 import copy
 import json
--- a/skylarkfold/tests/settings/test_team.py
+++ b/skylarkfold/tests/settings/test_team.py
@@ -1,4 +1,4 @@
-"""Tests of reading a team's settings."""
+"""Tests of parsing a team's settings."""
 
 import copy
 import json
@@ -70,7 +70,7 @@
         self.assertEqual(['press-desk-1', 'press-desk-2'], names)
         self.assertEqual(2000, desk.upstreams[1].connections)
 
-    def test_bad_ports(self):
+    def test_invalid_ports(self):
         def change(service):
             service['request_port'] = 65536
 
@@ -93,32 +93,32 @@
             'settings-missing-field', path, lambda each: each.pop('address')
         )
 
-    def test_no_upstream(self):
+    def test_service_without_upstreams(self):
         path = '$.services.press-desk.upstreams'
         self.assertRefused(
             'settings-invalid', path, lambda each: each.update(upstreams={})
         )
 
-    def test_names(self):
+    def test_invalid_names(self):
         for name in ('', 'Desk', '-a', 'a_b', 'a' * 64, '../b', 'a\n'):
             value = {'services': {name: VALID['services']['press-desk']}}
             error = self.assertRaises(errors.SettingsError, read, value)
-            self.assertIn('is no name', error.reason)
+            self.assertIn('is not 1 to 63 of', error.reason)
 
-    def test_half_of_a_surrogate_pair(self):
+    def test_lone_surrogate(self):
         value = {'services': {}, 'write': {'version': 1, 'id': '\ud800'}}
         error = self.assertRaises(errors.SettingsError, read, value)
         self.assertEqual('$.write.id', error.path)
 
-    def test_an_address_that_stands_twice(self):
+    def test_duplicate_address(self):
         def change(service):
-            again = {'address': '[::ffff:10.0.1.1]:9001', 'zone': 'hall-b'}
-            service['upstreams']['press-desk-2'] = again
+            duplicate = {'address': '[::ffff:10.0.1.1]:9001', 'zone': 'hall-b'}
+            service['upstreams']['press-desk-2'] = duplicate
 
         path = '$.services.press-desk.upstreams.press-desk-2.address'
         self.assertRefused('settings-duplicate', path, change)
 
-    def test_a_key_that_stands_twice(self):
+    def test_duplicate_key(self):
         for text in ('{"services": {}, "services": {}}', '{a: 1, a: 1}'):
             error = self.assertRaises(
                 errors.DuplicateError,
@@ -127,7 +127,7 @@
                 'f',
                 'desk',
             )
-            self.assertIn('stands twice', error.reason)
+            self.assertIn('appears twice', error.reason)
 
     @hypothesis.given(strategies.text() | strategies.binary())
     def test_any_text_gives_settings_or_a_coded_error(self, text):
@@ -136,7 +136,7 @@
         except errors.SettingsError as error:
             self.assertNotEqual('internal', error.code)
 
-    def test_deep_nesting(self):
+    def test_too_deep_nesting(self):
         for text in ('[' * 5000, '{"a":' * 5000, '// \n' + '[' * 5000):
             self.assertRaises(
                 errors.SettingsTooLargeError,
