--- a/skylarkfold/teams/__init__.py
+++ b/skylarkfold/teams/__init__.py
@@ -1,4 +1,4 @@
-"""Teams' subtrees, their rights and their claims."""
+"""Teams' settings subtrees, and claims on service names and addresses."""
 
 from skylarkfold.teams._apply import Applied
 from skylarkfold.teams._apply import apply
--- a/skylarkfold/teams/_apply.py
+++ b/skylarkfold/teams/_apply.py
@@ -1,4 +1,4 @@
-"""Changes of a team's subtree, as steps without I/O."""
+"""Changes of a team's subtree, as generators without I/O."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Operator:
-    """Who changes settings.
+    """An operator who changes settings.
 
-    :param name: the person or program, for others to see.
-    :param team: the team whose subtree may be changed.
+    :param name: the name of the person or program, stored with each write.
+    :param team: the team whose subtree the operator may change.
     """
 
     name: str
@@ -34,13 +34,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Applied:
-    """A change that has taken effect.
+    """The result of an applied change.
 
     :param team: the team.
-    :param version: the version that it became.
-    :param changes: what it changed.
-    :param not_in_force: services that another team's claim keeps out of
-        force, as it did before the change.
+    :param version: the new version of the subtree.
+    :param changes: the differences from the previous version.
+    :param not_in_force: services that are not in force since another team
+        holds a claim that they need, as before the change.
     """
 
     team: str
@@ -54,25 +54,25 @@
     operator: Operator,
     new: settings.TeamSettings,
 ) -> _session.Steps[_preview.Preview]:
-    """Tell what a change would do.
+    """Preview a change without applying it.
 
     :param session: the command's calls.
-    :param operator: who asks.
+    :param operator: the operator.
     :param new: the team's new settings.
     :returns: the differences and warnings.
     :raises RightError: if it is another team's subtree.
     :raises PlatformError: if the platform does not answer.
     """
-    _check_right(operator, new.team)
-    view = yield from _snapshot.read_view(session, new.team)
-    old = view.base.settings or settings.TeamSettings(new.team, {})
+    _check_permission(operator, new.team)
+    snapshot = yield from _snapshot.read_snapshot(session, new.team)
+    old = snapshot.base.settings or settings.TeamSettings(new.team, {})
     warnings = _preview.list_warnings(old, new)
-    if view.base.error is not None:
-        warnings += (f'the present version is unusable: {view.base.error}',)
-    warnings += tuple(_list_foreign(view, new))
+    if snapshot.base.error is not None:
+        warnings += (f'the current version is invalid: {snapshot.base.error}',)
+    warnings += tuple(_list_foreign_claims(snapshot, new))
     return _preview.Preview(
         new.team,
-        view.base.version,
+        snapshot.base.version,
         _preview.list_changes(old, new),
         warnings,
     )
@@ -88,31 +88,31 @@
     """Replace a team's subtree.
 
     :param session: the command's calls.
-    :param operator: who asks.
-    :param new: the team's new settings, read from ``services``.
+    :param operator: the operator.
+    :param new: the team's new settings, parsed from ``services``.
     :param services: the plain services object.
-    :param expected_version: the version that must be in force; None for
-        the one that is read first.
-    :returns: what was applied.
+    :param expected_version: the version to replace; None for the current
+        one.
+    :returns: the applied change.
     :raises RightError: if it is another team's subtree.
-    :raises ConflictError: if another operator was first; nothing changed.
-    :raises ClaimError: if another team holds a name or address; nothing is
-        in force of the change.
+    :raises ConflictError: if another write came first; nothing changed.
+    :raises ClaimError: if another team holds a name or address; no part of
+        the change is in force.
     :raises OutcomeUnknownError: if it may or may not have taken effect.
     :raises PlatformError: if the platform did not answer before anything
         was changed.
     """
-    _check_right(operator, new.team)
+    _check_permission(operator, new.team)
     if expected_version is not None:
         path = _subtree.build_subtree_path(new.team)
         session.record_version(path, expected_version)
-    view = yield from _snapshot.read_view(session, new.team)
-    if expected_version not in (None, view.base.version):
-        raise _build_conflict(view.base, expected_version)
-    needed = _subtree.list_claims(new)
-    change = _ChangeSteps(session, operator, view, new, services)
-    yield from change.take_claims(needed)
-    return (yield from change.write(needed))
+    snapshot = yield from _snapshot.read_snapshot(session, new.team)
+    if expected_version not in (None, snapshot.base.version):
+        raise _build_conflict(snapshot.base, expected_version)
+    required = _subtree.list_claims(new)
+    change = _SubtreeChange(session, operator, snapshot, new, services)
+    yield from change.take_claims(required)
+    return (yield from change.write(required))
 
 
 def set_upstream_state(
@@ -122,19 +122,19 @@
     upstream_name: str,
     state: service.UpstreamState,
 ) -> _session.Steps[Applied]:
-    """Drain an upstream, or put it into service again.
+    """Set an upstream's state, for example to drain it.
 
-    Another operator's change meanwhile does no harm: the state is set in
-    the version that is then in force.
+    After a conflict with another operator's change the state is set in the
+    version that is then current.
 
     :param session: the command's calls.
-    :param operator: who asks.
+    :param operator: the operator.
     :param service_name: the service.
     :param upstream_name: its upstream.
     :param state: the new state.
-    :returns: what was applied.
+    :returns: the applied change.
     :raises SettingsError: if there is no such upstream.
-    :raises ConflictError: if others were first at each try.
+    :raises ConflictError: if every attempt conflicted with another write.
     :raises OutcomeUnknownError: if it may or may not have taken effect.
     :raises PlatformError: if the platform did not answer before anything
         was changed.
@@ -159,29 +159,29 @@
     operator: Operator,
     edit: Callable[[_subtree.Subtree], dict[str, Any]],
 ) -> _session.Steps[Applied]:
-    view = yield from _snapshot.read_view(session, operator.team)
-    services = edit(view.base)
+    snapshot = yield from _snapshot.read_snapshot(session, operator.team)
+    services = edit(snapshot.base)
     source = _subtree.build_subtree_path(operator.team)
     text = settings.encode_services(services)
     new = settings.read_team_settings(text, source, operator.team)
-    # An edit begins to use no claim; one that was lost stays lost.
-    change = _ChangeSteps(session, operator, view, new, services)
+    # An edit needs no new claims; it does not take lost ones back.
+    change = _SubtreeChange(session, operator, snapshot, new, services)
     return (yield from change.write(_subtree.list_claims(new)))
 
 
-def _check_right(operator: Operator, team: str) -> None:
+def _check_permission(operator: Operator, team: str) -> None:
     if operator.team != team:
         raise errors.RightError(
             f'{operator.name} may change team {operator.team}, not {team}'
         )
 
 
-def _list_foreign(
-    view: _snapshot.View, new: settings.TeamSettings
+def _list_foreign_claims(
+    snapshot: _snapshot.Snapshot, new: settings.TeamSettings
 ) -> list[str]:
     found = []
     for path in sorted(_subtree.list_claims(new)):
-        holder = view.find_holder(path)
+        holder = snapshot.find_holder(path)
         if holder not in ('', new.team):
             found.append(f'{path} is held by team {holder}')
     return found
@@ -193,72 +193,72 @@
     writer = f' by {current.operator}' if current.operator else ''
     return errors.ConflictError(
         f'version {current.version}{writer} is in force, not'
-        f' {expected_version}: look at it and apply again'
+        f' {expected_version}: review it and apply again'
     )
 
 
-class _ChangeSteps:
-    """The steps of one change."""
+class _SubtreeChange:
+    """One change of a subtree: taking claims, writing, undoing."""
 
     def __init__(
         self,
         session: _session.Session,
         operator: Operator,
-        view: _snapshot.View,
+        snapshot: _snapshot.Snapshot,
         new: settings.TeamSettings,
         services: dict[str, Any],
     ) -> None:
         self._session = session
         self._operator = operator
-        self._view = view
-        self._base = view.base
+        self._snapshot = snapshot
+        self._base = snapshot.base
         self._new = new
         self._services = services
-        self._version = view.base.version + 1
+        self._version = snapshot.base.version + 1
         self._path = _subtree.build_subtree_path(new.team)
         self._value = _subtree.encode_subtree(
-            view.base, services, session.write_id, operator.name
+            snapshot.base, services, session.write_id, operator.name
         )
         self._claimant = _claimant.Claimant(session, new.team, self._version)
 
-    def take_claims(self, needed: frozenset[str]) -> _session.Steps[None]:
+    def take_claims(self, required: frozenset[str]) -> _session.Steps[None]:
         try:
-            for path in sorted(needed):
-                if self._must_take(path):
+            for path in sorted(required):
+                if self._needs_taking(path):
                     yield from self._claimant.take(path)
         except errors.SkylarkfoldError:
             yield from self._claimant.restore()
             raise
 
-    def _must_take(self, path: str) -> bool:
-        _, claim = self._view.claims.get(path, (0, None))
+    def _needs_taking(self, path: str) -> bool:
+        _, claim = self._snapshot.claims.get(path, (0, None))
         if claim is None or not claim.team:
-            holder = self._view.find_holder(path)
+            holder = self._snapshot.find_holder(path)
             if holder:
                 reason = f'{path} is used by team {holder} without a claim'
                 raise errors.ClaimError(reason)
             return True
-        # A claim of this team that nothing is pending for, read after a
-        # subtree that uses it, can't be taken over while that goes on.
+        # Another team can't take over a claim of this team without a
+        # pending version while the subtree, read before it, uses it.
         is_settled = claim.team == self._new.team and not claim.pending
         return not is_settled or path not in self._base.list_claims()
 
-    def write(self, needed: frozenset[str]) -> _session.Steps[Applied]:
+    def write(self, required: frozenset[str]) -> _session.Steps[Applied]:
         write = platform_api.WriteObject(
             self._path, self._value, self._base.version
         )
-        settled = yield from self._session.write(write)
-        outcome = self._judge(settled)
+        result = yield from self._session.write(write)
+        outcome = self._resolve_outcome(result)
         if outcome is _Outcome.UNKNOWN:
             raise errors.OutcomeUnknownError(
-                f'version {self._version} may be of this change or not: look'
-                ' at it before applying again'
+                f'version {self._version} may contain this change or not:'
+                ' review it before applying again'
             )
         if outcome is not _Outcome.DONE:
             yield from self._claimant.restore()
-            raise (yield from self._explain(outcome, settled))
-        yield from self._confirm()
-        yield from self._claimant.release(self._view.claims, needed)
+            raise (yield from self._build_write_error(outcome, result))
+        yield from self._confirm_claims()
+        yield from self._claimant.release(self._snapshot.claims, required)
         old = self._base.settings or settings.TeamSettings(self._new.team, {})
         return Applied(
             self._new.team,
@@ -267,23 +267,25 @@
             self._list_not_in_force(),
         )
 
-    def _judge(self, settled: _session.Settled) -> _session.Outcome:
-        """Settle a write that others have written on top of."""
-        if settled.outcome is not _Outcome.REPLACED:
-            return settled.outcome
-        current = _subtree.read_subtree(self._new.team, settled.current)
+    def _resolve_outcome(
+        self, result: _session.WriteResult
+    ) -> _session.Outcome:
+        """Resolve a replaced write from the history of later versions."""
+        if result.outcome is not _Outcome.REPLACED:
+            return result.outcome
+        current = _subtree.read_subtree(self._new.team, result.current)
         writer = current.find_writer(self._version)
         if writer is None:
             return _Outcome.UNKNOWN
         is_ours = writer.id == self._session.write_id
         return _Outcome.DONE if is_ours else _Outcome.LOST
 
-    def _explain(
-        self, outcome: _session.Outcome, settled: _session.Settled
+    def _build_write_error(
+        self, outcome: _session.Outcome, result: _session.WriteResult
     ) -> _session.Steps[errors.SkylarkfoldError]:
         if outcome is _Outcome.UNSENT:
             return errors.PlatformError('the platform refused the write')
-        current = settled.current
+        current = result.current
         if current is None:
             self._session.record_version(self._path, self._version)
             try:
@@ -295,7 +297,7 @@
         subtree = _subtree.read_subtree(self._new.team, current)
         return _build_conflict(subtree, self._base.version)
 
-    def _confirm(self) -> _session.Steps[None]:
+    def _confirm_claims(self) -> _session.Steps[None]:
         lost = yield from self._claimant.confirm_all()
         if not lost:
             return
@@ -308,7 +310,7 @@
         )
 
     def _undo(self) -> _session.Steps[bool]:
-        """Write what stood before; tell whether that is in force."""
+        """Restore the previous services; return whether they are in force."""
         if self._base.error is not None:
             return False
         base_claims = self._base.list_claims()
@@ -318,14 +320,14 @@
         try:
             for path in sorted(base_claims - _subtree.list_claims(self._new)):
                 yield from claimant.take(path)
-            settled = yield from self._session.write(self._build_undo())
-            if settled.outcome is not _Outcome.DONE:
+            result = yield from self._session.write(self._build_undo_write())
+            if result.outcome is not _Outcome.DONE:
                 return False
             return not (yield from claimant.confirm_all())
         except errors.SkylarkfoldError:
             return False
 
-    def _build_undo(self) -> platform_api.WriteObject:
+    def _build_undo_write(self) -> platform_api.WriteObject:
         written = platform_api.StoredObject(
             self._path, self._version, 0, self._value
         )
@@ -341,10 +343,12 @@
         return tuple(
             name
             for name, each in sorted(self._new.services.items())
-            if any(map(self._is_foreign, _claim.list_claim_paths(each)))
+            if any(
+                map(self._is_held_by_other_team, _claim.list_claim_paths(each))
+            )
         )
 
-    def _is_foreign(self, path: str) -> bool:
+    def _is_held_by_other_team(self, path: str) -> bool:
         if self._claimant.has_taken(path):
             return False
-        return self._view.find_holder(path) not in ('', self._new.team)
+        return self._snapshot.find_holder(path) not in ('', self._new.team)
--- a/skylarkfold/teams/_claim.py
+++ b/skylarkfold/teams/_claim.py
@@ -1,4 +1,4 @@
-"""Claims of teams on addresses and service names."""
+"""Claims of teams on service names and addresses."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """What a claim object says.
+    """A team's claim on a service name or an address.
 
-    Claim objects are never deleted, since a delayed deletion could hit a
-    successor's claim; a released one has no team.
+    Claim objects are never deleted, since a delayed deletion could remove
+    the claim of a later holder; a released claim has no team.
 
     :param path: the object's path.
-    :param team: the team that holds it; empty once it is released.
-    :param write: the identity of the write that made it.
-    :param version: the last version of the team's subtree that is known
+    :param team: the team that holds it; empty if it is released.
+    :param write: the id of the write that created it.
+    :param version: the latest version of the team's subtree that is known
         to use it, 0 for none.
-    :param pending: the version that is about to use it, 0 for none.
+    :param pending: the version of the team's subtree that is about to use
+        it, 0 for none.
     """
 
     path: str
@@ -46,11 +47,11 @@
 
 
 def read_claim(path: str, value: bytes | None) -> Claim | None:
-    """Read a claim object.
+    """Decode a claim object.
 
     :param path: the object's path.
-    :param value: its bytes; None where it is deleted.
-    :returns: the claim; None where there is none or it can't be read.
+    :param value: its bytes; None if it is deleted.
+    :returns: the claim; None if there is none or it is malformed.
     """
     if value is None:
         return None
@@ -68,7 +69,7 @@
 
 
 def encode_claim(claim: Claim) -> bytes:
-    """Write a claim as the bytes of its object.
+    """Encode a claim as the value of its object.
 
     :param claim: the claim.
     :returns: JSON.
@@ -79,16 +80,16 @@
 
 
 def build_address_path(address: endpoint.Endpoint) -> str:
-    """Name the claim object of an address.
+    """Build the path of an address's claim object.
 
-    :param address: the address in its normal spelling.
+    :param address: the address in canonical form.
     :returns: the object's path.
     """
     return f'{CLAIM_PREFIX}address/{address}'
 
 
 def build_service_path(name: str) -> str:
-    """Name the claim object of a service's name.
+    """Build the path of a service name's claim object.
 
     :param name: the service's name.
     :returns: the object's path.
@@ -97,16 +98,16 @@
 
 
 def list_claim_paths(wanted: service.Service) -> tuple[str, ...]:
-    """List the claims that a service needs.
+    """List the paths of the claims that a service needs.
 
     :param wanted: the service.
-    :returns: the paths of the claims, in the order to make them.
+    :returns: the paths, in the order to take them.
     """
     paths = [
         build_service_path(wanted.name),
         build_address_path(wanted.address),
     ]
     if wanted.request_port:
-        held = wanted.address._replace(port=wanted.request_port)
-        paths.append(build_address_path(held))
+        address = wanted.address._replace(port=wanted.request_port)
+        paths.append(build_address_path(address))
     return tuple(paths)
--- a/skylarkfold/teams/_claimant.py
+++ b/skylarkfold/teams/_claimant.py
@@ -1,11 +1,12 @@
-"""How a team comes to hold claims and gives them up.
-
-A claim changes hands only by a conditional update of its object. Before a
-team writes a version that begins to use a claim, it notes that version in
-the claim as pending; afterwards it confirms it. Another team may take the
-claim over only if the holder's subtree, read after the claim, does not
-use it and is no older than the claim says. A write that would begin to
-use it meanwhile has updated the claim, so that the takeover fails.
+"""Taking, confirming and releasing a team's claims.
+
+A claim changes its holder only by a conditional update of its object.
+Before a team writes a version that newly uses a claim, it records that
+version in the claim as pending; after the write it confirms the claim.
+Another team may take the claim over only if the holder's subtree, read
+after the claim, does not use it and is at least as new as the versions in
+the claim. A concurrent write that newly uses the claim has updated it
+before, so that the takeover's conditional update fails.
 """
 
 from __future__ import annotations
@@ -22,56 +23,60 @@
 _Outcome = _session.Outcome
 
 
-class Holding(enum.StrEnum):
-    """What another team's claim is worth.
+class ClaimUse(enum.StrEnum):
+    """Whether another team's subtree uses its claim.
 
-    ``USED``: its subtree uses it. ``UNUSED``: it does not. ``BEGINNING``:
-    the version that is to use it is not there yet. ``UNCLEAR``: the
-    subtree that was read is older than the claim.
+    ``USED``: the subtree uses it or is invalid. ``UNUSED``: the subtree
+    does not use it. ``PENDING``: the version that is to use it is not
+    written yet. ``STALE``: the subtree that was read is older than the
+    claim.
     """
 
     USED = 'used'
     UNUSED = 'unused'
-    BEGINNING = 'beginning'
-    UNCLEAR = 'unclear'
+    PENDING = 'beginning'
+    STALE = 'unclear'
 
 
-def judge_holding(claim: _claim.Claim, subtree: _subtree.Subtree) -> Holding:
-    """Judge another team's claim.
+def classify_claim_use(
+    claim: _claim.Claim, subtree: _subtree.Subtree
+) -> ClaimUse:
+    """Classify how another team uses its claim.
 
     :param claim: the claim.
     :param subtree: its team's subtree, read after the claim.
-    :returns: what the claim is worth.
+    :returns: the use.
     """
     if subtree.error is not None or claim.path in subtree.list_claims():
-        return Holding.USED
+        return ClaimUse.USED
     if subtree.version < claim.version:
-        return Holding.UNCLEAR
+        return ClaimUse.STALE
     if subtree.version < claim.pending:
-        return Holding.BEGINNING
-    return Holding.UNUSED
+        return ClaimUse.PENDING
+    return ClaimUse.UNUSED
 
 
 @dataclasses.dataclass(slots=True)
-class _Found:
-    """A claim object as it was read; claim is None where it is free."""
+class _ClaimObject:
+    """A claim object as it was read; ``claim`` is None if it is free."""
 
     version: int
     claim: _claim.Claim | None
 
 
 @dataclasses.dataclass(slots=True)
-class _Watch:
-    """How long a claim that another team is about to use has not changed.
+class _PendingClaimWait:
+    """The wait for another team's pending claim.
 
-    :param patience_seconds: how long it is left in peace.
+    :param patience_seconds: how long the claim must be unchanged before it
+        may be taken over.
     """
 
     patience_seconds: float
     version: int = 0
     waited_seconds: float = 0.0
 
-    def is_over(self, version: int) -> bool:
+    def has_expired(self, version: int) -> bool:
         if version != self.version:
             self.version = version
             self.waited_seconds = 0.0
@@ -79,7 +84,7 @@
 
 
 class Claimant:
-    """One command's dealings with claims.
+    """Takes, confirms and releases claims for one command.
 
     :param session: the command's calls.
     :param team: the team.
@@ -92,11 +97,11 @@
         self._session = session
         self._team = team
         self._subtree_version = subtree_version
-        self._taken: dict[str, _claim.Claim] = {}
+        self._former_claims: dict[str, _claim.Claim] = {}
 
     def has_taken(self, path: str) -> bool:
-        """Tell whether this command took a claim."""
-        return path in self._taken
+        """Return whether this command took a claim."""
+        return path in self._former_claims
 
     def take(self, path: str) -> _session.Steps[None]:
         """Take a claim before the subtree is written.
@@ -105,34 +110,41 @@
         :raises ClaimError: if another team holds it.
         :raises PlatformError: if the platform does not answer.
         """
-        watch = _Watch(self._session.settings.claim_patience_seconds)
+        pending_wait = _PendingClaimWait(
+            self._session.settings.claim_patience_seconds
+        )
         for number in self._session.count_tries():
-            found = yield from self._read(path)
-            if (yield from self._may_take(found, path, watch)):
-                claim = self._build_pending(found.claim, path)
-                if (yield from self._replace(claim, found.version)):
-                    self._taken[path] = self._build_former(found.claim, path)
+            claim_object = yield from self._read(path)
+            if (yield from self._can_take(claim_object, path, pending_wait)):
+                claim = self._build_pending(claim_object.claim, path)
+                if (yield from self._replace(claim, claim_object.version)):
+                    self._former_claims[path] = self._build_restored(
+                        claim_object.claim, path
+                    )
                     return
             pause = self._session.pause(number)
-            watch.waited_seconds += pause.seconds
+            pending_wait.waited_seconds += pause.seconds
             yield pause
-        raise errors.ClaimError(f'{path} is being changed by others')
+        raise errors.ClaimError(f'{path} is being changed by other commands')
 
-    def _may_take(
-        self, found: _Found, path: str, watch: _Watch
+    def _can_take(
+        self,
+        claim_object: _ClaimObject,
+        path: str,
+        pending_wait: _PendingClaimWait,
     ) -> _session.Steps[bool]:
-        claim = found.claim
+        claim = claim_object.claim
         if claim is None or claim.team == self._team:
             return True
         holder = yield from self._read_subtree(claim.team)
-        holding = judge_holding(claim, holder)
-        if holding is Holding.USED:
+        claim_use = classify_claim_use(claim, holder)
+        if claim_use is ClaimUse.USED:
             raise errors.ClaimError(f'{path} is held by team {claim.team}')
-        if holding is Holding.BEGINNING:
-            return watch.is_over(found.version)
-        return holding is Holding.UNUSED
+        if claim_use is ClaimUse.PENDING:
+            return pending_wait.has_expired(claim_object.version)
+        return claim_use is ClaimUse.UNUSED
 
-    def _build_former(
+    def _build_restored(
         self, current: _claim.Claim | None, path: str
     ) -> _claim.Claim:
         free = _claim.Claim(path, '')
@@ -147,7 +159,7 @@
         write = self._session.write_id
         if current is None or current.team != self._team:
             current = _claim.Claim(path, self._team)
-        # What other versions of this team rely on must stay noted.
+        # A later pending version of this team must stay recorded.
         pending = max(current.pending, self._subtree_version)
         return dataclasses.replace(current, write=write, pending=pending)
 
@@ -156,19 +168,19 @@
     ) -> _session.Steps[bool]:
         value = _claim.encode_claim(claim)
         write = platform_api.WriteObject(claim.path, value, version)
-        settled = yield from self._session.write(write)
-        if settled.outcome in (_Outcome.UNKNOWN, _Outcome.UNSENT):
+        result = yield from self._session.write(write)
+        if result.outcome in (_Outcome.UNKNOWN, _Outcome.UNSENT):
             raise errors.PlatformError(f'{claim.path} could not be written')
-        return settled.outcome is _Outcome.DONE
+        return result.outcome is _Outcome.DONE
 
     def confirm_all(self) -> _session.Steps[list[str]]:
         """Confirm all taken claims after the subtree has been written.
 
-        :returns: the paths of those that another team has taken.
+        :returns: the paths of the claims that another team took over.
         :raises OutcomeUnknownError: if the platform does not answer.
         """
         lost = []
-        for path in sorted(self._taken):
+        for path in sorted(self._former_claims):
             if not (yield from self._confirm(path)):
                 lost.append(path)
         return lost
@@ -176,11 +188,11 @@
     def _confirm(self, path: str) -> _session.Steps[bool]:
         for number in self._session.count_tries():
             try:
-                is_ours = yield from self._try_to_confirm(path)
+                is_own = yield from self._try_to_confirm(path)
             except errors.PlatformError:
                 break
-            if is_ours is not None:
-                return is_ours
+            if is_own is not None:
+                return is_own
             yield self._session.pause(number)
         raise errors.OutcomeUnknownError(
             f'version {self._subtree_version} is written, but the claim'
@@ -188,14 +200,17 @@
         )
 
     def _try_to_confirm(self, path: str) -> _session.Steps[bool | None]:
-        """Confirm once; None if somebody changed the claim meanwhile."""
-        found = yield from self._read(path)
-        if found.claim is not None and found.claim.team != self._team:
+        """Confirm a claim once; return None after a concurrent change."""
+        claim_object = yield from self._read(path)
+        if (
+            claim_object.claim is not None
+            and claim_object.claim.team != self._team
+        ):
             return False
-        confirmed = self._build_confirmed(found.claim, path)
-        if confirmed is found.claim:
+        confirmed = self._build_confirmed(claim_object.claim, path)
+        if confirmed is claim_object.claim:
             return True
-        is_done = yield from self._replace(confirmed, found.version)
+        is_done = yield from self._replace(confirmed, claim_object.version)
         return True if is_done else None
 
     def _build_confirmed(
@@ -215,47 +230,50 @@
         )
 
     def restore(self) -> _session.Steps[None]:
-        """Undo the taken claims when the subtree will not be written.
+        """Restore the taken claims when the subtree won't be written.
 
-        It does what it can: what is left is taken over by whoever needs
-        it.
+        This is best effort: another command that needs a remaining claim
+        takes it over.
         """
         try:
-            for path, before in sorted(self._taken.items()):
-                found = yield from self._read(path)
-                if found.claim and found.claim.write == before.write:
-                    yield from self._replace(before, found.version)
+            for path, former in sorted(self._former_claims.items()):
+                claim_object = yield from self._read(path)
+                if (
+                    claim_object.claim
+                    and claim_object.claim.write == former.write
+                ):
+                    yield from self._replace(former, claim_object.version)
         except errors.PlatformError:
             return
 
     def release(
-        self, claims: dict[str, tuple[int, _claim.Claim]], needed: frozenset
+        self, claims: dict[str, tuple[int, _claim.Claim]], required: frozenset
     ) -> _session.Steps[None]:
-        """Give up the team's claims that the written version leaves.
+        """Release the team's claims that the written version doesn't use.
 
         :param claims: all claims with their versions, read before.
-        :param needed: the paths that the written version uses.
+        :param required: the paths that the written version uses.
         """
         write_id = self._session.write_id
         try:
             for path, (version, claim) in sorted(claims.items()):
-                if claim.team == self._team and path not in needed:
+                if claim.team == self._team and path not in required:
                     free = _claim.Claim(path, '', write_id)
                     yield from self._replace(free, version)
         except errors.PlatformError:
-            # The next change of the team's subtree does it.
+            # The next change of the team's subtree releases them.
             return
 
-    def _read(self, path: str) -> _session.Steps[_Found]:
+    def _read(self, path: str) -> _session.Steps[_ClaimObject]:
         current = yield from self._session.read(path)
         if current is None:
-            return _Found(0, None)
+            return _ClaimObject(0, None)
         claim = _claim.read_claim(path, current.value)
         if claim is not None and not claim.team:
             claim = None
-        return _Found(current.version, claim)
+        return _ClaimObject(current.version, claim)
 
     def _read_subtree(self, team: str) -> _session.Steps[_subtree.Subtree]:
         path = _subtree.build_subtree_path(team)
-        found = yield from self._session.read(path)
-        return _subtree.read_subtree(team, found)
+        claim_object = yield from self._session.read(path)
+        return _subtree.read_subtree(team, claim_object)
--- a/skylarkfold/teams/_configuration_builder.py
+++ b/skylarkfold/teams/_configuration_builder.py
@@ -1,4 +1,4 @@
-"""One configuration out of all teams' subtrees."""
+"""Merging of all teams' subtrees into one configuration."""
 
 from __future__ import annotations
 
@@ -16,17 +16,16 @@
     subtrees: Mapping[str, settings.TeamSettings],
     claims: Mapping[str, _claim.Claim],
 ) -> configuration.Configuration:
-    """Put all teams' services together, each name and address held once.
+    """Merge all teams' services so that names and addresses are unique.
 
     A service is in force if its team holds the claims on its name and
-    addresses. Where nobody holds the claim, for instance because someone
-    wrote the subtree without the operators' commands, the first team in
-    the order of names has it. The result depends on nothing but the
-    arguments' values.
+    addresses. If no team holds a claim, for instance since the subtree was
+    not written by the operators' commands, it goes to the first team by
+    name. The result depends only on the arguments' values.
 
-    :param revision: the platform's revision that they stand for.
-    :param subtrees: each team's last good settings.
-    :param claims: by path.
+    :param revision: the platform's revision of the arguments.
+    :param subtrees: each team's last valid settings.
+    :param claims: the claims by path.
     :returns: the configuration.
     """
     holders: dict[str, str] = {
@@ -35,7 +34,7 @@
     services = {
         each.name: each
         for each in _list_services(subtrees)
-        if _hold_claims(each, holders)
+        if _assign_claims(each, holders)
     }
     return configuration.Configuration(revision, services)
 
@@ -46,9 +45,9 @@
 ) -> list[service.Service]:
     """List the services that are configured but not in force.
 
-    :param subtrees: each team's last good settings.
-    :param claims: by path.
-    :returns: services whose name or address another team holds.
+    :param subtrees: each team's last valid settings.
+    :param claims: the claims by path.
+    :returns: the services whose name or address another team holds.
     """
     in_force = build_configuration(0, subtrees, claims).services
     return [
@@ -67,7 +66,7 @@
             yield services[name]
 
 
-def _hold_claims(each: service.Service, holders: dict[str, str]) -> bool:
+def _assign_claims(each: service.Service, holders: dict[str, str]) -> bool:
     paths = _claim.list_claim_paths(each)
     if any(holders.get(path, each.team) != each.team for path in paths):
         return False
--- a/skylarkfold/teams/_preview.py
+++ b/skylarkfold/teams/_preview.py
@@ -1,4 +1,4 @@
-"""What a new version of a subtree changes."""
+"""Differences between two versions of a subtree."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ChangeKind(enum.StrEnum):
-    """What happens to a setting."""
+    """The kind of a difference."""
 
     ADDED = 'added'
     REMOVED = 'removed'
@@ -22,10 +22,10 @@
 class Change:
     """One difference between two versions.
 
-    :param kind: what happens.
+    :param kind: the kind of the difference.
     :param path: the setting, for example
         ``services.press-desk.upstreams.press-desk-1.weight``.
-    :param old: its value so far, empty if it is added.
+    :param old: its old value, empty if it is added.
     :param new: its new value, empty if it is removed.
     """
 
@@ -42,12 +42,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Preview:
-    """What a change would do.
+    """The preview of a change.
 
     :param team: the team.
-    :param version: the version that is in force now, to apply it to.
+    :param version: the current version, which the change would replace.
     :param changes: the differences, sorted by path.
-    :param warnings: what the operator should know before.
+    :param warnings: warnings for the operator.
     """
 
     team: str
@@ -61,8 +61,8 @@
 ) -> tuple[Change, ...]:
     """List the differences between two versions of a subtree.
 
-    :param old: the one in force.
-    :param new: the one to come.
+    :param old: the current version.
+    :param new: the new version.
     :returns: the differences, sorted by path.
     """
     changes = []
@@ -78,16 +78,16 @@
 def list_warnings(
     old: settings.TeamSettings, new: settings.TeamSettings
 ) -> tuple[str, ...]:
-    """List what may surprise the operator of a change.
+    """List warnings about the effects of a change.
 
-    :param old: the version in force.
-    :param new: the one to come.
-    :returns: sentences for a person.
+    :param old: the current version.
+    :param new: the new version.
+    :returns: the warnings, as text.
     """
     return tuple(
         warning
         for name in sorted(old.services.keys() | new.services.keys())
-        for warning in _warn(
+        for warning in _list_service_warnings(
             name, old.services.get(name), new.services.get(name)
         )
     )
@@ -120,11 +120,13 @@
         before = getattr(old, field.name)
         after = getattr(new, field.name)
         if before != after and field.name != 'upstreams':
-            place = f'{path}.{field.name}'
-            yield Change(ChangeKind.CHANGED, place, str(before), str(after))
+            setting_path = f'{path}.{field.name}'
+            yield Change(
+                ChangeKind.CHANGED, setting_path, str(before), str(after)
+            )
 
 
-def _warn(
+def _list_service_warnings(
     name: str, old: service.Service | None, new: service.Service | None
 ) -> Iterator[str]:
     if new is None:
@@ -138,8 +140,8 @@
         yield f'callers must find {name} at its new address'
     for upstream in old.upstreams:
         after = new.get_upstream(upstream.name)
-        place = f'{name}.{upstream.name}'
+        setting_path = f'{name}.{upstream.name}'
         if after is None and upstream.takes_new_work:
-            yield f'{place} is removed without a drain: its flows break'
+            yield f'{setting_path} is removed without a drain: its flows break'
         if after is not None and after.address != upstream.address:
-            yield f'{place} gets another address: its flows break'
+            yield f'{setting_path} gets another address: its flows break'
--- a/skylarkfold/teams/_runner.py
+++ b/skylarkfold/teams/_runner.py
@@ -1,4 +1,4 @@
-"""The operators' commands against a real platform."""
+"""The operators' commands, run against a platform client."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class PlatformClient(Protocol):
-    """What performs calls to the platform."""
+    """Client that performs calls to the platform."""
 
     async def call(
         self, request: platform_api.PlatformCall, timeout_seconds: float
     ) -> platform_api.PlatformAnswer:
         """Perform one call.
 
-        :param request: what to ask.
-        :param timeout_seconds: how long to wait.
-        :returns: the answer, ``UNKNOWN`` where none came.
+        :param request: the call.
+        :param timeout_seconds: how long to wait for the answer.
+        :returns: the answer; its status is ``UNKNOWN`` if none came.
         """
 
 
@@ -40,24 +40,24 @@
     steps: _session.Steps[_Result],
     timeout_seconds: float,
 ) -> _Result:
-    """Perform the calls and pauses of steps.
+    """Run a generator of steps, performing its calls and pauses.
 
-    :param client: the platform.
-    :param steps: what to perform.
-    :param timeout_seconds: how long each call may take.
-    :returns: the steps' result.
+    :param client: the client of the platform.
+    :param steps: the generator.
+    :param timeout_seconds: the timeout of each call.
+    :returns: the generator's result.
     """
     answer = None
     while True:
         try:
-            wanted = steps.send(answer)
+            request = steps.send(answer)
         except StopIteration as ended:
             return ended.value
         answer = None
-        if isinstance(wanted, _session.Pause):
-            await asyncio.sleep(wanted.seconds)
+        if isinstance(request, _session.Pause):
+            await asyncio.sleep(request.seconds)
         else:
-            answer = await client.call(wanted, timeout_seconds)
+            answer = await client.call(request, timeout_seconds)
 
 
 async def preview_change(
@@ -67,15 +67,15 @@
     source: str,
     retry: _session.RetrySettings = _session.RetrySettings(),
 ) -> _preview.Preview:
-    """Tell what a settings file would change.
+    """Preview the changes of a settings file.
 
-    :param client: the platform.
-    :param operator: who asks.
+    :param client: the client of the platform.
+    :param operator: the operator.
     :param text: the file, in JSON with comments.
-    :param source: its name, for messages.
-    :param retry: how long to go on trying.
-    :returns: the differences, warnings and the version to apply it to.
-    :raises SettingsError: if the file can't be used.
+    :param source: its name, for error messages.
+    :param retry: limits on retries and timeouts.
+    :returns: the differences, the warnings and the version to replace.
+    :raises SettingsError: if the file is invalid.
     :raises PlatformError: if the platform does not answer.
     """
     new = settings.read_team_settings(text, source, operator.team)
@@ -93,19 +93,19 @@
     expected_version: int | None = None,
     retry: _session.RetrySettings = _session.RetrySettings(),
 ) -> _apply.Applied:
-    """Put a settings file in the place of the operator's team's subtree.
+    """Replace the subtree of the operator's team by a settings file.
 
-    :param client: the platform.
-    :param operator: who asks.
+    :param client: the client of the platform.
+    :param operator: the operator.
     :param text: the file, in JSON with comments.
-    :param source: its name, for messages.
-    :param write_id: a fresh identity, such as a random UUID.
+    :param source: its name, for error messages.
+    :param write_id: a new unique id, such as a random UUID.
     :param expected_version: the version that was previewed; None for
-        whatever is in force.
-    :param retry: how long to go on trying.
-    :returns: the version that it became and what it changed.
-    :raises SettingsError: if the file can't be used.
-    :raises ConflictError: if another operator was first.
+        the current one.
+    :param retry: limits on retries and timeouts.
+    :returns: the new version and its differences.
+    :raises SettingsError: if the file is invalid.
+    :raises ConflictError: if another write came first.
     :raises ClaimError: if another team holds a name or an address.
     :raises OutcomeUnknownError: if it may or may not have taken effect.
     :raises PlatformError: if the platform did not answer before anything
@@ -127,18 +127,18 @@
     write_id: str,
     retry: _session.RetrySettings = _session.RetrySettings(),
 ) -> _apply.Applied:
-    """Drain an upstream, or put it into service again.
+    """Set an upstream's state, for example to drain it.
 
-    :param client: the platform.
-    :param operator: who asks.
+    :param client: the client of the platform.
+    :param operator: the operator.
     :param service_name: the service.
     :param upstream_name: its upstream.
     :param state: the new state.
-    :param write_id: a fresh identity, such as a random UUID.
-    :param retry: how long to go on trying.
-    :returns: the version that it became.
+    :param write_id: a new unique id, such as a random UUID.
+    :param retry: limits on retries and timeouts.
+    :returns: the new version and its differences.
     :raises SettingsError: if there is no such upstream.
-    :raises ConflictError: if others were first at each try.
+    :raises ConflictError: if every attempt conflicted with another write.
     :raises OutcomeUnknownError: if it may or may not have taken effect.
     :raises PlatformError: if the platform did not answer before anything
         was changed.
@@ -157,10 +157,10 @@
 ) -> _subtree.Subtree:
     """Read a team's subtree.
 
-    :param client: the platform.
+    :param client: the client of the platform.
     :param team: the team.
-    :param retry: how long to go on trying.
-    :returns: the version in the store; version 0 where there is none.
+    :param retry: limits on retries and timeouts.
+    :returns: the stored version; version 0 if there is none.
     :raises PlatformError: if the platform does not answer.
     """
     session = _session.Session(f'{team}/read', retry)
@@ -174,12 +174,12 @@
     members: Iterable[member.Member],
     retry: _session.RetrySettings = _session.RetrySettings(),
 ) -> _status.Status:
-    """Tell which version of each subtree is in force where.
+    """Collect which instances apply which version of each subtree.
 
-    :param client: the platform.
+    :param client: the client of the platform.
     :param members: the instances, as one of them reports them.
-    :param retry: how long to go on trying.
-    :returns: the rows for operators.
+    :param retry: limits on retries and timeouts.
+    :returns: the status.
     :raises PlatformError: if the platform does not answer.
     """
     session = _session.Session('status', retry)
--- a/skylarkfold/teams/_session.py
+++ b/skylarkfold/teams/_session.py
@@ -1,7 +1,7 @@
-"""Calls of one operator's command, as steps without I/O.
+"""Platform calls of one operator's command, as generators without I/O.
 
-A step is a generator: it yields the calls and pauses that it needs, is
-sent the answers, and returns its result. A runner performs them.
+A generator of type ``Steps`` yields calls and pauses, is sent the answers
+and returns its result. A runner performs the calls and pauses.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """Wait before the next call."""
+    """A pause before the next call."""
 
     seconds: float
 
@@ -38,14 +38,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetrySettings:
-    """How long an operator's command goes on trying.
-
-    :param tries: calls of one step at most.
-    :param pause_seconds: the first pause between them; it doubles.
-    :param maximum_pause_seconds: the longest.
-    :param claim_patience_seconds: how long a claim that another team is
-        about to use must stand unchanged before it is taken over.
-    :param timeout_seconds: how long a call waits for its answer.
+    """Limits on the retries and timeouts of an operator's command.
+
+    :param tries: the maximum number of attempts of one operation.
+    :param pause_seconds: the pause after the first attempt; it doubles with
+        each further one.
+    :param maximum_pause_seconds: the maximum pause.
+    :param claim_patience_seconds: how long another team's pending claim
+        must be unchanged before it is taken over.
+    :param timeout_seconds: the timeout of a call.
     """
 
     tries: int = 7
@@ -56,12 +57,12 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a conditional write of an operator ended.
+    """The outcome of an operator's conditional write.
 
-    ``DONE``: it took effect. ``LOST``: it never will. ``REPLACED``: others
-    have written since; it may have stood before. ``UNKNOWN``: the platform
-    stayed away; it may still take effect. ``UNSENT``: it never will, since
-    the platform refused it.
+    ``DONE``: it took effect. ``LOST``: it conflicted and never takes
+    effect. ``REPLACED``: there are later writes; it may have taken effect
+    before them. ``UNKNOWN``: the platform did not answer; it may still take
+    effect. ``UNSENT``: the platform refused it; it never takes effect.
     """
 
     DONE = 'done'
@@ -72,11 +73,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Settled:
-    """The outcome of a write and what was read meanwhile.
+class WriteResult:
+    """The outcome of a write, with the object if it was read.
 
-    :param outcome: how it ended.
-    :param current: what stands there, where it had to be read.
+    :param outcome: the outcome.
+    :param current: the current object; None if it was not read.
     """
 
     outcome: Outcome
@@ -91,14 +92,14 @@
 
 
 class Session:
-    """The calls of one command and what it has seen already.
+    """The platform calls of one command, with monotonic reads.
 
-    Nothing older than what it has seen is taken from the platform. Once the
-    store has come back from an older copy, its word counts from there.
+    Answers older than an earlier one are rejected. A later era, which the
+    store starts when it is restored from an older copy, resets this.
 
-    :param write_id: the identity of the command's write, unique among all
-        writes; the jitter comes from it.
-    :param settings: how long to go on trying.
+    :param write_id: the unique id of the command's write; also the seed of
+        the jitter.
+    :param settings: limits on retries and timeouts.
     """
 
     def __init__(
@@ -112,7 +113,7 @@
         self._era = 0
 
     def record_version(self, path: str, version: int) -> None:
-        """Note that a version exists; older ones are not taken any more.
+        """Record that a version exists, so that older ones are rejected.
 
         :param path: the object.
         :param version: its version.
@@ -120,9 +121,9 @@
         self._versions[path] = max(version, self._versions.get(path, 0))
 
     def pause(self, number: int) -> Pause:
-        """Make the pause after a try that failed.
+        """Return the pause after a failed attempt.
 
-        :param number: how many tries failed before.
+        :param number: the number of earlier failed attempts.
         :returns: the pause, with jitter.
         """
         seconds = self.settings.pause_seconds * 2.0 ** min(number, 30)
@@ -130,7 +131,7 @@
         return Pause(seconds * self._generator.uniform(0.5, 1.0))
 
     def count_tries(self) -> Iterator[int]:
-        """Count the tries that a step may make."""
+        """Return an iterator over the numbers of the allowed attempts."""
         return iter(range(self.settings.tries))
 
     def read(self, path: str) -> Steps[platform_api.StoredObject | None]:
@@ -138,13 +139,15 @@
 
         :param path: its path.
         :returns: the object, None if there is none.
-        :raises PlatformError: if no answer comes that is recent enough.
+        :raises PlatformError: if there is no sufficiently recent answer.
         """
         for number in self.count_tries():
             answer = yield platform_api.ReadObject(path)
             if answer.status in (_Status.OK, _Status.NOT_FOUND):
                 found = answer.find_object(path)
-                if self._follow(answer) and self._take_version(path, found):
+                if self._accept_era(answer) and self._accept_version(
+                    path, found
+                ):
                     return found
             yield self.pause(number)
         raise errors.PlatformError(f'{path} could not be read')
@@ -156,72 +159,81 @@
 
         :param prefix: the prefix.
         :returns: the objects.
-        :raises PlatformError: if no answer comes that is recent enough.
+        :raises PlatformError: if there is no sufficiently recent answer.
         """
         for number in self.count_tries():
             answer = yield platform_api.ListObjects(prefix)
-            if answer.status is _Status.OK and self._take_list(prefix, answer):
+            if answer.status is _Status.OK and self._accept_list(
+                prefix, answer
+            ):
                 return [e for e in answer.objects if e.value is not None]
             yield self.pause(number)
         raise errors.PlatformError(f'{prefix} could not be read')
 
-    def write(self, write: platform_api.WriteObject) -> Steps[Settled]:
-        """Carry out a conditional write and settle a lost answer.
+    def write(self, write: platform_api.WriteObject) -> Steps[WriteResult]:
+        """Perform a conditional write; read the object if no answer came.
 
-        :param write: the write; its value must be unique to the writer.
+        :param write: the write; its value must be unique to this command.
         :returns: its outcome.
         """
         answer_lost = False
-        was_refused = False
+        has_conflicted = False
         for number in self.count_tries():
             answer = yield write
             if answer.status is _Status.OK:
                 self.record_version(write.path, write.expected_version + 1)
-                return Settled(Outcome.DONE)
+                return WriteResult(Outcome.DONE)
             if answer.status in (_Status.CONFLICT, _Status.NOT_FOUND):
-                was_refused = True
+                has_conflicted = True
                 if not answer_lost:
-                    return Settled(Outcome.LOST)
+                    return WriteResult(Outcome.LOST)
             answer_lost |= answer.status is _Status.UNKNOWN
             if answer_lost:
-                settled = yield from self._read_back(write, was_refused)
-                if settled is not None:
-                    return settled
+                result = yield from self._read_back(write, has_conflicted)
+                if result is not None:
+                    return result
             yield self.pause(number)
         if not answer_lost:
-            return Settled(Outcome.UNSENT)
-        return Settled(Outcome.REPLACED if was_refused else Outcome.UNKNOWN)
+            return WriteResult(Outcome.UNSENT)
+        return WriteResult(
+            Outcome.REPLACED if has_conflicted else Outcome.UNKNOWN
+        )
 
     def _read_back(
-        self, write: platform_api.WriteObject, was_refused: bool
-    ) -> Steps[Settled | None]:
+        self, write: platform_api.WriteObject, has_conflicted: bool
+    ) -> Steps[WriteResult | None]:
         answer = yield platform_api.ReadObject(write.path)
         if answer.status not in (_Status.OK, _Status.NOT_FOUND):
             return None
-        if not self._follow(answer):
+        if not self._accept_era(answer):
             return None
         current = answer.find_object(write.path)
-        finding = store.resolve_write(write, current, was_refused)
-        if finding not in _OUTCOMES:
+        resolved = store.resolve_write(write, current, has_conflicted)
+        if resolved not in _OUTCOMES:
             return None
-        self._take_version(write.path, current)
-        return Settled(_OUTCOMES[finding], current)
+        self._accept_version(write.path, current)
+        return WriteResult(_OUTCOMES[resolved], current)
+
+    def _accept_era(self, answer: platform_api.PlatformAnswer) -> bool:
+        """Return whether an answer is of the latest era.
 
-    def _follow(self, answer: platform_api.PlatformAnswer) -> bool:
-        """Follow the store into a later era, in which it counts anew.
+        A later era resets the recorded versions and revision.
 
-        :param answer: its answer.
-        :returns: whether that is not of an era that has ended.
+        :param answer: the platform's answer.
+        :returns: False if the answer is of an earlier era.
         """
-        told = (answer.revision, *(each.revision for each in answer.objects))
-        era = revisions.get_era(max(told))
+        revisions_in_answer = (
+            answer.revision,
+            *(each.revision for each in answer.objects),
+        )
+        era = revisions.get_era(max(revisions_in_answer))
         if era > self._era:
             self._era = era
             self._versions.clear()
             self._revision = 0
         return era == self._era
 
-    def _take_version(
+    def _accept_version(
         self, path: str, found: platform_api.StoredObject | None
     ) -> bool:
         version = store.get_version(found)
@@ -230,18 +242,18 @@
         self.record_version(path, version)
         return True
 
-    def _take_list(
+    def _accept_list(
         self, prefix: str, answer: platform_api.PlatformAnswer
     ) -> bool:
-        if not self._follow(answer) or answer.revision < self._revision:
+        if not self._accept_era(answer) or answer.revision < self._revision:
             return False
         listed = {each.path: each for each in answer.objects}
         for path in list(self._versions):
-            if path.startswith(prefix) and not self._take_version(
+            if path.startswith(prefix) and not self._accept_version(
                 path, listed.get(path)
             ):
                 return False
         for path, each in listed.items():
-            self._take_version(path, each)
+            self._accept_version(path, each)
         self._revision = answer.revision
         return True
--- a/skylarkfold/teams/_snapshot.py
+++ b/skylarkfold/teams/_snapshot.py
@@ -1,4 +1,4 @@
-"""The subtrees and claims that a command depends on."""
+"""Snapshot of the subtrees and claims that a command depends on."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class Snapshot:
     """The platform's objects as one command read them.
 
     :param base: the subtree of the command's team.
-    :param claims: all claims with their objects' versions, by path; they
-        are no older than the subtrees.
+    :param claims: all claims with their objects' versions, by path, read
+        after the subtrees.
     :param others: the other teams' subtrees, by team.
     """
 
@@ -26,7 +26,7 @@
     others: dict[str, _subtree.Subtree]
 
     def find_holder(self, path: str) -> str:
-        """Find the team that holds a claim, or uses it without one.
+        """Find the team that holds a claim or uses its path without one.
 
         :param path: the claim's path.
         :returns: the team's name, empty if there is none.
@@ -39,17 +39,19 @@
         return ''
 
 
-def read_view(session: _session.Session, team: str) -> _session.Steps[View]:
-    """Read what a change of a team's subtree depends on.
+def read_snapshot(
+    session: _session.Session, team: str
+) -> _session.Steps[Snapshot]:
+    """Read the subtrees and claims that a change of a subtree depends on.
 
     :param session: the command's calls.
-    :param team: the team.
-    :returns: the view.
+    :param team: the team whose subtree is to be changed.
+    :returns: the snapshot.
     :raises PlatformError: if the platform does not answer.
     """
     subtrees, claims = yield from _read_objects(session)
     base = subtrees.pop(team, None) or _subtree.read_subtree(team, None)
-    return View(base, claims, subtrees)
+    return Snapshot(base, claims, subtrees)
 
 
 def read_all(
@@ -69,7 +71,8 @@
 def _read_objects(
     session: _session.Session,
 ) -> _session.Steps[tuple[dict[str, _subtree.Subtree], Claims]]:
-    # The subtrees go first: a change relies on claims that are no older.
+    # Subtrees are read first, since a change relies on claims that are at
+    # least as new.
     subtrees = {}
     for each in (yield from session.list_objects(_subtree.TEAM_PREFIX)):
         name = _subtree.parse_team(each.path)
--- a/skylarkfold/teams/_status.py
+++ b/skylarkfold/teams/_status.py
@@ -1,4 +1,4 @@
-"""Which version of each subtree is in force where."""
+"""Status of subtrees' versions on the instances."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TeamStatus:
-    """How far the last version of a team's subtree has come.
+    """Rollout status of the latest version of a team's subtree.
 
     :param team: the team.
-    :param version: the last version in the store.
-    :param operator: who wrote it, empty where it is not known.
-    :param code: why it can't be used, empty where it can; the version
-        before it stays in force then.
-    :param reason: the same for a person, with the place.
-    :param in_force: how many instances have it.
-    :param lagging: the names of those that have not.
-    :param not_in_force: services that another team's claim keeps out.
+    :param version: the latest version in the store.
+    :param operator: the operator who wrote it, empty if unknown.
+    :param code: the error code if the version is invalid, else empty; the
+        last valid version stays in force.
+    :param reason: the path and text of the error, else empty.
+    :param in_force: the number of instances that apply the version.
+    :param lagging: the names of the instances that don't.
+    :param not_in_force: services that are not in force since another team
+        holds a claim that they need.
     """
 
     team: str
@@ -41,16 +42,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceLag:
-    """How far an instance is behind the store.
+    """Lag of an instance behind the store.
 
     :param name: the instance.
     :param zone: its availability zone.
-    :param state: how it is seen.
-    :param era: the era of the store that is known there: how often it has
-        come back from an older copy.
-    :param revision: the revision of that era in force there, as last
-        reported.
-    :param missing: how many teams' last versions it does not have yet.
+    :param state: its membership state.
+    :param era: the era of the store that the instance knows, which grows
+        each time the store is restored from an older copy.
+    :param revision: the revision of that era that the instance applies, as
+        last reported.
+    :param missing: the number of teams whose latest version it lacks.
     """
 
     name: str
@@ -63,10 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """What is in force where.
+    """Status of all teams and instances.
 
-    :param teams: by name.
-    :param instances: by name; those that are gone are left out.
+    :param teams: the teams, sorted by name.
+    :param instances: the reachable instances, sorted by name.
     """
 
     teams: tuple[TeamStatus, ...]
@@ -78,42 +79,45 @@
     claims: Mapping[str, _claim.Claim],
     members: Iterable[member.Member],
 ) -> Status:
-    """Compare the store with what the instances report.
+    """Compare the store with the revisions that instances report.
 
-    :param subtrees: the last version of each team's subtree.
-    :param claims: by path.
+    :param subtrees: the latest version of each team's subtree.
+    :param claims: the claims by path.
     :param members: the instances as one of them sees them.
-    :returns: the rows for operators.
+    :returns: the status.
     """
-    known = sorted(subtrees, key=lambda each: each.team)
-    present = [each for each in members if each.state.is_reachable]
-    present.sort(key=lambda each: each.name)
-    lost = _list_lost(known, claims)
+    sorted_subtrees = sorted(subtrees, key=lambda each: each.team)
+    reachable = [each for each in members if each.state.is_reachable]
+    reachable.sort(key=lambda each: each.name)
+    lost_services = _list_lost_by_team(sorted_subtrees, claims)
     return Status(
-        tuple(_build_team(each, present, lost) for each in known),
-        tuple(_build_instance(each, known) for each in present),
+        tuple(
+            _build_team(each, reachable, lost_services)
+            for each in sorted_subtrees
+        ),
+        tuple(_build_instance(each, sorted_subtrees) for each in reachable),
     )
 
 
-def _list_lost(
+def _list_lost_by_team(
     subtrees: list[_subtree.Subtree], claims: Mapping[str, _claim.Claim]
 ) -> dict[str, list[str]]:
     usable: dict[str, settings.TeamSettings] = {
         each.team: each.settings for each in subtrees if each.settings
     }
-    lost: dict[str, list[str]] = {}
+    lost_services: dict[str, list[str]] = {}
     for each in _configuration_builder.list_lost_services(usable, claims):
-        lost.setdefault(each.team, []).append(each.name)
-    return lost
+        lost_services.setdefault(each.team, []).append(each.name)
+    return lost_services
 
 
 def _build_team(
     subtree: _subtree.Subtree,
-    present: list[member.Member],
-    lost: dict[str, list[str]],
+    reachable: list[member.Member],
+    lost_services: dict[str, list[str]],
 ) -> TeamStatus:
     lagging = tuple(
-        each.name for each in present if each.revision < subtree.revision
+        each.name for each in reachable if each.revision < subtree.revision
     )
     error = subtree.error
     return TeamStatus(
@@ -122,9 +126,9 @@
         operator=subtree.operator,
         code=error.code if error else '',
         reason=f'{error.path}: {error.reason}' if error else '',
-        in_force=len(present) - len(lagging),
+        in_force=len(reachable) - len(lagging),
         lagging=lagging,
-        not_in_force=tuple(lost.get(subtree.team, ())),
+        not_in_force=tuple(lost_services.get(subtree.team, ())),
     )
 
 
--- a/skylarkfold/teams/_subtree.py
+++ b/skylarkfold/teams/_subtree.py
@@ -1,4 +1,4 @@
-"""A team's subtree as the platform keeps it."""
+"""A team's subtree as the platform stores it."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     """One version of a team's subtree.
 
     :param team: the team's name.
-    :param version: its version, 0 where there is none yet.
+    :param version: its version, 0 if there is none yet.
     :param revision: the platform's revision at which it was written.
     :param services: the plain services object, as it was written.
-    :param settings: what it says; None if it can't be used.
-    :param error: why it can't be used.
+    :param settings: the parsed settings; None if they are invalid.
+    :param error: the error if the settings are invalid.
     """
 
     team: str
@@ -39,15 +39,15 @@
 
     @property
     def operator(self) -> str:
-        """Who wrote it, empty where it is not known."""
+        """The operator who wrote this version, empty if unknown."""
         found = self.find_writer(self.version)
         return found.operator if found else ''
 
     def find_writer(self, version: int) -> settings.WriteEntry | None:
-        """Find who wrote this version or one before it.
+        """Find the write of this version or an earlier one.
 
         :param version: the version.
-        :returns: the write, None where it is not known.
+        :returns: the write, None if it is unknown.
         """
         for entry in self.list_history():
             if entry.version == version:
@@ -55,7 +55,7 @@
         return None
 
     def list_history(self) -> tuple[settings.WriteEntry, ...]:
-        """List the writes that led here, the last one first."""
+        """List this version's write and earlier ones, latest first."""
         if self.settings is None or self.settings.write is None:
             return ()
         record = self.settings.write
@@ -83,7 +83,7 @@
 
 
 def build_subtree_path(team: str) -> str:
-    """Name the object of a team's subtree.
+    """Build the path of the object of a team's subtree.
 
     :param team: the team's name.
     :returns: the object's path.
@@ -92,10 +92,10 @@
 
 
 def parse_team(path: str) -> str | None:
-    """Find the team whose subtree an object is.
+    """Parse the team's name from the path of a subtree's object.
 
     :param path: the object's path.
-    :returns: the team's name, None if it is no subtree.
+    :returns: the team's name, None if the object is no subtree.
     """
     team = path.removeprefix(TEAM_PREFIX).removesuffix(_SETTINGS_SUFFIX)
     return team if build_subtree_path(team) == path else None
@@ -104,35 +104,35 @@
 def read_subtree(
     team: str, found: platform_api.StoredObject | None
 ) -> Subtree:
-    """Read a subtree.
+    """Decode a subtree.
 
     :param team: the team's name.
-    :param found: the platform's object, None where there is none.
-    :returns: the subtree; one that can't be used has its error.
+    :param found: the platform's object, None if there is none.
+    :returns: the subtree; if it is invalid, with the error.
     """
     if found is None or found.value is None:
         empty = settings.TeamSettings(team, {})
         return Subtree(team, 0, 0, {}, empty)
     version, revision = found.version, found.revision
     try:
-        read = settings.read_team_settings(found.value, found.path, team)
-        plain = settings.parse_document(found.value, found.path)
+        parsed = settings.read_team_settings(found.value, found.path, team)
+        document = settings.parse_document(found.value, found.path)
     except errors.SettingsError as error:
         return Subtree(team, version, revision, {}, None, error)
-    return Subtree(team, version, revision, plain['services'], read)
+    return Subtree(team, version, revision, document['services'], parsed)
 
 
 def encode_subtree(
     base: Subtree, services: dict[str, Any], write_id: str, operator: str
 ) -> bytes:
-    """Write the next version of a subtree.
+    """Encode the next version of a subtree.
 
-    :param base: the version that it is to replace.
+    :param base: the version to replace.
     :param services: the plain services object.
-    :param write_id: the write's identity.
-    :param operator: who asked for it.
+    :param write_id: the write's unique id.
+    :param operator: the operator who makes the write.
     :returns: strict JSON.
-    :raises SettingsError: if it is longer than settings may be.
+    :raises SettingsError: if it exceeds the size limit of settings.
     """
     history = [
         dataclasses.asdict(each)
@@ -160,7 +160,7 @@
     upstream_name: str,
     state: service.UpstreamState,
 ) -> dict[str, Any]:
-    """Change the state of one upstream and nothing else.
+    """Return a copy of the services with one upstream's state changed.
 
     :param base: the version to change.
     :param service_name: the service.
@@ -180,5 +180,5 @@
     except KeyError as error:
         source = build_subtree_path(base.team)
         path = settings.join_path(path, str(error.args[0]))
-        raise errors.SettingsError('is not there', source, path) from None
+        raise errors.SettingsError('does not exist', source, path) from None
     return services
