--- a/skylarkfold/teams/_apply.py
+++ b/skylarkfold/teams/_apply.py
@@ -68,7 +68,9 @@
     old = snapshot.base.settings or settings.TeamSettings(new.team, {})
     warnings = _preview.list_warnings(old, new)
     if snapshot.base.error is not None:
-        warnings += (f'the current version is invalid: {snapshot.base.error}',)
+        warnings += (
+            f'the present version is unusable: {snapshot.base.error}',
+        )
     warnings += tuple(_list_foreign_claims(snapshot, new))
     return _preview.Preview(
         new.team,
--- a/skylarkfold/tests/teams/__init__.py
+++ b/skylarkfold/tests/teams/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of skylarkfold.teams."""
+"""Tests of teams."""
--- a/skylarkfold/tests/teams/commands.py
+++ b/skylarkfold/tests/teams/commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands that tests perform call by call."""
+"""Operators' commands that tests run call by call."""
 
 from skylarkfold import errors
 from skylarkfold import platform_api
@@ -11,59 +11,65 @@
 
 
 class Command:
-    """One operator's command and its result."""
+    """One operator's command, its next request and its result."""
 
     def __init__(self, steps, team, write_id, services):
         self.steps = steps
         self.team = team
         self.write_id = write_id
         self.services = services
-        self.wanted = None
+        self.next_request = None
         self.applied = None
         self.error = None
         self.ended_at = 0
 
     def send(self, answer, revision):
-        """Give an answer; tell whether the command goes on."""
+        """Send an answer; return whether the command continues."""
         try:
-            self.wanted = self.steps.send(answer)
+            self.next_request = self.steps.send(answer)
             return True
         except StopIteration as ended:
             self.applied = ended.value
         except errors.SkylarkfoldError as error:
             self.error = error
         self.ended_at = revision
-        self.wanted = None
+        self.next_request = None
         return False
 
     @property
     def has_ended(self):
         return self.applied is not None or self.error is not None
 
-    def go(self, platform, until='', answer=None):
-        """Go on without a fault, up to before a write under a path.
+    def run_until(self, platform, until='', answer=None):
+        """Run until the end or until the next request writes to a path.
 
-        :param answer: may give another answer to a call.
+        :param platform: the fake platform.
+        :param until: the path's prefix; empty to run until the end.
+        :param answer: returns a substitute answer to a call, or None.
         """
-        if self.wanted is None and not self.has_ended:
+        if self.next_request is None and not self.has_ended:
             self.send(None, platform.revision)
-        while self.wanted is not None and not self.is_at(until):
+        while self.next_request is not None and not self.is_before_write(
+            until
+        ):
             received = None
-            if not isinstance(self.wanted, teams.Pause):
-                received = answer(self.wanted) if answer else None
-                received = received or platform.perform(self.wanted)
+            if not isinstance(self.next_request, teams.Pause):
+                received = answer(self.next_request) if answer else None
+                received = received or platform.perform(self.next_request)
             self.send(received, platform.revision)
         return self
 
-    def is_at(self, path):
-        """Tell whether a write under a path is next."""
-        if not path or not isinstance(self.wanted, platform_api.WriteObject):
+    def is_before_write(self, path):
+        """Return whether the next request is a write under a path."""
+        if not path or not isinstance(
+            self.next_request, platform_api.WriteObject
+        ):
             return False
-        return self.wanted.path.startswith(path)
+        return self.next_request.path.startswith(path)
 
 
 def build_services(team, kind):
-    """Each team's service has a name of its own, but the same address."""
+    """Build a team's services: a distinct name, but the same address."""
     if kind == 'leave':
         return {}
     upstream = {'address': f'10.9.9.{ord(team[0])}:1', 'zone': 'z'}
@@ -71,7 +77,7 @@
 
 
 def start(team, kind, write_id):
-    """Begin a command: to use the address, to leave it, or to drain."""
+    """Start a command that uses the address, stops using it, or drains."""
     services = build_services(team, kind)
     operator = teams.Operator(write_id, team)
     session = teams.Session(write_id)
--- a/skylarkfold/tests/teams/test_apply.py
+++ b/skylarkfold/tests/teams/test_apply.py
@@ -38,22 +38,22 @@
 
 
 def run(platform, steps, answer=None):
-    """Run steps; answer(call, number) may give another answer."""
+    """Run steps; ``answer(call, number)`` may return another answer."""
     received = None
     number = 0
     while True:
         try:
-            wanted = steps.send(received)
+            request = steps.send(received)
         except StopIteration as ended:
             return ended.value
         received = None
-        if isinstance(wanted, teams.Pause):
+        if isinstance(request, teams.Pause):
             continue
         number += 1
         if answer is not None:
-            received = answer(wanted, number)
+            received = answer(request, number)
         if received is None:
-            received = platform.perform(wanted)
+            received = platform.perform(request)
 
 
 class ApplyTest(testtools.TestCase):
@@ -87,21 +87,21 @@
         path = '/claims/address/10.0.0.2:1'
         self.assertEqual('desk', self.get_holder(path))
 
-    def test_each_team_changes_only_its_own(self):
+    def test_other_team_s_subtree_is_refused(self):
         text = json.dumps({'services': {}})
         new = settings.read_team_settings(text, 'f', 'desk')
         steps = teams.apply(teams.Session('a'), VAULT, new, {})
         self.assertRaises(errors.RightError, run, self.platform, steps)
         self.assertEqual([], self.platform.log)
 
-    def test_a_conflict_names_who_was_first(self):
+    def test_conflict_names_the_earlier_writer(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
         error = self.assertRaises(
             errors.ConflictError, self.apply, DESK, 'b', version=0
         )
         self.assertIn('version 1 by ana', error.reason)
 
-    def test_an_address_has_one_owner(self):
+    def test_address_has_one_holder(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
         error = self.assertRaises(
             errors.ClaimError,
@@ -113,12 +113,12 @@
         )
         self.assertIn('team desk', error.reason)
         self.assertEqual(0, self.read('vault').version)
-        # This one was claimed first and has been given back.
+        # This claim was taken first and has been released.
         self.assertEqual('', self.get_holder('/claims/address/10.0.0.0:1'))
         self.apply(DESK, 'c')
         self.apply(VAULT, 'd', y='10.0.0.1:1')
 
-    def test_a_subtree_written_without_claims_counts(self):
+    def test_subtree_written_without_claims_blocks_others(self):
         value = json.dumps({'services': build_services(x='10.0.0.1:1')})
         self.platform.perform(
             platform_api.WriteObject(PATH, value.encode(), 0)
@@ -127,18 +127,18 @@
             errors.ClaimError, self.apply, VAULT, 'b', y='10.0.0.1:1'
         )
 
-    def test_a_claim_that_nobody_came_to_use_is_taken_over(self):
+    def test_pending_claim_of_a_crashed_command_is_taken_over(self):
         steps = start_apply(DESK, build_services(x='10.0.0.1:1'), 'a')
         received = None
         while not isinstance(
-            wanted := steps.send(received), platform_api.WriteObject
-        ) or not wanted.path.startswith('/teams/'):
-            received = self.platform.perform(wanted)
-        # Here the command of team desk ends without a trace.
+            request := steps.send(received), platform_api.WriteObject
+        ) or not request.path.startswith('/teams/'):
+            received = self.platform.perform(request)
+        # The command of team desk crashes here.
         applied = self.apply(VAULT, 'b', y='10.0.0.1:1')
         self.assertEqual(1, applied.version)
 
-    def test_an_unusable_subtree_keeps_its_claims(self):
+    def test_invalid_subtree_keeps_its_claims(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
         self.platform.perform(platform_api.WriteObject(PATH, b'{', 1))
         self.assertRaises(
@@ -146,15 +146,15 @@
         )
         self.assertEqual(3, self.apply(DESK, 'c', x='10.0.0.1:1').version)
 
-    def lose(self, path, performs, times=1):
-        """Lose the answers to the first writes of an object."""
-        left = [times]
+    def lose_answers(self, path, performs, times=1):
+        """Build an answer function that loses answers to writes of a path."""
+        remaining = [times]
 
         def answer(call, number):
             is_write = isinstance(call, platform_api.WriteObject)
-            if not is_write or call.path != path or not left[0]:
+            if not is_write or call.path != path or not remaining[0]:
                 return None
-            left[0] -= 1
+            remaining[0] -= 1
             if performs:
                 self.platform.perform(call)
             return fakes.LOST
@@ -162,17 +162,17 @@
         return answer
 
     def test_lost_answers(self):
-        answer = self.lose(PATH, performs=True)
+        answer = self.lose_answers(PATH, performs=True)
         applied = self.apply(DESK, 'a', answer, x='10.0.0.1:1')
         self.assertEqual(1, applied.version)
-        answer = self.lose(PATH, performs=False)
+        answer = self.lose_answers(PATH, performs=False)
         applied = self.apply(DESK, 'b', answer, x='10.0.0.1:1')
         self.assertEqual(2, applied.version)
-        answer = self.lose('/claims/service/z', performs=True)
+        answer = self.lose_answers('/claims/service/z', performs=True)
         applied = self.apply(DESK, 'c', answer, z='10.0.0.1:1')
         self.assertEqual((3, 3), (applied.version, self.read().version))
 
-    def write_on_top(self, performs):
+    def lose_and_overwrite(self, performs):
         def answer(call, number):
             is_write = isinstance(call, platform_api.WriteObject)
             if not is_write or call.path != PATH or self.read().version:
@@ -185,23 +185,23 @@
 
         return answer
 
-    def test_a_lost_answer_and_others_on_top(self):
+    def test_lost_answer_and_later_writes(self):
         applied = self.apply(
-            DESK, 'a', self.write_on_top(True), x='10.0.0.1:2'
+            DESK, 'a', self.lose_and_overwrite(True), x='10.0.0.1:2'
         )
         self.assertEqual((1, 3), (applied.version, self.read().version))
 
-    def test_a_lost_write_and_others_on_top(self):
+    def test_lost_write_and_later_writes(self):
         self.assertRaises(
             errors.ConflictError,
             self.apply,
             DESK,
             'a',
-            self.write_on_top(False),
+            self.lose_and_overwrite(False),
             x='10.0.0.1:2',
         )
 
-    def test_a_platform_that_is_down(self):
+    def test_unavailable_platform(self):
         error = self.assertRaises(
             errors.PlatformError,
             self.apply,
@@ -211,7 +211,7 @@
         )
         self.assertEqual('platform-unavailable', error.code)
 
-    def test_a_platform_that_takes_no_claims(self):
+    def test_platform_refuses_claims(self):
         calls = []
 
         def answer(call, number):
@@ -230,7 +230,7 @@
         self.assertEqual('platform-unavailable', error.code)
         self.assertLess(len(calls), 12)
 
-    def test_a_platform_that_is_lost_before_the_claims_are_confirmed(self):
+    def test_platform_fails_before_claims_are_confirmed(self):
         def answer(call, number):
             return fakes.LOST if self.read().version else None
 
@@ -247,7 +247,7 @@
         applied = self.apply(DESK, 'b', x='10.0.0.1:1')
         self.assertEqual((2, ()), (applied.version, applied.not_in_force))
 
-    def test_a_platform_that_goes_down_during_the_write(self):
+    def test_platform_fails_during_the_write(self):
         def answer(call, number):
             return fakes.LOST if number > 2 else None
 
@@ -266,7 +266,7 @@
         )
         return run(self.platform, steps, answer)
 
-    def test_a_drain_changes_one_setting(self):
+    def test_drain_changes_one_setting(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
         before = self.read().services
         applied = self.drain('u-2')
@@ -279,7 +279,7 @@
         error = self.assertRaises(errors.SettingsError, self.drain, 'u-3')
         self.assertEqual('$.services.x.upstreams.u-3', error.path)
 
-    def test_a_drain_joins_a_racing_change(self):
+    def test_drain_keeps_a_concurrent_change(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
 
         def answer(call, number):
@@ -291,7 +291,7 @@
         self.assertEqual(3, applied.version)
         self.assertEqual({'x', 'y'}, set(self.read().services))
 
-    def test_a_preview(self):
+    def test_preview(self):
         self.apply(DESK, 'a', x='10.0.0.1:1')
         self.apply(VAULT, 'b', y='10.0.0.2:1')
         services = build_services(x='10.0.0.2:1')
@@ -299,14 +299,14 @@
         text = json.dumps({'services': services})
         new = settings.read_team_settings(text, 'f', 'desk')
         steps = teams.preview(teams.Session('p'), DESK, new)
-        shown = run(self.platform, steps)
-        self.assertEqual(1, shown.version)
+        previewed = run(self.platform, steps)
+        self.assertEqual(1, previewed.version)
         self.assertEqual(
             [
                 'services.x.address: 10.0.0.1:1 -> 10.0.0.2:1',
                 'services.x.upstreams.u-1: removed',
             ],
-            [str(each) for each in shown.changes],
+            [str(each) for each in previewed.changes],
         )
         self.assertEqual(
             (
@@ -314,5 +314,5 @@
                 'x.u-1 is removed without a drain: its flows break',
                 '/claims/address/10.0.0.2:1 is held by team vault',
             ),
-            shown.warnings,
+            previewed.warnings,
         )
--- a/skylarkfold/tests/teams/test_configuration_builder.py
+++ b/skylarkfold/tests/teams/test_configuration_builder.py
@@ -1,4 +1,4 @@
-"""Tests of putting all teams' services together."""
+"""Tests of merging all teams' services."""
 
 import testtools
 
@@ -28,12 +28,12 @@
         self.assertEqual(7, built.revision)
         return sorted(built.services)
 
-    def test_without_claims_the_first_team_has_the_address(self):
+    def test_first_team_gets_an_unclaimed_address(self):
         self.assertEqual(['y'], self.list_in_force({}))
         lost = teams.list_lost_services(self.subtrees, {})
         self.assertEqual(['x'], [each.name for each in lost])
 
-    def test_the_claim_decides(self):
+    def test_claim_decides_the_holder(self):
         path = '/claims/address/10.0.0.1:1'
         claims = {path: teams.read_claim(path, b'{"team": "b"}')}
         self.assertEqual(['x'], self.list_in_force(claims))
@@ -42,6 +42,6 @@
         claims = {path: teams.read_claim(path, b'{"team": "c"}')}
         self.assertEqual([], self.list_in_force(claims))
 
-    def test_claims_that_cannot_be_read_do_not_count(self):
+    def test_malformed_claims_are_ignored(self):
         for value in (None, b'', b'\xff', b'{"team": 1}', b'[' * 9999):
             self.assertIsNone(teams.read_claim('/claims/x', value))
--- a/skylarkfold/tests/teams/test_race.py
+++ b/skylarkfold/tests/teams/test_race.py
@@ -1,8 +1,8 @@
-"""Operators of several teams racing over a faulty platform.
+"""Concurrent commands of several teams on a faulty platform.
 
-The oracle is the platform's log. It checks that each operator's result is
-true, that no accepted change loses what it claimed, that no name or
-address has two owners, and that no crash does permanent damage.
+The platform's log is the oracle: each command's result must be correct, no
+applied change may lose its claims, no name or address may have two holders,
+and no crash may leave a state that later commands can't repair.
 """
 
 import json
@@ -26,8 +26,8 @@
 OPERATIONS = strategies.tuples(
     strategies.sampled_from(TEAMS), strategies.sampled_from(KINDS)
 )
-# One command goes on up to before its next write; its fate is that of the
-# write with which it begins.
+# In each turn one command runs until its next write. The fate applies to
+# the write at the start of the turn.
 TURNS = strategies.tuples(
     strategies.integers(0, 3),
     strategies.sampled_from(FATES),
@@ -40,7 +40,7 @@
 
 
 class Race:
-    """Commands over one platform, and the judge of their results."""
+    """Concurrent commands on one platform, with checks of their results."""
 
     def __init__(self):
         self.platform = fakes.FakePlatform()
@@ -81,12 +81,12 @@
 
     def run_to_write(self, command, behind):
         while command in self.running:
-            if isinstance(command.wanted, platform_api.WriteObject):
+            if isinstance(command.next_request, platform_api.WriteObject):
                 return
             self.perform(command, 'whole', behind)
 
     def perform(self, command, fate, behind):
-        wanted = command.wanted
+        wanted = command.next_request
         answer = fakes.LOST
         if isinstance(wanted, teams.Pause):
             answer = None
@@ -116,7 +116,7 @@
         self.check_repair()
 
     def replay(self):
-        """Yield each revision's subtrees and claims."""
+        """Yield the subtrees and claims of each revision."""
         subtrees = {}
         claims = {}
         yield {}, {}
@@ -151,7 +151,7 @@
             assert not versions, command.error
 
     def check_claims(self, command, history):
-        """A claim stays while all later versions use it."""
+        """Check that claims persist while all later versions use them."""
         paths = {
             path
             for each in command.services.values()
@@ -181,7 +181,7 @@
             assert len(used) == len(set(used)), used
 
     def check_repair(self):
-        """Whatever was left behind, each team can clear and start anew."""
+        """Check that each team can release and use the address again."""
         for team in TEAMS:
             self.run_alone(team, 'leave')
         for team in TEAMS:
--- a/skylarkfold/tests/teams/test_runner.py
+++ b/skylarkfold/tests/teams/test_runner.py
@@ -1,4 +1,4 @@
-"""Tests of the commands against a client."""
+"""Tests of the commands with a platform client."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class Client:
-    """A client of a platform that can be down."""
+    """A client of a fake platform that can be unavailable."""
 
     def __init__(self):
         self.platform = fakes.FakePlatform()
@@ -29,19 +29,19 @@
 
 
 class RunnerTest(testtools.TestCase):
-    def test_commands(self):
+    def test_all_commands(self):
         asyncio.run(self.run_commands(Client(), test_apply.DESK))
 
-    async def run_commands(self, client, ana):
-        shown = await teams.preview_change(client, ana, FILE, 'f')
-        self.assertEqual((0, 1), (shown.version, len(shown.changes)))
+    async def run_commands(self, client, operator):
+        previewed = await teams.preview_change(client, operator, FILE, 'f')
+        self.assertEqual((0, 1), (previewed.version, len(previewed.changes)))
         applied = await teams.apply_settings(
-            client, ana, FILE, 'f', 'w1', expected_version=0
+            client, operator, FILE, 'f', 'w1', expected_version=0
         )
         self.assertEqual(1, applied.version)
         draining = service.UpstreamState.DRAINING
         applied = await teams.set_upstream_state(
-            client, ana, 'x', 'u-1', draining, 'w2'
+            client, operator, 'x', 'u-1', draining, 'w2'
         )
         self.assertEqual(2, applied.version)
         subtree = await teams.read_settings(client, 'desk')
@@ -50,7 +50,7 @@
         status = await teams.collect_status(client, [])
         self.assertEqual([2], [each.version for each in status.teams])
 
-    def test_a_platform_that_is_down(self):
+    def test_unavailable_platform(self):
         client = Client()
         client.is_down = True
         command = teams.apply_settings(
@@ -58,7 +58,7 @@
         )
         self.assertRaises(errors.PlatformError, asyncio.run, command)
 
-    def test_a_file_that_cannot_be_used(self):
+    def test_invalid_file(self):
         command = teams.apply_settings(
             Client(), test_apply.DESK, '{', 'f', 'w1'
         )
--- a/skylarkfold/tests/teams/test_status.py
+++ b/skylarkfold/tests/teams/test_status.py
@@ -1,4 +1,4 @@
-"""Tests of what is in force where."""
+"""Tests of the status of subtrees and instances."""
 
 import testtools
 
@@ -15,7 +15,7 @@
 
 
 class StatusTest(testtools.TestCase):
-    def test_lagging_unusable_and_lost(self):
+    def test_lagging_invalid_and_lost_subtrees(self):
         desk = test_apply.build_services(x='10.0.0.1:1')
         empty = teams.read_subtree('desk', None)
         value = teams.encode_subtree(empty, desk, 'w1', 'ana')
