--- a/skylarkfold/teams/_apply.py
+++ b/skylarkfold/teams/_apply.py
@@ -242,8 +242,8 @@
             return True
         # Another team can't take over a claim of this team without a
         # pending version while the subtree, read before it, uses it.
-        is_settled = claim.team == self._new.team and not claim.pending
-        return not is_settled or path not in self._base.list_claims()
+        is_confirmed = claim.team == self._new.team and not claim.pending
+        return not is_confirmed or path not in self._base.list_claims()
 
     def write(self, required: frozenset[str]) -> _session.Steps[Applied]:
         write = platform_api.WriteObject(
@@ -279,8 +279,8 @@
         writer = current.find_writer(self._version)
         if writer is None:
             return _Outcome.UNKNOWN
-        is_ours = writer.id == self._session.write_id
-        return _Outcome.DONE if is_ours else _Outcome.LOST
+        is_own = writer.id == self._session.write_id
+        return _Outcome.DONE if is_own else _Outcome.LOST
 
     def _build_write_error(
         self, outcome: _session.Outcome, result: _session.WriteResult
@@ -307,7 +307,7 @@
         names = ', '.join(lost)
         state = 'undone' if undone else 'still written, but not in force'
         raise errors.ClaimError(
-            f'{names} went to another team meanwhile; version'
+            f'{names}: taken over by another team meanwhile; version'
             f' {self._version} is {state}'
         )
 
--- a/skylarkfold/tests/teams/test_race.py
+++ b/skylarkfold/tests/teams/test_race.py
@@ -86,16 +86,16 @@
             self.perform(command, 'whole', behind)
 
     def perform(self, command, fate, behind):
-        wanted = command.next_request
+        request = command.next_request
         answer = fakes.LOST
-        if isinstance(wanted, teams.Pause):
+        if isinstance(request, teams.Pause):
             answer = None
         elif fate == 'whole':
-            answer = self.platform.perform(wanted, behind)
+            answer = self.platform.perform(request, behind)
         elif fate == 'lost after':
-            self.platform.perform(wanted)
-        elif fate == 'late' and isinstance(wanted, platform_api.WriteObject):
-            self.delayed.append(wanted)
+            self.platform.perform(request)
+        elif fate == 'late' and isinstance(request, platform_api.WriteObject):
+            self.delayed.append(request)
         elif fate == 'shed':
             answer = fakes.SHED
         self.send(command, answer)
@@ -132,12 +132,12 @@
 
     def list_versions(self, command):
         path = teams.build_subtree_path(command.team)
-        wanted = json.dumps(command.write_id).encode()
+        encoded_id = json.dumps(command.write_id).encode()
         return [
             each.version
             for each in self.platform.log
             if each.path == path
-            and b'"write":{"version":%d,"id":%s' % (each.version, wanted)
+            and b'"write":{"version":%d,"id":%s' % (each.version, encoded_id)
             in each.value
         ]
 
