--- a/skylarkfold/settings/_conversion.py
+++ b/skylarkfold/settings/_conversion.py
@@ -66,10 +66,10 @@
 
 
 def _find_optional_converter(target_type: Any) -> _Converter:
-    known = [
+    value_types = [
         each for each in typing.get_args(target_type) if each is not type(None)
     ]
-    return _find_converter(known[0])
+    return _find_converter(value_types[0])
 
 
 def _convert_member(
@@ -93,7 +93,7 @@
     :param target_type: the dataclass.
     """
 
-    __slots__ = ('_fields', '_dataclass', '_required')
+    __slots__ = ('_dataclass', '_fields', '_required')
 
     def __init__(self, target_type: type) -> None:
         hints = typing.get_type_hints(target_type, include_extras=True)
--- a/skylarkfold/settings/_document.py
+++ b/skylarkfold/settings/_document.py
@@ -17,8 +17,8 @@
     """Parse JSON with comments.
 
     Strict JSON is parsed by the standard library. Any other text is parsed
-    by json5, which is much slower (about 17 microseconds a byte) and has a
-    lower size limit for that reason.
+    by json5, which is much slower and has a lower size limit for that
+    reason.
 
     :param text: the text, or its bytes in UTF-8.
     :param source: the file or object path, for error messages.
