--- a/skylarkfold/explain/__init__.py
+++ b/skylarkfold/explain/__init__.py
@@ -1,11 +1,11 @@
 """Stories from the log lines of several instances: a flow's, a fleet's."""
 
 from skylarkfold.explain._clocks import align_clocks
+from skylarkfold.explain._history import build_history
+from skylarkfold.explain._history import FlowHistory
+from skylarkfold.explain._history_text import format_history
 from skylarkfold.explain._line import Line
 from skylarkfold.explain._line import read_lines
-from skylarkfold.explain._story import build_history
-from skylarkfold.explain._story import FlowHistory
-from skylarkfold.explain._text import format_history
 from skylarkfold.explain._timeline import Entry
 from skylarkfold.explain._timeline import format_entries
 from skylarkfold.explain._timeline import list_entries
--- a/skylarkfold/explain/_text.py
+++ b/skylarkfold/explain/_history_text.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
+from skylarkfold.explain import _history
 from skylarkfold.explain import _line
-from skylarkfold.explain import _story
 
 _SHOWN_FIRST = ('reason', 'upstream')
 
 
-def format_history(story: _story.FlowHistory) -> str:
+def format_history(story: _history.FlowHistory) -> str:
     """Write a story.
 
     :param story: the story.
@@ -40,7 +40,7 @@
     )
 
 
-def _describe_clocks(story: _story.FlowHistory) -> list[str]:
+def _describe_clocks(story: _history.FlowHistory) -> list[str]:
     instances = sorted({line.instance for line in story.own_lines})
     lines = [f'times by the clock of {story.reference}']
     for name in instances:
@@ -60,7 +60,7 @@
     return lines
 
 
-def _summarize(story: _story.FlowHistory) -> list[str]:
+def _summarize(story: _history.FlowHistory) -> list[str]:
     own = story.own_lines
     instances = list(dict.fromkeys(line.instance for line in own))
     last = own[-1]
--- a/skylarkfold/report/__init__.py
+++ b/skylarkfold/report/__init__.py
@@ -3,6 +3,8 @@
 from skylarkfold.report._capacity_page import format_capacity
 from skylarkfold.report._comparison import compare
 from skylarkfold.report._comparison import Difference
+from skylarkfold.report._growth import compare_sizes
+from skylarkfold.report._growth import Growth
 from skylarkfold.report._journal import compare_entries
 from skylarkfold.report._journal import is_entry
 from skylarkfold.report._journal import read_entry
@@ -12,8 +14,6 @@
 from skylarkfold.report._results import Results
 from skylarkfold.report._results import write_results
 from skylarkfold.report._run import run_measures
-from skylarkfold.report._sizes import compare_sizes
-from skylarkfold.report._sizes import Growth
 
 __all__ = [
     'Difference',
--- a/skylarkfold/report/_capacity.py
+++ b/skylarkfold/report/_capacity.py
@@ -6,11 +6,11 @@
 from collections.abc import Iterator
 
 from skylarkfold import flows
-from skylarkfold.report import _control_lines
+from skylarkfold.report import _control_figures
 from skylarkfold.report import _figure
-from skylarkfold.report import _size
-from skylarkfold.report import _slopes
-from skylarkfold.report import _token_lines
+from skylarkfold.report import _measured_figures
+from skylarkfold.report import _target_size
+from skylarkfold.report import _token_figures
 
 # The measures' own sizes.
 MEASURED_INSTANCES = 8
@@ -42,9 +42,9 @@
 
     def __init__(
         self,
-        slopes: _slopes.Slopes,
-        size: _size.Size,
-        budget: _size.Budget,
+        slopes: _measured_figures.Slopes,
+        size: _target_size.Size,
+        budget: _target_size.Budget,
     ) -> None:
         self._slopes = slopes
         self._size = size
@@ -60,7 +60,7 @@
             *self._list_members(),
             *self._list_watchers(),
             *self._list_request_homes(),
-            *_token_lines.list_token_figures(
+            *_token_figures.list_token_figures(
                 self._slopes, self._size, self._budget
             ),
         ]
@@ -217,7 +217,8 @@
             role,
             f'traffic of {writes:,} table writes a day, received once',
             _work_out(
-                lambda each: writes * each / _size.DAY_SECONDS, per_table
+                lambda each: writes * each / _target_size.DAY_SECONDS,
+                per_table,
             ),
             'bytes/s',
             'sizes: bytes_per_table',
@@ -273,14 +274,16 @@
         yield _figure.Figure(
             role,
             f'processor time of {changes:,} changes a day',
-            _work_out(lambda each: changes * each / _size.DAY_SECONDS, change),
+            _work_out(
+                lambda each: changes * each / _target_size.DAY_SECONDS, change
+            ),
             'cores',
             'sizes: change_seconds',
             carried,
             self._budget.core_share,
         )
 
-    def _find_control(self, line: _control_lines.Line) -> float | None:
+    def _find_control(self, line: _control_figures.Line) -> float | None:
         where: dict[str, str | int] = {'nodes': self._size.nodes}
         if line.scenario:
             where['scenario'] = line.scenario
@@ -289,7 +292,7 @@
     def _list_members(self) -> Figures:
         role = 'Member and relay'
         carried = 'rings, rumors, zone summaries: membership/'
-        for each in _control_lines.list_control_lines(self._budget):
+        for each in _control_figures.list_control_lines(self._budget):
             yield _figure.Figure(
                 role,
                 each.name,
@@ -307,7 +310,9 @@
         yield _figure.Figure(
             role,
             f'processor time of {changes} joins and leaves a day',
-            _work_out(lambda each: changes * each / _size.DAY_SECONDS, loss),
+            _work_out(
+                lambda each: changes * each / _target_size.DAY_SECONDS, loss
+            ),
             'cores',
             'sizes: member_seconds',
             'ranking: flows/_ranking.py',
@@ -317,7 +322,7 @@
     def _list_watchers(self) -> Figures:
         role = 'Watcher of the platform'
         carried = 'a few watchers a zone: distribution/_feed.py'
-        for each in _control_lines.list_platform_lines(self._budget):
+        for each in _control_figures.list_platform_lines(self._budget):
             yield _figure.Figure(
                 role,
                 f'{each.name}, whole fleet, worst scenario',
--- a/skylarkfold/report/_capacity_page.py
+++ b/skylarkfold/report/_capacity_page.py
@@ -7,11 +7,11 @@
 
 from skylarkfold.report import _capacity
 from skylarkfold.report import _figure
+from skylarkfold.report import _measured_figures
 from skylarkfold.report import _page
 from skylarkfold.report import _results
-from skylarkfold.report import _size
-from skylarkfold.report import _slopes
 from skylarkfold.report import _sweep
+from skylarkfold.report import _target_size
 
 HEADING = """\
 # Capacity
@@ -65,8 +65,8 @@
     :param sweeps: of the users' bench.
     :returns: the page in Markdown.
     """
-    size, budget = _size.Size(), _size.Budget()
-    slopes = _slopes.Slopes(results)
+    size, budget = _target_size.Size(), _target_size.Budget()
+    slopes = _measured_figures.Slopes(results)
     figures = _capacity.Capacity(slopes, size, budget).list_figures()
     text = SIZE_TEXT.format(
         **{name: getattr(size, name) for name in size.__slots__}
--- a/skylarkfold/report/_control_lines.py
+++ b/skylarkfold/report/_control_figures.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from skylarkfold.report import _size
+from skylarkfold.report import _target_size
 
 DAILY = '1200-changes-a-day'
 
@@ -27,7 +27,7 @@
     scenario: str = ''
 
 
-def list_control_lines(budget: _size.Budget) -> list[Line]:
+def list_control_lines(budget: _target_size.Budget) -> list[Line]:
     """List the figures of membership and distribution.
 
     :param budget: what there may be.
@@ -86,7 +86,7 @@
     ]
 
 
-def list_platform_lines(budget: _size.Budget) -> list[Line]:
+def list_platform_lines(budget: _target_size.Budget) -> list[Line]:
     """List the figures of calls to the platform.
 
     :param budget: what there may be.
--- a/skylarkfold/report/_token_lines.py
+++ b/skylarkfold/report/_token_figures.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 
 from skylarkfold.report import _figure
-from skylarkfold.report import _size
-from skylarkfold.report import _slopes
+from skylarkfold.report import _measured_figures
+from skylarkfold.report import _target_size
 
 _ROLE = 'Instance whose packets carry tokens'
 _RELAY = 'beacons and watchers: relay/'
@@ -14,7 +14,9 @@
 
 
 def list_token_figures(
-    slopes: _slopes.Slopes, size: _size.Size, budget: _size.Budget
+    slopes: _measured_figures.Slopes,
+    size: _target_size.Size,
+    budget: _target_size.Budget,
 ) -> Iterator[_figure.Figure]:
     """List the figures of affinity by token and the relay.
 
@@ -132,7 +134,9 @@
     rest = find('bytes_per_second', 'rest')
     lasting = None
     if change is not None and rest is not None:
-        lasting = rest + change * size.changes_per_day / _size.DAY_SECONDS
+        lasting = (
+            rest + change * size.changes_per_day / _target_size.DAY_SECONDS
+        )
     yield build(
         f'traffic at {size.changes_per_day:,} changes of the routes a day',
         lasting,
--- a/skylarkfold/tests/measure/test_relay.py
+++ b/skylarkfold/tests/measure/test_relay.py
@@ -4,9 +4,9 @@
 
 from skylarkfold.measure import relay
 from skylarkfold import report
-from skylarkfold.report import _size
-from skylarkfold.report import _slopes
-from skylarkfold.report import _token_lines
+from skylarkfold.report import _measured_figures
+from skylarkfold.report import _target_size
+from skylarkfold.report import _token_figures
 
 
 class RelayTest(testtools.TestCase):
@@ -39,15 +39,17 @@
         self.assertLess(result.calls_per_second, 6.0)
 
     def test_the_capacity_page_has_its_figures(self):
-        size = _size.Size(nodes=7)
+        size = _target_size.Size(nodes=7)
         rows = [
             {name: getattr(each, name) for name in each.__slots__}
             for each in self.results.values()
         ]
         measured = report.Measured('', '', '', '', 1.0, rows)
-        slopes = _slopes.Slopes(report.Results({'relay': measured}))
+        slopes = _measured_figures.Slopes(report.Results({'relay': measured}))
         figures = list(
-            _token_lines.list_token_figures(slopes, size, _size.Budget())
+            _token_figures.list_token_figures(
+                slopes, size, _target_size.Budget()
+            )
         )
         self.assertEqual([], [each for each in figures if each.value is None])
         lasting = figures[-1]
