--- a/skylarkfold/explain/__init__.py
+++ b/skylarkfold/explain/__init__.py
@@ -1,4 +1,4 @@
-"""Stories from the log lines of several instances: a flow's, a fleet's."""
+"""Flow histories and fleet timelines from the logs of several instances."""
 
 from skylarkfold.explain._clocks import align_clocks
 from skylarkfold.explain._history import build_history
--- a/skylarkfold/explain/_history.py
+++ b/skylarkfold/explain/_history.py
@@ -1,4 +1,4 @@
-"""What happened to one flow, in order."""
+"""Events that concern one flow, in order of time."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from skylarkfold.explain import _clocks
 from skylarkfold.explain import _line
 
-# Lines about the process and its surroundings belong to the story from so
-# long before the flow's first line.
+# Related lines, about the process or the flow's upstreams, are included from
+# this long before the flow's first line.
 _BEFORE_SECONDS = 5.0
-# Those about its upstream and the process until so long after: the longest
-# life of a flow, whose later packets have no lines of their own.
+# They are included until this long after it: the longest lifetime of a flow,
+# whose later packets are not logged.
 _AFTER_SECONDS = 60.0
-_PROCESS = (
+_PROCESS_MESSAGES = (
     'started',
     'ready',
     'stopping',
@@ -24,33 +24,36 @@
     'relay',
     'lines left out',
 )
-_KNOWLEDGE = ('routes', 'evacuation')
-_UPSTREAM = ('upstream', 'health', 'speed')
+_STATE_MESSAGES = ('routes', 'evacuation')
+_UPSTREAM_MESSAGES = ('upstream', 'health', 'speed')
 
 
 class Event:
-    """A line with its time on the reference clock.
+    """A log line with its time relative to the start of the flow.
 
-    :param at: seconds after the flow's first line.
+    :param seconds_from_start: time since the flow's first line, on the
+        reference clock; negative for earlier lines.
     :param line: the line.
-    :param is_flow: whether it names the flow.
+    :param is_flow: whether the line names the flow.
     """
 
-    __slots__ = ('at', 'is_flow', 'line')
+    __slots__ = ('is_flow', 'line', 'seconds_from_start')
 
-    def __init__(self, at: float, line: _line.Line, is_flow: bool) -> None:
-        self.at = at
+    def __init__(
+        self, seconds_from_start: float, line: _line.Line, is_flow: bool
+    ) -> None:
+        self.seconds_from_start = seconds_from_start
         self.line = line
         self.is_flow = is_flow
 
 
 class FlowHistory:
-    """All that is known of one flow.
+    """The log lines that concern one flow.
 
-    :param flow: the flow, as far as it was given.
-    :param events: in order.
-    :param clocks: the clocks of the instances in it.
-    :param reference: whose clock the times are of.
+    :param flow: the flow, as the caller of :func:`build_history` gave it.
+    :param events: the events in order of time.
+    :param clocks: the clock of each instance by name.
+    :param reference: the instance on whose clock the times are given.
     """
 
     __slots__ = ('clocks', 'events', 'flow', 'reference')
@@ -74,73 +77,78 @@
 
     @property
     def upstreams(self) -> list[str]:
-        """The upstreams that it was sent to, in order."""
-        found: list[str] = []
+        """The upstreams that the flow was sent to, in order of first use."""
+        names: list[str] = []
         for line in self.own_lines:
             name = line.get('upstream')
-            if name and name not in found:
-                found.append(name)
-        return found
+            if name and name not in names:
+                names.append(name)
+        return names
 
 
 def build_history(flow: str, lines: Iterable[_line.Line]) -> FlowHistory:
-    """Put the story of a flow together.
+    """Collect the history of a flow.
 
-    :param flow: ``CALLER:PORT>ADDRESS:PORT``, or the caller's part of it.
-    :param lines: the lines of all instances.
-    :returns: the story; without events if no line names the flow.
+    :param flow: ``CALLER:PORT>ADDRESS:PORT``, or just ``CALLER:PORT``.
+    :param lines: the log lines of all instances.
+    :returns: the history; without events if no line names the flow.
     """
-    known = list(lines)
-    reference, clocks = _clocks.align_clocks(known)
-    times = {id(line): _clocks.adjust(line, clocks) for line in known}
-    own = [line for line in known if _names(line, flow)]
-    if not own:
+    all_lines = list(lines)
+    reference, clocks = _clocks.align_clocks(all_lines)
+    times = {
+        id(line): _clocks.to_reference_time(line, clocks) for line in all_lines
+    }
+    flow_lines = [line for line in all_lines if _names_flow(line, flow)]
+    if not flow_lines:
         return FlowHistory(flow, [], clocks, reference)
-    begin = min(times[id(line)] for line in own)
-    instances = {line.instance for line in own}
-    upstreams = {line.get('upstream') for line in own} - {''}
+    start = min(times[id(line)] for line in flow_lines)
+    instances = {line.instance for line in flow_lines}
+    upstreams = {line.get('upstream') for line in flow_lines} - {''}
     events = []
-    for line in known:
-        is_own = _names(line, flow)
-        at = times[id(line)]
-        is_near = -_BEFORE_SECONDS <= at - begin <= _AFTER_SECONDS
-        if is_own or (
+    for line in all_lines:
+        is_flow = _names_flow(line, flow)
+        time = times[id(line)]
+        is_near = -_BEFORE_SECONDS <= time - start <= _AFTER_SECONDS
+        if is_flow or (
             is_near
             and line.instance in instances
             and _is_context(line, upstreams)
         ):
-            events.append(Event(at - begin, line, is_own))
-    events += _find_knowledge(known, times, instances, begin)
-    # Lines of one instance keep their order, whatever its clock does.
-    events.sort(key=lambda event: (event.at, event.line.place))
+            events.append(Event(time - start, line, is_flow))
+    events += _find_state_at_start(all_lines, times, instances, start)
+    # Lines with equal times keep the order in which they were read.
+    events.sort(key=lambda event: (event.seconds_from_start, event.line.place))
     return FlowHistory(flow, events, clocks, reference)
 
 
-def _names(line: _line.Line, flow: str) -> bool:
-    named = line.get('flow')
-    return named == flow or named.startswith(f'{flow}>')
+def _names_flow(line: _line.Line, flow: str) -> bool:
+    line_flow = line.get('flow')
+    return line_flow == flow or line_flow.startswith(f'{flow}>')
 
 
 def _is_context(line: _line.Line, upstreams: set[str]) -> bool:
-    if line.message in _PROCESS:
+    if line.message in _PROCESS_MESSAGES:
         return True
-    return line.message in _UPSTREAM and line.get('upstream') in upstreams
+    return (
+        line.message in _UPSTREAM_MESSAGES
+        and line.get('upstream') in upstreams
+    )
 
 
-def _find_knowledge(
+def _find_state_at_start(
     lines: list[_line.Line],
     times: dict[int, float],
     instances: set[str],
-    begin: float,
+    start: float,
 ) -> list[Event]:
-    """Find what each instance had in force when the flow began."""
-    last: dict[tuple[str, str], _line.Line] = {}
+    """Find the routes and evacuations in force when the flow started."""
+    latest: dict[tuple[str, str], _line.Line] = {}
     for line in lines:
-        is_before = times[id(line)] <= begin
-        if line.message in _KNOWLEDGE and is_before:
-            last[(line.instance, line.message)] = line
+        is_before = times[id(line)] <= start
+        if line.message in _STATE_MESSAGES and is_before:
+            latest[(line.instance, line.message)] = line
     return [
-        Event(times[id(line)] - begin, line, False)
-        for (name, _), line in last.items()
+        Event(times[id(line)] - start, line, False)
+        for (name, _), line in latest.items()
         if name in instances
     ]
--- a/skylarkfold/explain/_history_text.py
+++ b/skylarkfold/explain/_history_text.py
@@ -1,55 +1,57 @@
-"""A story as text for a person."""
+"""Formatting of a flow's history as text."""
 
 from __future__ import annotations
 
 from skylarkfold.explain import _history
 from skylarkfold.explain import _line
 
-_SHOWN_FIRST = ('reason', 'upstream')
+_FIRST_FIELDS = ('reason', 'upstream')
 
 
-def format_history(story: _history.FlowHistory) -> str:
-    """Write a story.
+def format_history(history: _history.FlowHistory) -> str:
+    """Format a flow's history.
 
-    :param story: the story.
-    :returns: lines of text.
+    :param history: the history.
+    :returns: the text, one line for each event, with the clocks before and
+        a summary after them.
     """
-    if not story.events:
-        return f'no line names {story.flow}\n'
-    lines = [f'flow {story.flow}', *_describe_clocks(story), '']
-    for event in story.events:
+    if not history.events:
+        return f'no line names {history.flow}\n'
+    lines = [f'flow {history.flow}', *_describe_clocks(history), '']
+    for event in history.events:
         mark = '*' if event.is_flow else ' '
         line = event.line
-        text = _describe(line)
+        text = _format_fields(line)
         lines.append(
-            f'{event.at:+9.3f} s {mark} {line.instance}: {line.message} {text}'
+            f'{event.seconds_from_start:+9.3f} s {mark} {line.instance}: '
+            f'{line.message} {text}'
         )
-    lines += ['', *_summarize(story)]
+    lines += ['', *_summarize(history)]
     return '\n'.join(lines) + '\n'
 
 
-def _describe(line: _line.Line) -> str:
-    shown = {name: line.get(name) for name in _SHOWN_FIRST if line.get(name)}
+def _format_fields(line: _line.Line) -> str:
+    first = {name: line.get(name) for name in _FIRST_FIELDS if line.get(name)}
     rest = {
         name: value
         for name, value in line.fields.items()
-        if name not in (*_SHOWN_FIRST, 'flow')
+        if name not in (*_FIRST_FIELDS, 'flow')
     }
     return ' '.join(
-        f'{name}={value}' for name, value in {**shown, **rest}.items()
+        f'{name}={value}' for name, value in {**first, **rest}.items()
     )
 
 
-def _describe_clocks(story: _history.FlowHistory) -> list[str]:
-    instances = sorted({line.instance for line in story.own_lines})
-    lines = [f'times by the clock of {story.reference}']
+def _describe_clocks(history: _history.FlowHistory) -> list[str]:
+    instances = sorted({line.instance for line in history.own_lines})
+    lines = [f'times by the clock of {history.reference}']
     for name in instances:
-        clock = story.clocks[name]
-        if name == story.reference:
+        clock = history.clocks[name]
+        if name == history.reference:
             continue
-        if clock.marks:
+        if clock.shared_changes:
             lines.append(
-                f'  {name}: {clock.offset:+.3f} s, from {clock.marks}'
+                f'  {name}: {clock.offset:+.3f} s, from {clock.shared_changes}'
                 ' changes that both have seen'
             )
         else:
@@ -60,18 +62,18 @@
     return lines
 
 
-def _summarize(story: _history.FlowHistory) -> list[str]:
-    own = story.own_lines
-    instances = list(dict.fromkeys(line.instance for line in own))
-    last = own[-1]
+def _summarize(history: _history.FlowHistory) -> list[str]:
+    flow_lines = history.own_lines
+    instances = list(dict.fromkeys(line.instance for line in flow_lines))
+    last = flow_lines[-1]
     lines = [
         f'instances: {", ".join(instances)}',
-        f'upstreams: {", ".join(story.upstreams) or "none"}',
+        f'upstreams: {", ".join(history.upstreams) or "none"}',
         f'last decision: {last.message} {last.get("reason")}',
     ]
     left_out = [
         event
-        for event in story.events
+        for event in history.events
         if event.line.message == 'lines left out'
     ]
     if left_out:
--- a/skylarkfold/explain/_line.py
+++ b/skylarkfold/explain/_line.py
@@ -1,4 +1,4 @@
-"""Log lines as they were written."""
+"""Log lines, parsed from the JSON that instances write."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 from collections.abc import Iterator
 import json
 
-_OWN = ('time', 'level', 'instance', 'message')
+_COMMON_FIELDS = ('time', 'level', 'instance', 'message')
 
 
 class Line:
     """One log line.
 
-    :param place: its number among all lines that were read.
-    :param time: the instance's time of day.
-    :param instance: who wrote it.
-    :param message: what happened.
-    :param fields: what decided it.
+    :param place: its index in the text that was read.
+    :param time: the time of day on the instance's clock, in seconds.
+    :param instance: the instance that wrote it.
+    :param message: the kind of event.
+    :param fields: all other fields of the line.
     """
 
     __slots__ = ('fields', 'instance', 'message', 'place', 'time')
@@ -36,34 +36,34 @@
         self.fields = fields
 
     def get(self, name: str) -> str:
-        """Read a field as text; empty where there is none."""
+        """Return a field as text, or an empty string if it is missing."""
         return str(self.fields.get(name, ''))
 
 
 def read_lines(source: Iterable[str]) -> Iterator[Line]:
-    """Read log lines.
+    """Parse log lines.
 
-    What stands before the object, as log collectors put it there, is
-    passed over, and so is what is no line of ours.
+    Text before the JSON object, such as a log collector's prefix, is
+    ignored. Lines that are not log lines of an instance are skipped.
 
     :param source: lines of text.
     :returns: the log lines.
     """
     for place, text in enumerate(source):
-        begin = text.find('{"time"')
-        if begin < 0:
+        start = text.find('{"time"')
+        if start < 0:
             continue
         try:
-            found = json.loads(text[begin:])
+            record = json.loads(text[start:])
             yield Line(
                 place,
-                float(found['time']),
-                str(found['instance']),
-                str(found['message']),
+                float(record['time']),
+                str(record['instance']),
+                str(record['message']),
                 {
                     name: value
-                    for name, value in found.items()
-                    if name not in _OWN
+                    for name, value in record.items()
+                    if name not in _COMMON_FIELDS
                 },
             )
         except (ValueError, KeyError, TypeError):
--- a/skylarkfold/explain/_timeline.py
+++ b/skylarkfold/explain/_timeline.py
@@ -1,7 +1,7 @@
-"""What happened to a fleet, in a few lines.
+"""A timeline of a fleet, with similar log lines grouped into entries.
 
-What many instances found out at the same time is one entry: a verdict on
-each of 78 instances, or a restart of all of them.
+Lines of the same kind that many instances write at about the same time, such
+as a health verdict or a rolling restart, become one entry.
 """
 
 from __future__ import annotations
@@ -11,31 +11,33 @@
 from skylarkfold.explain import _clocks
 from skylarkfold.explain import _line
 
-# Lines of a kind that follow one another within this belong together: what
-# all instances see, they see within a second.
+# Lines of one kind belong to one entry while the gap between them is no
+# longer; all instances see the same event within a second.
 _GAP_SECONDS = 1.0
-# Written all the time, whatever happens; of doubts, verdicts are told.
-_ORDINARY = frozenset({'open', 'known', 'counters', 'doubt'})
-# The same, among lines that tell of other things as well.
-_ORDINARY_REASONS = frozenset({'advanced'})
-_SHOWN_NAMES = 3
-# Lines about a whole zone; others name theirs only beside their subject.
-_OF_ZONES = 'evacuation'
-# Lines about what an instance knows of a topic.
-_OF_TOPICS = 'relay'
+# Routine messages, which are left out. A doubt that matters is followed by a
+# health verdict.
+_ROUTINE_MESSAGES = frozenset({'open', 'known', 'counters', 'doubt'})
+# Routine reasons of messages that are not routine otherwise.
+_ROUTINE_REASONS = frozenset({'advanced'})
+_MAX_NAMES = 3
+# Lines whose subject is a zone. Other lines may have a zone field, but their
+# subject is another.
+_ZONE_MESSAGE = 'evacuation'
+# Lines whose subject is a topic.
+_TOPIC_MESSAGE = 'relay'
 
 
 class Entry:
-    """Lines of one kind that were written at about the same time.
-
-    :param kind: what they have in common: the message, its reason and what
-        else tells causes apart.
-    :param at: when the first was written, on the reference clock.
-    :ivar until: when the last was written.
-    :ivar count: how many there are.
-    :ivar instances: who wrote them.
+    """Log lines of one kind that were written at about the same time.
+
+    :param kind: the message of the lines, their reason and other fields that
+        distinguish causes.
+    :param at: the time of the first line, on the reference clock.
+    :ivar until: the time of the last line.
+    :ivar count: the number of lines.
+    :ivar instances: the instances that wrote them, in order of first line.
     :ivar subjects: the upstreams, dependencies, zones or topics that they
-        name.
+        name, in order of first line.
     """
 
     __slots__ = ('at', 'count', 'instances', 'kind', 'subjects', 'until')
@@ -51,36 +53,36 @@
     def add(self, at: float, line: _line.Line) -> None:
         """Add a line.
 
-        :param at: when it was written.
+        :param at: when it was written, on the reference clock.
         :param line: the line.
         """
         self.until = at
         self.count += 1
         self.instances[line.instance] = None
         subject = line.get('upstream') or line.get('name')
-        if line.message == _OF_ZONES:
+        if line.message == _ZONE_MESSAGE:
             subject = line.get('zone')
-        if line.message == _OF_TOPICS:
+        if line.message == _TOPIC_MESSAGE:
             subject = line.get('topic')
         if subject:
             self.subjects[subject] = None
 
 
 def list_entries(lines: Iterable[_line.Line]) -> list[Entry]:
-    """Put the lines of a fleet together.
+    """Group the log lines of a fleet into entries.
 
-    :param lines: the lines of all instances.
-    :returns: entries in the order in which they began.
+    :param lines: the log lines of all instances.
+    :returns: the entries in order of their first line.
     """
-    known = list(lines)
-    _, clocks = _clocks.align_clocks(known)
+    all_lines = list(lines)
+    _, clocks = _clocks.align_clocks(all_lines)
     timed = [
-        (_clocks.adjust(line, clocks), line)
-        for line in known
-        if line.message not in _ORDINARY
-        and line.get('reason') not in _ORDINARY_REASONS
+        (_clocks.to_reference_time(line, clocks), line)
+        for line in all_lines
+        if line.message not in _ROUTINE_MESSAGES
+        and line.get('reason') not in _ROUTINE_REASONS
     ]
-    timed.sort(key=lambda each: (each[0], each[1].place))
+    timed.sort(key=lambda item: (item[0], item[1].place))
     entries: list[Entry] = []
     latest: dict[tuple[str, ...], Entry] = {}
     for at, line in timed:
@@ -94,14 +96,14 @@
 
 
 def format_entries(entries: list[Entry]) -> str:
-    """Write entries.
+    """Format entries as text, one line each.
 
     :param entries: the entries.
     :returns: lines of text; times count from the first entry.
     """
     if not entries:
         return 'no line tells of more than ordinary work\n'
-    return ''.join(_format(each, entries[0].at) for each in entries)
+    return ''.join(_format_entry(entry, entries[0].at) for entry in entries)
 
 
 def _find_kind(line: _line.Line) -> tuple[str, ...]:
@@ -110,18 +112,18 @@
     return (line.message, *details)
 
 
-def _format(entry: Entry, zero: float) -> str:
-    span = f'{entry.at - zero:9.2f}'
+def _format_entry(entry: Entry, start: float) -> str:
+    span = f'{entry.at - start:9.2f}'
     if entry.until > entry.at:
-        span += f' to {entry.until - zero:.2f}'
+        span += f' to {entry.until - start:.2f}'
     text = f'{span} s  {" ".join(entry.kind)}: '
     if entry.subjects:
         text += f'{_list_names(entry.subjects)}; '
-    lines = 'line' if entry.count == 1 else 'lines'
-    return f'{text}{entry.count} {lines} of {_list_names(entry.instances)}\n'
+    noun = 'line' if entry.count == 1 else 'lines'
+    return f'{text}{entry.count} {noun} of {_list_names(entry.instances)}\n'
 
 
 def _list_names(names: dict[str, None]) -> str:
-    first = ', '.join(list(names)[:_SHOWN_NAMES])
-    rest = len(names) - _SHOWN_NAMES
-    return f'{first} and {rest} more' if rest > 0 else first
+    shown = ', '.join(list(names)[:_MAX_NAMES])
+    hidden = len(names) - _MAX_NAMES
+    return f'{shown} and {hidden} more' if hidden > 0 else shown
--- a/skylarkfold/tests/explain/samples.py
+++ b/skylarkfold/tests/explain/samples.py
@@ -1,10 +1,10 @@
-"""Log lines for tests."""
+"""Builder of log lines for tests of explain."""
 
 import json
 
 
-def write(time, instance, message, **fields):
-    """Write a log line as an instance does."""
+def build_line(time, instance, message, **fields):
+    """Return a log line as an instance writes it."""
     line = {
         'time': time,
         'level': 'info',
