--- a/skylarkfold/explain/_history.py
+++ b/skylarkfold/explain/_history.py
@@ -31,18 +31,16 @@
 class Event:
     """A log line with its time relative to the start of the flow.
 
-    :param seconds_from_start: time since the flow's first line, on the
-        reference clock; negative for earlier lines.
+    :param at: seconds since the flow's first line, on the reference clock;
+        negative for earlier lines.
     :param line: the line.
     :param is_flow: whether the line names the flow.
     """
 
-    __slots__ = ('is_flow', 'line', 'seconds_from_start')
+    __slots__ = ('at', 'is_flow', 'line')
 
-    def __init__(
-        self, seconds_from_start: float, line: _line.Line, is_flow: bool
-    ) -> None:
-        self.seconds_from_start = seconds_from_start
+    def __init__(self, at: float, line: _line.Line, is_flow: bool) -> None:
+        self.at = at
         self.line = line
         self.is_flow = is_flow
 
@@ -117,7 +115,7 @@
             events.append(Event(time - start, line, is_flow))
     events += _find_state_at_start(all_lines, times, instances, start)
     # Lines with equal times keep the order in which they were read.
-    events.sort(key=lambda event: (event.seconds_from_start, event.line.place))
+    events.sort(key=lambda event: (event.at, event.line.place))
     return FlowHistory(flow, events, clocks, reference)
 
 
--- a/skylarkfold/explain/_history_text.py
+++ b/skylarkfold/explain/_history_text.py
@@ -23,8 +23,7 @@
         line = event.line
         text = _format_fields(line)
         lines.append(
-            f'{event.seconds_from_start:+9.3f} s {mark} {line.instance}: '
-            f'{line.message} {text}'
+            f'{event.at:+9.3f} s {mark} {line.instance}: {line.message} {text}'
         )
     lines += ['', *_summarize(history)]
     return '\n'.join(lines) + '\n'
--- a/skylarkfold/report/__init__.py
+++ b/skylarkfold/report/__init__.py
@@ -1,4 +1,4 @@
-"""Reports: all measures in one file, their page, plots and comparisons."""
+"""Results of all measures: their file, pages, plots and comparisons."""
 
 from skylarkfold.report._capacity_page import format_capacity
 from skylarkfold.report._comparison import compare
--- a/skylarkfold/report/__main__.py
+++ b/skylarkfold/report/__main__.py
@@ -1,8 +1,8 @@
-"""``python -m skylarkfold.report [NAME ...]``: what ``make measure`` runs.
+"""Command ``python -m skylarkfold.report [NAME ...]``, for ``make measure``.
 
 Runs the named measures, or all, and writes ``docs/measures.json``,
-``docs/MEASURES.md``, ``docs/CAPACITY.md`` and the plots beside them.
-Measures that are not named keep their earlier results.
+``docs/MEASURES.md``, ``docs/CAPACITY.md`` and the plots.
+Other measures keep their earlier results.
 """
 
 import pathlib
@@ -24,7 +24,7 @@
 
 
 def _write(results: _results.Results) -> None:
-    """Write the file and the pages."""
+    """Write the results file, the plots and the pages."""
     _results.write_results(results, RESULTS)
     plots = _plots.write_plots(results, PLOTS, print)
     paths = {title: f'{PLOTS.name}/{name}' for title, name in plots.items()}
@@ -36,19 +36,23 @@
 def main(names: list[str]) -> int:
     """Run measures and write the pages.
 
-    :param names: which measures; empty for all.
-    :returns: the exit status: 1 where a measure failed.
+    :param names: the names of the measures; empty for all.
+    :returns: the exit status: 1 if a measure failed, 2 for an unknown name.
     """
-    known = _run.list_measures()
-    unknown = [name for name in names if name not in known]
+    all_measures = _run.list_measures()
+    unknown = [name for name in names if name not in all_measures]
     if unknown:
-        print(f'no measure {unknown[0]!r}; there are {", ".join(known)}')
+        print(
+            f'no measure {unknown[0]!r}; there are {", ".join(all_measures)}'
+        )
         return 2
-    before = None
+    earlier = None
     if RESULTS.exists():
-        before = _results.read_results(RESULTS)
-    results = _run.run_measures(names or known, before, print, _write)
-    failed = [name for name in names or known if results.measures[name].error]
+        earlier = _results.read_results(RESULTS)
+    results = _run.run_measures(names or all_measures, earlier, print, _write)
+    failed = [
+        name for name in names or all_measures if results.measures[name].error
+    ]
     print(f'{RESULTS}, {PAGE}; failed: {", ".join(failed) or "none"}')
     return 1 if failed else 0
 
--- a/skylarkfold/report/_capacity.py
+++ b/skylarkfold/report/_capacity.py
@@ -1,4 +1,4 @@
-"""What each role needs at the full size, worked out from slopes."""
+"""Resources that each role needs at the target size."""
 
 from __future__ import annotations
 
@@ -12,91 +12,95 @@
 from skylarkfold.report import _target_size
 from skylarkfold.report import _token_figures
 
-# The measures' own sizes.
+# Size of the ``flows`` measure: instances, and the time in which flows arrive.
 MEASURED_INSTANCES = 8
 MEASURED_ARRIVAL_SECONDS = 100.0
-RULES = ('skylarkfold/continuity', 'skylarkfold/balance')
-# A change of a table is written when it is prepared, opened and closed.
+PLACEMENT_RULES = ('skylarkfold/continuity', 'skylarkfold/balance')
+# A table is written when a change is prepared, opened and closed.
 TABLE_WRITES_PER_CHANGE = 3
-HOLDERS_PER_PIN = 2
+COPIES_PER_PIN = 2
 
 Figures = Iterator[_figure.Figure]
 
 
-def _work_out(
-    compute: Callable[..., float], *slopes: float | None
+def _compute_if_measured(
+    compute: Callable[..., float], *values: float | None
 ) -> float | None:
-    """Compute a figure, or nothing where a slope is missing."""
-    if any(each is None for each in slopes):
+    """Compute a figure, or return None if a measured value is missing."""
+    if any(each is None for each in values):
         return None
-    return compute(*slopes)
+    return compute(*values)
 
 
-class Capacity:
-    """Works out all figures.
+class CapacityModel:
+    """Model of the resources that a fleet of the target size needs.
 
-    :param slopes: what the measures printed.
-    :param size: the full size.
-    :param budget: what there may be.
+    :param measured: the figures that the measures printed.
+    :param size: the target size.
+    :param budget: the resource limits.
     """
 
     def __init__(
         self,
-        slopes: _measured_figures.Slopes,
-        size: _target_size.Size,
+        measured: _measured_figures.MeasuredFigures,
+        size: _target_size.TargetSize,
         budget: _target_size.Budget,
     ) -> None:
-        self._slopes = slopes
+        self._measured = measured
         self._size = size
         self._budget = budget
 
     def list_figures(self) -> list[_figure.Figure]:
-        """List the figures of all roles."""
+        """Return the figures of all roles."""
         return [
             *self._list_data_path(),
-            *self._list_homes(),
+            *self._list_pin_homes(),
             *self._list_tables(),
             *self._list_configuration(),
             *self._list_members(),
             *self._list_watchers(),
-            *self._list_request_homes(),
+            *self._list_request_key_homes(),
             *_token_figures.list_token_figures(
-                self._slopes, self._size, self._budget
+                self._measured, self._size, self._budget
             ),
         ]
 
     def _list_data_path(self) -> Figures:
         role = 'Entry as data path'
-        packet = 'fast path of known flows: edge/_datagram.py'
-        known = self._slopes.find('datapath', 'with_logging_per_core_second')
-        new = self._slopes.find('datapath', 'new_flows_per_core_second')
+        fast_path = 'fast path of known flows: edge/_datagram.py'
+        known_rate = self._measured.find(
+            'datapath', 'with_logging_per_core_second'
+        )
+        new_flow_rate = self._measured.find(
+            'datapath', 'new_flows_per_core_second'
+        )
         yield _figure.Figure(
             role,
             'packets there and back that one process carries',
-            known,
+            known_rate,
             'packets/core-second',
             'datapath: with_logging_per_core_second',
-            packet,
+            fast_path,
             is_measured=True,
         )
         yield _figure.Figure(
             role,
             'new flows of one packet that one process carries',
-            new,
+            new_flow_rate,
             'flows/core-second',
             'datapath: new_flows_per_core_second',
             'placement: flows/_router.py',
             is_measured=True,
         )
-        needed = self._size.packets_per_node_second
+        packets = self._size.packets_per_node_second
         yield _figure.Figure(
             role,
-            f'processor time for {needed:,.0f} packets a second '
+            f'processor time for {packets:,.0f} packets a second '
             f'(assumed: one a flow in {self._size.packet_gap_seconds:g} s)',
-            _work_out(lambda rate: needed / rate, known),
+            _compute_if_measured(lambda rate: packets / rate, known_rate),
             'cores',
             'datapath: with_logging_per_core_second',
-            packet,
+            fast_path,
             budget=1.0,
         )
         open_flows = self._size.flows_per_node
@@ -104,26 +108,26 @@
             role,
             f'packets a second of each of {open_flows:,.0f} flows at which '
             'one process is full',
-            _work_out(lambda rate: rate / open_flows, known),
+            _compute_if_measured(lambda rate: rate / open_flows, known_rate),
             'packets/s',
             'datapath: with_logging_per_core_second',
-            packet,
+            fast_path,
         )
         yield _figure.Figure(
             role,
             'resident memory of a whole process, one service',
-            self._slopes.find('datapath', 'process_mb'),
+            self._measured.find('datapath', 'process_mb'),
             'MiB',
             'datapath: process_mb',
             'interpreter, libraries, sockets: daemon.py',
             self._budget.memory_mb,
             is_measured=True,
         )
-        begun = self._size.new_flows_per_node_second
+        new_flows = self._size.new_flows_per_node_second
         yield _figure.Figure(
             role,
-            f'processor time for {begun:.0f} new flows a second',
-            _work_out(lambda rate: begun / rate, new),
+            f'processor time for {new_flows:.0f} new flows a second',
+            _compute_if_measured(lambda rate: new_flows / rate, new_flow_rate),
             'cores',
             'datapath: new_flows_per_core_second',
             'placement: flows/_router.py',
@@ -131,23 +135,25 @@
         )
 
     def _find_bytes_per_new_flow(self) -> float | None:
-        """Find the control bytes of a new flow, the dearest planned run."""
+        """Return the control bytes per new flow in the costliest run."""
         costs = [
             row['control_bytes_per_node_second']
             * MEASURED_INSTANCES
             * MEASURED_ARRIVAL_SECONDS
             / row['flows']
-            for rule in RULES
-            for row in self._slopes.list_rows('flows', rule=rule, planned=True)
+            for rule in PLACEMENT_RULES
+            for row in self._measured.list_rows(
+                'flows', rule=rule, planned=True
+            )
         ]
         return max(costs, default=None)
 
-    def _list_homes(self) -> Figures:
+    def _list_pin_homes(self) -> Figures:
         role = 'Home and replica of pins'
         settings = flows.FlowSettings()
-        carried = 'pins by rendezvous hash: flows/_pins.py'
-        per_flow = self._slopes.find('flow-cost', 'bytes_per_flow')
-        all_pins = self._size.flows_per_node * HOLDERS_PER_PIN
+        mechanism = 'pins by rendezvous hash: flows/_pins.py'
+        bytes_per_flow = self._measured.find('flow-cost', 'bytes_per_flow')
+        all_pins = self._size.flows_per_node * COPIES_PER_PIN
         pins = all_pins * settings.continuity_open_share
         for name, count in (
             (f'all {all_pins:,.0f} flows pinned (all buckets open)', all_pins),
@@ -156,18 +162,22 @@
             yield _figure.Figure(
                 role,
                 f'memory, {name}',
-                _work_out(lambda each, n=count: n * each / 2**20, per_flow),
+                _compute_if_measured(
+                    lambda each, n=count: n * each / 2**20, bytes_per_flow
+                ),
                 'MiB',
                 'flow-cost: bytes_per_flow',
-                carried,
+                mechanism,
                 self._budget.memory_mb,
             )
-        per_new = self._find_bytes_per_new_flow()
-        begun = self._size.new_flows_per_node_second
+        bytes_per_new_flow = self._find_bytes_per_new_flow()
+        new_flows = self._size.new_flows_per_node_second
         yield _figure.Figure(
             role,
             'control traffic for new flows during planned changes',
-            _work_out(lambda each: begun * each, per_new),
+            _compute_if_measured(
+                lambda each: new_flows * each, bytes_per_new_flow
+            ),
             'bytes/s',
             'flows: control_bytes_per_node_second over new flows',
             'notes in batches: flows/_notes.py',
@@ -177,7 +187,9 @@
         yield _figure.Figure(
             role,
             f'handing on {pins:,.0f} pins at a planned stop, at most',
-            _work_out(lambda each: pins * each / hand_on, per_new),
+            _compute_if_measured(
+                lambda each: pins * each / hand_on, bytes_per_new_flow
+            ),
             's',
             'flows: control bytes a new flow; setting '
             'hand_on_bytes_per_second',
@@ -185,62 +197,64 @@
             settings.stop_seconds,
         )
 
-    def _find_at_size(self, field: str) -> float | None:
-        return self._slopes.find('sizes', field, services=1400)
+    def _find_at_full_size(self, field: str) -> float | None:
+        return self._measured.find('sizes', field, services=1400)
 
     def _list_tables(self) -> Figures:
         role = 'Every instance: bucket tables'
-        carried = 'tables by conditional update: flows/_table.py'
+        mechanism = 'tables by conditional update: flows/_table.py'
         yield _figure.Figure(
             role,
             'memory of the flow core with all tables',
-            self._find_at_size('flow_core_mb'),
+            self._find_at_full_size('flow_core_mb'),
             'MiB',
             'sizes: flow_core_mb',
-            carried,
+            mechanism,
             self._budget.memory_mb,
             is_measured=True,
         )
         yield _figure.Figure(
             role,
             'processor time of ticks at rest',
-            self._find_at_size('tick_share'),
+            self._find_at_full_size('tick_share'),
             'cores',
             'sizes: tick_share',
             'upkeep: flows/_upkeep.py',
             self._budget.core_share,
             is_measured=True,
         )
-        per_table = self._find_at_size('bytes_per_table')
+        bytes_per_table = self._find_at_full_size('bytes_per_table')
         writes = self._size.changes_per_day * TABLE_WRITES_PER_CHANGE
         yield _figure.Figure(
             role,
             f'traffic of {writes:,} table writes a day, received once',
-            _work_out(
+            _compute_if_measured(
                 lambda each: writes * each / _target_size.DAY_SECONDS,
-                per_table,
+                bytes_per_table,
             ),
             'bytes/s',
             'sizes: bytes_per_table',
             'distribution: distribution/_core.py',
             self._budget.bytes_per_second,
         )
-        tables = self._find_at_size('table_bytes')
+        tables = self._find_at_full_size('table_bytes')
         limit = self._budget.bytes_per_second
         yield _figure.Figure(
             role,
             'a zone is lost, all tables change: receiving them once',
-            _work_out(lambda each: each / limit, tables),
+            _compute_if_measured(lambda each: each / limit, tables),
             's',
             'sizes: table_bytes',
             'distribution: distribution/_core.py',
             self._budget.propagation_seconds,
         )
-        one = self._find_at_size('table_seconds')
+        table_seconds = self._find_at_full_size('table_seconds')
         yield _figure.Figure(
             role,
             'a zone is lost, all tables change: taking them',
-            _work_out(lambda each: each * self._size.addresses, one),
+            _compute_if_measured(
+                lambda each: each * self._size.addresses, table_seconds
+            ),
             's',
             'sizes: table_seconds',
             'flow core: flows/_core.py',
@@ -249,69 +263,73 @@
 
     def _list_configuration(self) -> Figures:
         role = 'Every instance: configuration'
-        carried = 'one configuration of all subtrees: assembly.py'
-        change = self._find_at_size('change_seconds')
+        mechanism = 'one configuration of all subtrees: assembly.py'
+        change_seconds = self._find_at_full_size('change_seconds')
         yield _figure.Figure(
             role,
             'memory',
-            self._find_at_size('configuration_mb'),
+            self._find_at_full_size('configuration_mb'),
             'MiB',
             'sizes: configuration_mb',
-            carried,
+            mechanism,
             self._budget.memory_mb,
             is_measured=True,
         )
         yield _figure.Figure(
             role,
             "one team's change: the event loop stands still for",
-            change,
+            change_seconds,
             's',
             'sizes: change_seconds',
-            carried,
+            mechanism,
             is_measured=True,
         )
         changes = self._size.changes_per_day
         yield _figure.Figure(
             role,
             f'processor time of {changes:,} changes a day',
-            _work_out(
-                lambda each: changes * each / _target_size.DAY_SECONDS, change
+            _compute_if_measured(
+                lambda each: changes * each / _target_size.DAY_SECONDS,
+                change_seconds,
             ),
             'cores',
             'sizes: change_seconds',
-            carried,
+            mechanism,
             self._budget.core_share,
         )
 
-    def _find_control(self, line: _control_figures.Line) -> float | None:
+    def _find_control(
+        self, line: _control_figures.ControlFigure
+    ) -> float | None:
         where: dict[str, str | int] = {'nodes': self._size.nodes}
         if line.scenario:
             where['scenario'] = line.scenario
-        return self._slopes.find('control', line.field, **where)
+        return self._measured.find('control', line.field, **where)
 
     def _list_members(self) -> Figures:
         role = 'Member and relay'
-        carried = 'rings, rumors, zone summaries: membership/'
-        for each in _control_figures.list_control_lines(self._budget):
+        mechanism = 'rings, rumors, zone summaries: membership/'
+        for each in _control_figures.list_control_figures(self._budget):
             yield _figure.Figure(
                 role,
                 each.name,
                 self._find_control(each),
                 each.unit,
                 f'control: {each.field}',
-                carried,
+                mechanism,
                 each.limit,
                 is_measured=True,
             )
-        loss = self._find_at_size('member_seconds')
+        member_seconds = self._find_at_full_size('member_seconds')
         changes = 2 * (
             self._size.restarts_per_day + self._size.failures_per_day
         )
         yield _figure.Figure(
             role,
             f'processor time of {changes} joins and leaves a day',
-            _work_out(
-                lambda each: changes * each / _target_size.DAY_SECONDS, loss
+            _compute_if_measured(
+                lambda each: changes * each / _target_size.DAY_SECONDS,
+                member_seconds,
             ),
             'cores',
             'sizes: member_seconds',
@@ -321,24 +339,24 @@
 
     def _list_watchers(self) -> Figures:
         role = 'Watcher of the platform'
-        carried = 'a few watchers a zone: distribution/_feed.py'
-        for each in _control_figures.list_platform_lines(self._budget):
+        mechanism = 'a few watchers a zone: distribution/_feed.py'
+        for each in _control_figures.list_platform_figures(self._budget):
             yield _figure.Figure(
                 role,
                 f'{each.name}, whole fleet, worst scenario',
                 self._find_control(each),
                 each.unit,
                 f'control: {each.field}',
-                carried,
+                mechanism,
                 each.limit,
                 is_measured=True,
             )
 
-    def _list_request_homes(self) -> Figures:
+    def _list_request_key_homes(self) -> Figures:
         role = 'Home of request keys'
-        carried = 'keys in ranges: requests/'
-        traffic = self._slopes.find('keys', 'bytes_per_key')
-        work = self._slopes.find('keys', 'decision_us_per_key')
+        mechanism = 'keys in ranges: requests/'
+        traffic = self._measured.find('keys', 'bytes_per_key')
+        work = self._measured.find('keys', 'decision_us_per_key')
         limit = self._budget.bytes_per_second
         core = self._budget.core_share
         yield _figure.Figure(
@@ -347,23 +365,23 @@
             traffic,
             'bytes',
             'keys: bytes_per_key',
-            carried,
+            mechanism,
         )
         yield _figure.Figure(
             role,
             'keys that the whole budget of traffic carries',
-            _work_out(lambda each: limit / each, traffic),
+            _compute_if_measured(lambda each: limit / each, traffic),
             'keys/s and node',
             'keys: bytes_per_key',
-            carried,
+            mechanism,
         )
         yield _figure.Figure(
             role,
             'keys that the whole budget of processor time carries',
-            _work_out(lambda each: core * 1e6 / each, work),
+            _compute_if_measured(lambda each: core * 1e6 / each, work),
             'keys/s and node',
             'keys: decision_us_per_key',
-            carried,
+            mechanism,
         )
         yield _figure.Figure(
             role,
@@ -371,5 +389,5 @@
             None,
             'bytes',
             'no measure prints it yet',
-            carried,
+            mechanism,
         )
--- a/skylarkfold/report/_capacity_page.py
+++ b/skylarkfold/report/_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page, written from the measures' results."""
+"""The capacity page, generated from the results of the measures."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     '{zones} zones, {changes_per_day:,} changes, {failures_per_day} '
     'failures and {restarts_per_day} restarts a day'
 )
-BREAKS = """\
+LIMITS = """\
 ## What breaks first
 
 Figures with a limit, by the share of it that they use. Above 1 the
@@ -59,15 +59,15 @@
 def format_capacity(
     results: _results.Results, sweeps: Sequence[_sweep.Sweep] = ()
 ) -> str:
-    """Format the page.
+    """Format the capacity page.
 
-    :param results: all results.
-    :param sweeps: of the users' bench.
+    :param results: the results of all measures.
+    :param sweeps: the sweeps run on the users' bench.
     :returns: the page in Markdown.
     """
-    size, budget = _target_size.Size(), _target_size.Budget()
-    slopes = _measured_figures.Slopes(results)
-    figures = _capacity.Capacity(slopes, size, budget).list_figures()
+    size, budget = _target_size.TargetSize(), _target_size.Budget()
+    measured = _measured_figures.MeasuredFigures(results)
+    figures = _capacity.CapacityModel(measured, size, budget).list_figures()
     text = SIZE_TEXT.format(
         **{name: getattr(size, name) for name in size.__slots__}
     )
@@ -78,7 +78,7 @@
         bytes=budget.bytes_per_second,
     )
     parts = [heading, *_format_runs(results), *_format_roles(figures)]
-    parts += _format_breaks(figures)
+    parts += _format_limits(figures)
     parts += _format_sweeps(sweeps)
     return '\n'.join(parts)
 
@@ -129,8 +129,8 @@
     return f'| {" | ".join(cells)} |'
 
 
-def _format_breaks(figures: list[_figure.Figure]) -> Iterator[str]:
-    yield BREAKS
+def _format_limits(figures: list[_figure.Figure]) -> Iterator[str]:
+    yield LIMITS
     yield '| role | figure | share of the limit | reached at |'
     yield '| --- | --- | --- | --- |'
     limited = [each for each in figures if each.load is not None]
--- a/skylarkfold/report/_comparison.py
+++ b/skylarkfold/report/_comparison.py
@@ -1,4 +1,4 @@
-"""What changed between two results files."""
+"""Comparison of two results files."""
 
 from __future__ import annotations
 
@@ -10,14 +10,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure that differs.
+    """One figure that differs between two results files.
 
     :param measure: the measure's name.
-    :param row: what tells its row from others.
+    :param row: the label of its row.
     :param field: the figure's name.
-    :param before: its value before; None where there was none.
-    :param after: its value after; None where there is none.
-    :param ratio: after over before, None where it has no meaning.
+    :param before: the earlier value; None if there was none.
+    :param after: the later value; None if there is none.
+    :param ratio: the later value divided by the earlier one; None if either is
+        missing or the earlier one is zero.
     """
 
     measure: str
@@ -31,10 +32,10 @@
 def compare(
     before: _results.Results, after: _results.Results
 ) -> list[Difference]:
-    """List the figures that differ.
+    """Return the figures that differ.
 
-    Rows are matched by their texts and by their place among rows with
-    the same texts.
+    Rows are matched by their text values, and rows with equal texts by
+    their order.
 
     :param before: the earlier results.
     :param after: the later results.
@@ -55,17 +56,30 @@
     before: _results.Measured | None,
     after: _results.Measured | None,
 ) -> Iterator[Difference]:
-    old, new = _collect(before), _collect(after)
-    for row, field in dict.fromkeys([*old, *new]):
-        one, other = old.get((row, field)), new.get((row, field))
-        if one != other:
-            yield Difference(name, row, field, one, other, _divide(other, one))
-
-
-def _collect(
+    figures_before, figures_after = (
+        _collect_figures(before),
+        _collect_figures(after),
+    )
+    for row, field in dict.fromkeys([*figures_before, *figures_after]):
+        value_before, value_after = (
+            figures_before.get((row, field)),
+            figures_after.get((row, field)),
+        )
+        if value_before != value_after:
+            yield Difference(
+                name,
+                row,
+                field,
+                value_before,
+                value_after,
+                _compute_ratio(value_after, value_before),
+            )
+
+
+def _collect_figures(
     measured: _results.Measured | None,
 ) -> dict[tuple[str, str], float]:
-    """Map each figure's row and name to its value."""
+    """Return the value of each figure by row label and field name."""
     figures: dict[tuple[str, str], float] = {}
     seen: dict[str, int] = {}
     for row in measured.rows if measured else ():
@@ -80,7 +94,7 @@
     return figures
 
 
-def _divide(after: float | None, before: float | None) -> float | None:
+def _compute_ratio(after: float | None, before: float | None) -> float | None:
     if after is None or not before:
         return None
     return round(after / before, 3)
--- a/skylarkfold/report/_control_figures.py
+++ b/skylarkfold/report/_control_figures.py
@@ -1,4 +1,4 @@
-"""Figures that the control measure prints at the full size."""
+"""Figures taken from the control measure at the target size."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Line:
-    """A figure that a measure prints as it is.
+class ControlFigure:
+    """A figure that the control measure prints directly.
 
-    :param name: what the page calls it.
+    :param name: its name on the capacity page.
     :param unit: its unit.
     :param field: its name in the measure's results.
-    :param limit: how much there may be; None for no limit.
-    :param scenario: the scenario; empty for the worst of all.
+    :param limit: the largest allowed value; None for no limit.
+    :param scenario: the scenario; empty for the worst of all scenarios.
     """
 
     name: str
@@ -27,79 +27,81 @@
     scenario: str = ''
 
 
-def list_control_lines(budget: _target_size.Budget) -> list[Line]:
-    """List the figures of membership and distribution.
+def list_control_figures(budget: _target_size.Budget) -> list[ControlFigure]:
+    """Return the figures of membership and distribution.
 
-    :param budget: what there may be.
-    :returns: the lines.
+    :param budget: the resource limits.
+    :returns: the figures.
     """
     traffic, core = budget.bytes_per_second, budget.core_share
     return [
-        Line(
+        ControlFigure(
             'traffic at 1,200 changes a day, mean instance',
             'bytes/s',
             'bytes_per_node_second',
             traffic,
             DAILY,
         ),
-        Line(
+        ControlFigure(
             'processor time at 1,200 changes a day, mean instance',
             'cores',
             'core_share',
             core,
             DAILY,
         ),
-        Line(
+        ControlFigure(
             'traffic for seconds of the worst scenario, mean instance',
             'bytes/s',
             'bytes_per_node_second',
             traffic,
         ),
-        Line(
+        ControlFigure(
             'traffic for seconds of the worst scenario, busiest instance',
             'bytes/s',
             'bytes_worst_node_second',
             traffic,
         ),
-        Line(
+        ControlFigure(
             'processor time, busiest instance, worst scenario',
             'cores',
             'core_worst_share',
             core,
         ),
-        Line(
+        ControlFigure(
             'memory of membership and distribution',
             'MiB',
             'memory_mb',
             budget.memory_mb,
         ),
-        Line(
+        ControlFigure(
             'a change in force on the last instance, worst scenario',
             's',
             'propagation_max_s',
             budget.propagation_seconds,
         ),
-        Line(
+        ControlFigure(
             'an unannounced end known, 99th percentile', 's', 'detection_p99_s'
         ),
-        Line('instances taken for dead that ran', 'count', 'false_deaths'),
+        ControlFigure(
+            'instances taken for dead that ran', 'count', 'false_deaths'
+        ),
     ]
 
 
-def list_platform_lines(budget: _target_size.Budget) -> list[Line]:
-    """List the figures of calls to the platform.
+def list_platform_figures(budget: _target_size.Budget) -> list[ControlFigure]:
+    """Return the figures of calls to the platform.
 
-    :param budget: what there may be.
-    :returns: the lines.
+    :param budget: the resource limits.
+    :returns: the figures.
     """
     return [
-        Line(
+        ControlFigure(
             'reads, waiting watches included',
             'calls/s',
             'platform_reads_per_second',
             budget.platform_reads_per_second,
         ),
-        Line(
+        ControlFigure(
             'writes by membership and distribution',
             'calls/s',
             'platform_writes_per_second',
--- a/skylarkfold/report/_figure.py
+++ b/skylarkfold/report/_figure.py
@@ -1,4 +1,4 @@
-"""One line of the capacity page."""
+"""One row of the capacity page."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class Basis(enum.StrEnum):
-    """How a figure came about.
+    """How a figure was obtained.
 
-    ``MEASURED``: a measure printed it at the full size. ``EXTRAPOLATED``:
-    worked out from a slope that a measure printed at another size.
-    ``MISSING``: no measure printed what it needs.
+    ``MEASURED``: a measure printed it at the target size. ``EXTRAPOLATED``:
+    computed from a value measured at another size. ``MISSING``: a value that
+    it needs was not measured.
     """
 
     MEASURED = 'measured'
@@ -21,16 +21,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figure:
-    """What one role needs of something at the full size.
+    """The amount of one resource that a role needs at the target size.
 
     :param role: the role.
-    :param name: what it is.
-    :param value: how much; None where no measure printed what it needs.
+    :param name: a description of the figure.
+    :param value: the amount; None if it was not measured.
     :param unit: its unit.
-    :param source: the measure and its figure.
-    :param carried_by: the mechanism and its module.
-    :param budget: how much there may be; None where there is no limit.
-    :param is_measured: whether a measure printed it at the full size.
+    :param source: the measure and the fields that it comes from.
+    :param carried_by: the mechanism that it depends on, and its module.
+    :param budget: the largest allowed amount; None for no limit.
+    :param is_measured: whether a measure printed it at the target size.
     """
 
     role: str
@@ -44,14 +44,14 @@
 
     @property
     def basis(self) -> Basis:
-        """How the figure came about."""
+        """How the figure was obtained."""
         if self.value is None:
             return Basis.MISSING
         return Basis.MEASURED if self.is_measured else Basis.EXTRAPOLATED
 
     @property
     def load(self) -> float | None:
-        """The share of the budget that is used; None without either."""
+        """The value as a share of the budget; None if either is missing."""
         if self.value is None or not self.budget:
             return None
         return self.value / self.budget
--- a/skylarkfold/report/_growth.py
+++ b/skylarkfold/report/_growth.py
@@ -1,4 +1,4 @@
-"""What grows from a small run of a site to a large one."""
+"""Comparison of two runs of one site with different numbers of instances."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from skylarkfold import errors
 from skylarkfold.report import _journal
 
-# Below this an amount is too small for a rate of growth to mean anything:
-# worth is told in ten-thousandths.
-_LEAST_WORTH = 0.0005
+# Smaller values give no meaningful exponent, because worth is rounded to
+# ten-thousandths.
+_MIN_WORTH = 0.0005
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Growth:
-    """One figure of one day at two sizes.
-
-    :param day: the day.
-    :param figure: what it is: worth that a part loses or a price takes, or
-        an amount that is priced.
-    :param small: at the smaller number of instances.
-    :param large: at the larger one.
-    :param change: the second less the first.
-    :param exponent: how the figure grows with the number of instances: 0
-        not at all, 1 in proportion, 2 as its square; None where one of the
-        two is too small to tell.
+    """One figure of one day at two numbers of instances.
+
+    :param day: the name of the day.
+    :param figure: a description: the worth that a part loses or that a price
+        deducts, or a priced amount.
+    :param small: the value at the smaller number of instances.
+    :param large: the value at the larger number.
+    :param change: ``large`` minus ``small``.
+    :param exponent: the power of the number of instances with which the figure
+        grows: 0 for constant, 1 for linear, 2 for quadratic growth; None if
+        a value is too small.
     """
 
     day: str
@@ -39,28 +39,28 @@
 def compare_sizes(
     small: _journal.Entry, large: _journal.Entry
 ) -> list[Growth]:
-    """Tell what grows with the number of instances.
-
-    :param small: the run at few instances.
-    :param large: the run of the same site at many.
-    :returns: for each day that both played, what is lost by part, zone and
-        kind of request, what each price takes, and the priced amounts;
-        what costs most at the larger size first.
-    :raises UsageError: if the two are not finished runs of one site at two
-        sizes that have a day in common.
+    """Compare a run with a run of the same site with more instances.
+
+    :param small: the journal entry of the run with fewer instances.
+    :param large: the journal entry of the run with more instances.
+    :returns: for each day that both runs contain, the worth lost by part,
+        zone and kind of request, the worth deducted by each price, and the
+        priced amounts; the largest values of the larger run first.
+    :raises UsageError: if a run did not finish, the sites differ, the second
+        run is not larger, or the runs have no day in common.
     """
-    _check(small, large)
-    later = {day.name: day for day in large.days}
+    _check_comparable(small, large)
+    large_days = {day.name: day for day in large.days}
     growths = []
     for day in small.days:
-        if day.name in later:
-            growths += _compare_days(day, later[day.name])
+        if day.name in large_days:
+            growths += _compare_days(day, large_days[day.name])
     if not growths:
         raise errors.UsageError('the two runs have no day in common')
     return growths
 
 
-def _check(small: _journal.Entry, large: _journal.Entry) -> None:
+def _check_comparable(small: _journal.Entry, large: _journal.Entry) -> None:
     for entry in (small, large):
         if entry.error or not entry.ok or entry.days_left_out:
             raise errors.UsageError(f'run {entry.id} did not finish')
@@ -81,19 +81,19 @@
 def _compare_days(small: _journal.Day, large: _journal.Day) -> list[Growth]:
     ratio = large.balancers / small.balancers
     growths = []
-    for figures in (_list_losses, _list_amounts):
-        known, later = figures(small), figures(large)
+    for list_figures in (_list_losses, _list_amounts):
+        small_figures, large_figures = list_figures(small), list_figures(large)
         rows = [
-            _build(small.name, name, value, later[name], ratio)
-            for name, value in known.items()
-            if name in later and (value or later[name])
+            _build_growth(small.name, name, value, large_figures[name], ratio)
+            for name, value in small_figures.items()
+            if name in large_figures and (value or large_figures[name])
         ]
         growths += sorted(rows, key=lambda each: -abs(each.large))
     return growths
 
 
 def _list_losses(day: _journal.Day) -> dict[str, float]:
-    """List what a day loses of all worth, by what takes it."""
+    """Return the worth that a day loses, by cause."""
     losses = {'in all': 1 - day.worth}
     for name, weight, share in day.parts:
         losses[f'part: {name}'] = weight * (1 - share)
@@ -110,11 +110,11 @@
     return {f'amount: {name}': amount for name, amount, _ in day.prices}
 
 
-def _build(
+def _build_growth(
     day: str, figure: str, small: float, large: float, ratio: float
 ) -> Growth:
     exponent = None
-    if min(small, large) >= _LEAST_WORTH:
+    if min(small, large) >= _MIN_WORTH:
         exponent = round(math.log(large / small) / math.log(ratio), 2)
     return Growth(
         day,
--- a/skylarkfold/report/_journal.py
+++ b/skylarkfold/report/_journal.py
@@ -1,4 +1,4 @@
-"""What changed between two runs of the users' bench."""
+"""Journal entries of the users' bench, and their comparison."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 
 from skylarkfold.report import _results
 
-# Days of this kind have no trouble.
-_QUIET = 'quiet'
+# Kind of days without faults, which are left out of the means.
+_QUIET_KIND = 'quiet'
 
 
 class Day(msgspec.Struct, frozen=True):
     """One day of a journal entry.
 
-    :param name: its name; entries are compared day by day.
-    :param worth: credit earned of credit owed, less prices.
-    :param kind: what sort of day it is.
-    :param parts: what the worth is made of: name, weight and share.
-    :param prices: what is taken off: name, amount and worth.
-    :param rules: how often rules were broken, by rule.
-    :param balancers: how many instances it has; 0 where that is not said.
-    :param by_class: the share that was served of each kind of request;
-        None for a kind that was not asked for.
-    :param by_zone: the same of each availability zone's callers.
+    :param name: its name, by which days of two entries are matched.
+    :param worth: the share of the owed credit that was earned, less prices.
+    :param kind: the kind of day.
+    :param parts: the components of the worth: name, weight and share.
+    :param prices: the deductions from the worth: name, amount and worth.
+    :param rules: the number of violations, by rule.
+    :param balancers: the number of instances; 0 if it is not recorded.
+    :param by_class: the share of requests served, by kind of request; None
+        for a kind without requests.
+    :param by_zone: the share of requests served, by the availability zone of
+        the callers.
     """
 
     name: str
@@ -46,13 +47,13 @@
 
     :param site: the deployment.
     :param head: the commit that was measured.
-    :param score: of all days; None where it was not a whole score.
+    :param score: the score of all days; None if not all days were scored.
     :param days: the days.
-    :param id: its name in the journal.
-    :param ok: whether it ended as planned.
-    :param error: why it did not.
-    :param days_left_out: days that were given up.
-    :param why: what it was played for.
+    :param id: its identifier in the journal.
+    :param ok: whether the run completed.
+    :param error: why the run did not complete.
+    :param days_left_out: the number of abandoned days.
+    :param why: the purpose of the run.
     """
 
     site: str | None
@@ -68,13 +69,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Effect:
-    """One figure of two entries.
+    """One figure compared between two journal entries.
 
-    :param figure: what it is: a day's worth, or a mean over the days with
-        trouble.
-    :param before: in the earlier entry; None where it has none.
-    :param after: in the later one.
-    :param change: the second less the first.
+    :param figure: a description: a day's worth, the score, a mean over the
+        days that are not quiet, or the number of broken rules.
+    :param before: the value in the earlier entry; None if it has none.
+    :param after: the value in the later entry; None if it has none.
+    :param change: ``after`` minus ``before``; None if either is missing.
     """
 
     figure: str
@@ -88,16 +89,16 @@
 
     :param path: the file.
     :returns: the entry.
-    :raises SettingsError: if it can't be read or is none.
+    :raises SettingsError: if it can't be read or is not a journal entry.
     """
     return _results.read_typed(path, Entry)
 
 
 def is_entry(path: str | pathlib.Path) -> bool:
-    """Tell a journal entry from a results file.
+    """Return whether a file is a journal entry, not a results file.
 
     :param path: the file.
-    :returns: whether it has days.
+    :returns: whether it is a JSON object with days.
     """
     try:
         fields = msgspec.json.decode(pathlib.Path(path).read_bytes())
@@ -107,23 +108,28 @@
 
 
 def compare_entries(before: Entry, after: Entry) -> list[Effect]:
-    """Tell what a change did.
+    """Compare two journal entries.
 
     :param before: the earlier entry.
     :param after: the later one.
-    :returns: the worth of each day that both played, then means of worth,
-        parts and prices over those with trouble, then broken rules.
+    :returns: the worth of each day that both contain and the score, then the
+        means of worth, parts and prices over those days that are not quiet,
+        then the number of broken rules.
     """
-    known = {each.name: each for each in before.days}
-    later = {each.name: each for each in after.days}
-    names = [name for name in known if name in later]
+    days_before = {each.name: each for each in before.days}
+    days_after = {each.name: each for each in after.days}
+    names = [name for name in days_before if name in days_after]
     effects = [
-        _build(f'worth of {name}', known[name].worth, later[name].worth)
+        _build_effect(
+            f'worth of {name}', days_before[name].worth, days_after[name].worth
+        )
         for name in names
     ]
-    effects.append(_build('score', before.score, after.score))
-    names = [name for name in names if known[name].kind != _QUIET]
-    pairs = [[each[name] for name in names] for each in (known, later)]
+    effects.append(_build_effect('score', before.score, after.score))
+    names = [name for name in names if days_before[name].kind != _QUIET_KIND]
+    pairs = [
+        [each[name] for name in names] for each in (days_before, days_after)
+    ]
     effects.append(_compare_means('mean worth', pairs, _get_worth))
     for part in _list_names(pairs, lambda day: day.parts):
         effects.append(_compare_means(part, pairs, _get_part(part)))
@@ -132,11 +138,13 @@
         if effect.before or effect.after:
             effects.append(effect)
     broken = [sum(map(_count_broken, each.days)) for each in (before, after)]
-    effects.append(_build('rules broken, all days', *broken))
+    effects.append(_build_effect('rules broken, all days', *broken))
     return effects
 
 
-def _build(figure: str, before: float | None, after: float | None) -> Effect:
+def _build_effect(
+    figure: str, before: float | None, after: float | None
+) -> Effect:
     change = None
     if before is not None and after is not None:
         change = round(after - before, 4)
@@ -150,7 +158,7 @@
         round(statistics.fmean(map(get, days)), 4) if days else None
         for days in pairs
     ]
-    return _build(figure, *means)
+    return _build_effect(figure, *means)
 
 
 def _list_names(
--- a/skylarkfold/report/_measured_figures.py
+++ b/skylarkfold/report/_measured_figures.py
@@ -1,4 +1,4 @@
-"""Single figures out of the measures' results."""
+"""Lookup of single figures in the results of the measures."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 Reduce = Callable[[Iterable[float]], float]
 
 
-class Slopes:
-    """Finds figures that measures printed.
+class MeasuredFigures:
+    """Lookup of rows and figures in the results of the measures.
 
-    :param results: all results.
+    :param results: the results of all measures.
     """
 
     def __init__(self, results: _results.Results) -> None:
@@ -22,11 +22,11 @@
     def list_rows(
         self, measure: str, **where: _results.Value
     ) -> list[_results.Row]:
-        """List a measure's rows that have certain values.
+        """Return a measure's rows that have certain values.
 
         :param measure: the measure's name.
-        :param where: the values that a row must have.
-        :returns: the rows; none where the measure has not run.
+        :param where: the values that a row must have, by field.
+        :returns: the rows; empty if the measure has no results.
         """
         measured = self._results.measures.get(measure)
         return [
@@ -42,13 +42,13 @@
         reduce: Reduce = max,
         **where: _results.Value,
     ) -> float | None:
-        """Find one figure.
+        """Return one figure.
 
         :param measure: the measure's name.
-        :param field: the figure's name.
-        :param reduce: what makes one of several rows' figures.
-        :param where: the values that a row must have.
-        :returns: the figure; None where no row has it.
+        :param field: the name of the field.
+        :param reduce: the function that combines the values of several rows.
+        :param where: the values that a row must have, by field.
+        :returns: the figure; None if no row has it.
         """
         values = [
             row[field]
--- a/skylarkfold/report/_page.py
+++ b/skylarkfold/report/_page.py
@@ -1,4 +1,4 @@
-"""The page that shows all results."""
+"""The page with the results of all measures."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 def format_page(results: _results.Results, plots: dict[str, str]) -> str:
     """Format the page.
 
-    :param results: all results.
-    :param plots: file names of plots by their titles.
+    :param results: the results of all measures.
+    :param plots: the paths of the plots by title.
     :returns: the page in Markdown.
     """
     parts = [HEADING]
@@ -47,7 +47,7 @@
     fields: tuple[str, ...], rows: list[_results.Row]
 ) -> Iterator[str]:
     if len(rows) == 1:
-        fields, rows = ('figure', 'value'), _turn(rows[0])
+        fields, rows = ('figure', 'value'), _transpose(rows[0])
     yield f'| {" | ".join(fields)} |'
     yield f'|{" --- |" * len(fields)}'
     for row in rows:
@@ -55,7 +55,7 @@
         yield f'| {" | ".join(cells)} |'
 
 
-def _turn(row: _results.Row) -> list[_results.Row]:
+def _transpose(row: _results.Row) -> list[_results.Row]:
     return [{'figure': name, 'value': value} for name, value in row.items()]
 
 
@@ -63,7 +63,7 @@
     """Format one value for a table.
 
     :param value: the value.
-    :returns: its text; numbers have four digits that count.
+    :returns: its text; floats below 10,000 have four significant digits.
     """
     if isinstance(value, bool) or value is None:
         return str(value).lower()
--- a/skylarkfold/report/_plots.py
+++ b/skylarkfold/report/_plots.py
@@ -1,4 +1,4 @@
-"""Plots of results, as SVG; needs the extra ``plots``."""
+"""SVG plots of the results; they require the extra ``plots``."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 class Plot:
     """One plot of a measure's rows.
 
-    :param title: its title.
+    :param title: the title.
     :param measure: the measure.
-    :param y: the figure that is shown.
-    :param x: the figure or text along the bottom.
-    :param series: the text that tells lines apart; empty for bars.
+    :param x: the field on the horizontal axis, or that names the bars.
+    :param y: the field of the plotted values.
+    :param series: the field that names the lines; empty for a bar chart.
     """
 
     title: str
@@ -28,7 +28,7 @@
 
     @property
     def file_name(self) -> str:
-        """The name of its file."""
+        """The name of the plot's file."""
         words = f'{self.measure}-{self.y}-over-{self.x}'
         return words.replace('_', '-') + '.svg'
 
@@ -72,12 +72,13 @@
     folder: pathlib.Path,
     report: Callable[[str], None],
 ) -> dict[str, str]:
-    """Write all plots whose figures are there.
+    """Write all plots whose fields are in the results.
 
-    :param results: the results.
-    :param folder: where to write.
-    :param report: takes a line where plots can't be made.
-    :returns: the files' names by the plots' titles.
+    :param results: the results of all measures.
+    :param folder: the folder to write to.
+    :param report: the function that prints a message if matplotlib is not
+        installed.
+    :returns: the file names of the plots by title.
     """
     try:
         import matplotlib
@@ -85,7 +86,7 @@
         report('no plots: matplotlib is not installed (extra "plots")')
         return {}
     matplotlib.use('svg')
-    # Without this each run would give other identifiers.
+    # A fixed salt keeps the identifiers in the files the same in every run.
     matplotlib.rcParams['svg.hashsalt'] = 'skylarkfold'
     folder.mkdir(parents=True, exist_ok=True)
     written = {}
@@ -97,12 +98,14 @@
             if plot.x in row and plot.y in row
         ]
         if rows:
-            _draw(plot, rows, folder / plot.file_name)
+            _write_plot(plot, rows, folder / plot.file_name)
             written[plot.title] = plot.file_name
     return written
 
 
-def _draw(plot: Plot, rows: list[_results.Row], path: pathlib.Path) -> None:
+def _write_plot(
+    plot: Plot, rows: list[_results.Row], path: pathlib.Path
+) -> None:
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
--- a/skylarkfold/report/_results.py
+++ b/skylarkfold/report/_results.py
@@ -1,4 +1,4 @@
-"""The file that holds what the measures printed."""
+"""The file with the results of all measures."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class Measured(msgspec.Struct, frozen=True):
-    """What one measure printed in one run.
-
-    :param command: the command that printed it.
-    :param date: when, in UTC.
-    :param commit: of which sources; ``+`` says that they were changed.
-    :param machine: on what machine.
-    :param seconds: how long it took.
-    :param rows: one for each result.
-    :param error: why it failed, empty where it did not.
+    """The output of one run of a measure.
+
+    :param command: the command that was run.
+    :param date: the start of the run, in UTC.
+    :param commit: the commit of the sources; ``+`` marks uncommitted changes.
+    :param machine: the machine that it ran on.
+    :param seconds: the duration.
+    :param rows: the rows that it printed.
+    :param error: the reason if it failed, otherwise empty.
     """
 
     command: str
@@ -44,7 +44,7 @@
 
 
 class Results(msgspec.Struct, frozen=True):
-    """What all measures printed, by name."""
+    """The results of all measures, by name."""
 
     measures: dict[str, Measured]
 
@@ -54,18 +54,18 @@
 
     :param path: the file.
     :returns: the results.
-    :raises SettingsError: if it can't be read or is none.
+    :raises SettingsError: if it can't be read or is not a results file.
     """
     return read_typed(path, Results)
 
 
 def read_typed(path: str | pathlib.Path, kind: type[_Kind]) -> _Kind:
-    """Read a file of JSON.
+    """Read a JSON file as a type.
 
     :param path: the file.
-    :param kind: what it must hold.
-    :returns: what it holds.
-    :raises SettingsError: if it can't be read or holds something else.
+    :param kind: the type to decode it as.
+    :returns: the decoded value.
+    :raises SettingsError: if it can't be read or does not match the type.
     """
     try:
         return msgspec.json.decode(pathlib.Path(path).read_bytes(), type=kind)
@@ -85,7 +85,7 @@
 
 
 def describe_machine() -> str:
-    """Describe the machine: processors, memory, interpreter."""
+    """Return a description of the processors, memory and interpreter."""
     memory = os.sysconf('SC_PAGE_SIZE') * os.sysconf('SC_PHYS_PAGES')
     version = platform.python_version()
     return (
@@ -103,15 +103,16 @@
 
 
 def describe_date() -> str:
-    """Tell the present date and time in UTC."""
+    """Return the current date and time in UTC."""
     return time.strftime('%Y-%m-%d %H:%M', time.gmtime())
 
 
 def describe_commit(folder: pathlib.Path) -> str:
-    """Tell what sources a folder holds.
+    """Return the commit that is checked out in a folder.
 
-    :param folder: a work tree.
-    :returns: the commit; with ``+`` where files were changed.
+    :param folder: a Git work tree.
+    :returns: the short commit, with ``+`` appended if Python files have
+        uncommitted changes; ``unknown`` if there is none.
     """
     commit = _run_git(folder, 'rev-parse', '--short', 'HEAD')
     changed = _run_git(folder, 'status', '--porcelain', '--', '*.py')
@@ -120,9 +121,9 @@
 
 def _run_git(folder: pathlib.Path, *arguments: str) -> str:
     try:
-        ended = subprocess.run(
+        process = subprocess.run(
             ['git', *arguments], cwd=folder, capture_output=True, text=True
         )
     except OSError:
         return ''
-    return ended.stdout.strip()
+    return process.stdout.strip()
--- a/skylarkfold/report/_run.py
+++ b/skylarkfold/report/_run.py
@@ -1,4 +1,4 @@
-"""Running measures, each by its own command."""
+"""Execution of measures, each in a process of its own."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from skylarkfold import measure
 from skylarkfold.report import _results
 
-LIMIT_SECONDS = 900.0
-ERROR_LETTERS = 500
+TIMEOUT_SECONDS = 900.0
+MAX_ERROR_LENGTH = 500
 
 
 def list_measures() -> list[str]:
-    """List the names of all measures."""
+    """Return the names of all measures."""
     return [
         each.name.replace('_', '-')
         for each in pkgutil.iter_modules(measure.__path__)
@@ -35,11 +35,12 @@
 ) -> _results.Results:
     """Run measures one after another.
 
-    :param names: which; the others keep their earlier results.
+    :param names: the measures to run; others keep their earlier results.
     :param before: the earlier results, if there are any.
-    :param report: takes a line on each.
-    :param keep: takes all results after each, so that none is lost.
-    :returns: all results.
+    :param report: the function that prints a line on each finished measure.
+    :param keep: the function that stores all results; called after each
+        measure, so that an interrupted run loses none.
+    :returns: the results of all measures.
     """
     measured = dict(before.measures) if before else {}
     for name in names:
@@ -53,40 +54,40 @@
 
 def _run_measure(name: str) -> _results.Measured:
     command = ['-m', 'skylarkfold', 'measure', name, '--json']
-    began = time.monotonic()
+    started_at = time.monotonic()
     date = _results.describe_date()
     rows: list[_results.Row] = []
     try:
         ended = subprocess.run(
             [sys.executable, *command],
             capture_output=True,
-            timeout=LIMIT_SECONDS,
+            timeout=TIMEOUT_SECONDS,
         )
         error = '' if ended.returncode == 0 else _read_error(ended)
         rows = read_rows(ended.stdout)
     except subprocess.TimeoutExpired:
-        error = f'not done after {LIMIT_SECONDS:g} s'
+        error = f'not done after {TIMEOUT_SECONDS:g} s'
     return _results.Measured(
         command=f'skylarkfold measure {name} --json',
         date=date,
         commit=_results.describe_commit(pathlib.Path.cwd()),
         machine=_results.describe_machine(),
-        seconds=round(time.monotonic() - began, 1),
+        seconds=round(time.monotonic() - started_at, 1),
         rows=rows,
         error=error,
     )
 
 
 def _read_error(ended: subprocess.CompletedProcess[bytes]) -> str:
-    text = ended.stderr.decode(errors='replace')[-ERROR_LETTERS:]
+    text = ended.stderr.decode(errors='replace')[-MAX_ERROR_LENGTH:]
     return f'exit status {ended.returncode}: {text.strip()}'
 
 
 def read_rows(output: bytes) -> list[_results.Row]:
-    """Read what a measure printed, one JSON object a line.
+    """Parse the output of a measure, with one JSON object per line.
 
     :param output: its standard output.
-    :returns: its rows; other lines are passed over.
+    :returns: the rows; lines that are not JSON objects are skipped.
     """
     rows = []
     for line in output.splitlines():
--- a/skylarkfold/report/_sweep.py
+++ b/skylarkfold/report/_sweep.py
@@ -1,7 +1,7 @@
-"""What a sweep of the users' bench printed: one day on fleets of three sizes.
+"""Sweeps of the users' bench: one day run on fleets of several sizes.
 
-The bench plays real processes, so its slopes count what the measures' virtual
-clocks leave out: sockets, the interpreter, all decisions at once.
+The bench runs real processes, so unlike the measures, which use virtual
+clocks, a sweep includes the cost of sockets and of the interpreter.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from skylarkfold import errors
 from skylarkfold.report import _results
 
-# A row: its name, a pair for each size, the power, the value at full size.
+# A row has a name, a "middle / most" pair for each size, the power and the
+# value extrapolated to the target size.
 _PAIR = re.compile(r'([\d.]+) / ([\d.]+)')
 _ROW = re.compile(r'^(?P<name>\S.*?)\s{2,}(?P<rest>[\d.]+ / .*)$')
 _DAY = re.compile(r'^sweep-(?P<size>\d+)\s+\S+\s+\S+\s+(?P<worth>[\d.]+)')
@@ -23,13 +24,15 @@
 
 
 class Amount(msgspec.Struct, frozen=True):
-    """One amount, at each size.
-
-    :param name: what it is, with its unit.
-    :param middle: of the middle instance, by size.
-    :param most: of the busiest one, or the longest time, by size.
-    :param power: how the latter grows with the number of instances.
-    :param at_target: what that leads to at the full size; not played.
+    """One amount, measured at each size.
+
+    :param name: its name and unit.
+    :param middle: the value of the middle instance, by size.
+    :param most: the value of the busiest instance, or the longest time, by
+        size.
+    :param power: the power of the number of instances with which ``most``
+        grows.
+    :param at_target: ``most`` extrapolated to the target size; not measured.
     """
 
     name: str
@@ -40,14 +43,14 @@
 
 
 class Sweep(msgspec.Struct, frozen=True):
-    """One sweep.
+    """The results of one sweep.
 
-    :param site: the deployment that was swept.
-    :param commit: of which sources.
-    :param sizes: how many instances were asked for.
-    :param worth: of the day at each size.
+    :param site: the deployment.
+    :param commit: the commit of the sources.
+    :param sizes: the requested numbers of instances.
+    :param worth: the worth of the day, by size.
     :param broken: the sizes at which a rule was broken.
-    :param amounts: what was seen.
+    :param amounts: the measured amounts.
     """
 
     site: str
@@ -59,13 +62,13 @@
 
 
 def parse_sweep(text: str, site: str, commit: str) -> Sweep:
-    """Read what the bench printed.
+    """Parse the output of a sweep.
 
-    :param text: its output.
+    :param text: the output of the bench.
     :param site: the deployment.
-    :param commit: of the sources that were played.
+    :param commit: the commit of the sources.
     :returns: the sweep.
-    :raises DecodeError: if it is none that was played to its end.
+    :raises DecodeError: if the output is not that of a complete sweep.
     """
     days = {}
     broken = []
@@ -101,9 +104,9 @@
 
 
 def read_sweeps(path: str | pathlib.Path) -> list[Sweep]:
-    """Read the sweeps that are kept.
+    """Read the stored sweeps.
 
-    :param path: the file; one that is not there holds none.
+    :param path: the file; a missing file holds no sweeps.
     :returns: the sweeps.
     :raises SettingsError: if it can't be read.
     """
@@ -113,7 +116,7 @@
 
 
 def write_sweeps(sweeps: list[Sweep], path: str | pathlib.Path) -> None:
-    """Keep sweeps.
+    """Store sweeps.
 
     :param sweeps: the sweeps.
     :param path: the file.
@@ -123,7 +126,7 @@
 
 
 def format_sweep(sweep: Sweep) -> Iterator[str]:
-    """Format one as a table.
+    """Format a sweep as a table.
 
     :param sweep: the sweep.
     :returns: lines of Markdown.
--- a/skylarkfold/report/_target_size.py
+++ b/skylarkfold/report/_target_size.py
@@ -1,4 +1,4 @@
-"""The size that decides the design, and its budgets."""
+"""The fleet size that the design has to support, and its resource limits."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Size:
-    """How large the fleet and its load are.
+class TargetSize:
+    """Size and load of the fleet.
 
-    :param nodes: entry instances.
-    :param upstreams: upstreams of all services.
-    :param addresses: services, one address each.
-    :param flows: open flows.
-    :param new_flows_per_second: flows that begin.
-    :param changes_per_day: changes of the configuration.
-    :param failures_per_day: instances that die unannounced.
-    :param restarts_per_day: instances that are restarted or replaced.
-    :param zones: availability zones.
-    :param packet_gap_seconds: between two packets of a flow; the letter
-        does not say, so this is an assumption.
+    :param nodes: the number of entry instances.
+    :param upstreams: the number of upstreams of all services.
+    :param addresses: the number of services, with one address each.
+    :param flows: the number of open flows.
+    :param new_flows_per_second: new flows per second.
+    :param changes_per_day: configuration changes per day.
+    :param failures_per_day: instances per day that fail without notice.
+    :param restarts_per_day: instances per day that are restarted or replaced.
+    :param zones: the number of availability zones.
+    :param packet_gap_seconds: the time between two packets of a flow; an
+        assumption, as the requirements do not specify it.
     """
 
     nodes: int = 600
@@ -37,30 +37,32 @@
 
     @property
     def flows_per_node(self) -> float:
-        """Open flows for each instance."""
+        """Open flows per instance."""
         return self.flows / self.nodes
 
     @property
     def new_flows_per_node_second(self) -> float:
-        """Flows that begin for each instance and second."""
+        """New flows per instance and second."""
         return self.new_flows_per_second / self.nodes
 
     @property
     def packets_per_node_second(self) -> float:
-        """Packets for each instance and second, as assumed."""
+        """Packets per instance and second, from the assumed packet gap."""
         return self.flows_per_node / self.packet_gap_seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """What a node may spend for control, and the platform's limits.
+    """Limits of an instance's control work, and of calls to the platform.
 
-    :param core_share: of one core.
-    :param memory_mb: memory.
-    :param bytes_per_second: control traffic.
-    :param propagation_seconds: until a change is in force everywhere.
-    :param platform_reads_per_second: by all users of the platform.
-    :param platform_writes_per_second: the same; "several hundred".
+    :param core_share: the share of one core.
+    :param memory_mb: the memory.
+    :param bytes_per_second: the control traffic.
+    :param propagation_seconds: the time until a change is in force on every
+        instance.
+    :param platform_reads_per_second: reads by all users of the platform.
+    :param platform_writes_per_second: writes by all users of the platform;
+        the requirements say "several hundred".
     """
 
     core_share: float = 0.029
--- a/skylarkfold/report/_token_figures.py
+++ b/skylarkfold/report/_token_figures.py
@@ -1,4 +1,4 @@
-"""What instances need at the full size whose packets carry tokens."""
+"""Figures of instances whose packets carry tokens, at the target size."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 from skylarkfold.report import _target_size
 
 _ROLE = 'Instance whose packets carry tokens'
-_RELAY = 'beacons and watchers: relay/'
-_FORWARDING = 'token of a packet: affinity/'
+_RELAY_MECHANISM = 'beacons and watchers: relay/'
+_TOKEN_MECHANISM = 'token of a packet: affinity/'
 
 
 def list_token_figures(
-    slopes: _measured_figures.Slopes,
-    size: _target_size.Size,
+    measured: _measured_figures.MeasuredFigures,
+    size: _target_size.TargetSize,
     budget: _target_size.Budget,
 ) -> Iterator[_figure.Figure]:
-    """List the figures of affinity by token and the relay.
+    """Yield the figures of token affinity and of the relay.
 
-    :param slopes: what the measures printed.
-    :param size: the full size.
-    :param budget: what there may be.
+    :param measured: the figures that the measures printed.
+    :param size: the target size.
+    :param budget: the resource limits.
     :returns: the figures.
     """
 
     def find(name: str, scenario: str) -> float | None:
-        return slopes.find(
+        return measured.find(
             'relay', name, instances=size.nodes, scenario=scenario
         )
 
@@ -129,34 +129,36 @@
     ):
         source = f'relay: {field}, {scenario}'
         value = find(field, scenario)
-        yield build(name, value, unit, source, _RELAY, limit, True)
+        yield build(name, value, unit, source, _RELAY_MECHANISM, limit, True)
     change = find('bytes_a_change', 'routes')
     rest = find('bytes_per_second', 'rest')
-    lasting = None
+    daily_traffic = None
     if change is not None and rest is not None:
-        lasting = (
+        daily_traffic = (
             rest + change * size.changes_per_day / _target_size.DAY_SECONDS
         )
     yield build(
         f'traffic at {size.changes_per_day:,} changes of the routes a day',
-        lasting,
+        daily_traffic,
         'bytes/s',
         'relay: bytes_a_change, routes, and bytes_per_second, rest',
-        _RELAY,
+        _RELAY_MECHANISM,
         traffic,
     )
-    packet = slopes.find('token', 'microseconds', packet='known flow')
-    new = slopes.find('token', 'microseconds', packet='new flow')
-    if packet is not None and new is not None:
-        needed = size.packets_per_node_second * packet
-        needed += size.new_flows_per_node_second * new
+    known_flow_cost = measured.find(
+        'token', 'microseconds', packet='known flow'
+    )
+    new_flow_cost = measured.find('token', 'microseconds', packet='new flow')
+    if known_flow_cost is not None and new_flow_cost is not None:
+        microseconds = size.packets_per_node_second * known_flow_cost
+        microseconds += size.new_flows_per_node_second * new_flow_cost
         yield build(
             f'processor time for {size.packets_per_node_second:,.0f} packets '
             f'and {size.new_flows_per_node_second:,.0f} new flows a second, '
             'decisions and codec',
-            needed / 1e6,
+            microseconds / 1e6,
             'cores',
             'token: microseconds',
-            _FORWARDING,
+            _TOKEN_MECHANISM,
             1.0,
         )
--- a/skylarkfold/report/sweep.py
+++ b/skylarkfold/report/sweep.py
@@ -1,7 +1,8 @@
-"""``python -m skylarkfold.report.sweep FILE SITE COMMIT``: keeps a sweep.
+"""Command ``python -m skylarkfold.report.sweep FILE SITE COMMIT``.
 
-Reads what the users' bench printed, keeps it in ``docs/sweeps.json`` in place
-of an earlier one of that site, and writes ``docs/CAPACITY.md`` anew.
+Parses the output of a sweep of the users' bench, stores it in
+``docs/sweeps.json`` in place of an earlier sweep of that site, and regenerates
+``docs/CAPACITY.md``.
 """
 
 import pathlib
@@ -18,18 +19,18 @@
 
 
 def keep(path: str, site: str, commit: str) -> None:
-    """Keep a sweep.
+    """Store a sweep and regenerate the capacity page.
 
-    :param path: what the bench printed.
+    :param path: the file with the output of the bench.
     :param site: the deployment.
-    :param commit: of the sources that were played.
+    :param commit: the commit of the sources.
     """
     text = files.read_bytes(path).decode()
-    found = _sweep.parse_sweep(text, site, str(commit))
+    sweep = _sweep.parse_sweep(text, site, str(commit))
     kept = [
-        each for each in _sweep.read_sweeps(SWEEPS) if each.site != found.site
+        each for each in _sweep.read_sweeps(SWEEPS) if each.site != sweep.site
     ]
-    sweeps = [*kept, found]
+    sweeps = [*kept, sweep]
     _sweep.write_sweeps(sweeps, SWEEPS)
     results = _results.read_results(DOCS / 'measures.json')
     page = _capacity_page.format_capacity(results, sweeps)
--- a/skylarkfold/tests/explain/test_history.py
+++ b/skylarkfold/tests/explain/test_history.py
@@ -91,7 +91,7 @@
         (reset,) = [
             event for event in history.events if event.line.message == 'reset'
         ]
-        self.assertAlmostEqual(0.89, reset.seconds_from_start, places=2)
+        self.assertAlmostEqual(0.89, reset.at, places=2)
 
     def test_caller_address_alone_selects_the_flow(self):
         history = self.build_history('192.0.2.7:40001')
--- a/skylarkfold/tests/measure/test_relay.py
+++ b/skylarkfold/tests/measure/test_relay.py
@@ -39,13 +39,15 @@
         self.assertLess(result.calls_per_second, 6.0)
 
     def test_the_capacity_page_has_its_figures(self):
-        size = _target_size.Size(nodes=7)
+        size = _target_size.TargetSize(nodes=7)
         rows = [
             {name: getattr(each, name) for name in each.__slots__}
             for each in self.results.values()
         ]
         measured = report.Measured('', '', '', '', 1.0, rows)
-        slopes = _measured_figures.Slopes(report.Results({'relay': measured}))
+        slopes = _measured_figures.MeasuredFigures(
+            report.Results({'relay': measured})
+        )
         figures = list(
             _token_figures.list_token_figures(
                 slopes, size, _target_size.Budget()
