--- a/skylarkfold/report/_capacity.py
+++ b/skylarkfold/report/_capacity.py
@@ -183,12 +183,12 @@
             'notes in batches: flows/_notes.py',
             self._budget.bytes_per_second,
         )
-        hand_on = settings.hand_on_bytes_per_second
+        hand_on_rate = settings.hand_on_bytes_per_second
         yield _figure.Figure(
             role,
             f'handing on {pins:,.0f} pins at a planned stop, at most',
             _compute_if_measured(
-                lambda each: pins * each / hand_on, bytes_per_new_flow
+                lambda each: pins * each / hand_on_rate, bytes_per_new_flow
             ),
             's',
             'flows: control bytes a new flow; setting '
@@ -197,7 +197,7 @@
             settings.stop_seconds,
         )
 
-    def _find_at_full_size(self, field: str) -> float | None:
+    def _find_at_target_size(self, field: str) -> float | None:
         return self._measured.find('sizes', field, services=1400)
 
     def _list_tables(self) -> Figures:
@@ -206,7 +206,7 @@
         yield _figure.Figure(
             role,
             'memory of the flow core with all tables',
-            self._find_at_full_size('flow_core_mb'),
+            self._find_at_target_size('flow_core_mb'),
             'MiB',
             'sizes: flow_core_mb',
             mechanism,
@@ -216,14 +216,14 @@
         yield _figure.Figure(
             role,
             'processor time of ticks at rest',
-            self._find_at_full_size('tick_share'),
+            self._find_at_target_size('tick_share'),
             'cores',
             'sizes: tick_share',
             'upkeep: flows/_upkeep.py',
             self._budget.core_share,
             is_measured=True,
         )
-        bytes_per_table = self._find_at_full_size('bytes_per_table')
+        bytes_per_table = self._find_at_target_size('bytes_per_table')
         writes = self._size.changes_per_day * TABLE_WRITES_PER_CHANGE
         yield _figure.Figure(
             role,
@@ -237,18 +237,18 @@
             'distribution: distribution/_core.py',
             self._budget.bytes_per_second,
         )
-        tables = self._find_at_full_size('table_bytes')
+        table_bytes = self._find_at_target_size('table_bytes')
         limit = self._budget.bytes_per_second
         yield _figure.Figure(
             role,
             'a zone is lost, all tables change: receiving them once',
-            _compute_if_measured(lambda each: each / limit, tables),
+            _compute_if_measured(lambda each: each / limit, table_bytes),
             's',
             'sizes: table_bytes',
             'distribution: distribution/_core.py',
             self._budget.propagation_seconds,
         )
-        table_seconds = self._find_at_full_size('table_seconds')
+        table_seconds = self._find_at_target_size('table_seconds')
         yield _figure.Figure(
             role,
             'a zone is lost, all tables change: taking them',
@@ -264,11 +264,11 @@
     def _list_configuration(self) -> Figures:
         role = 'Every instance: configuration'
         mechanism = 'one configuration of all subtrees: assembly.py'
-        change_seconds = self._find_at_full_size('change_seconds')
+        change_seconds = self._find_at_target_size('change_seconds')
         yield _figure.Figure(
             role,
             'memory',
-            self._find_at_full_size('configuration_mb'),
+            self._find_at_target_size('configuration_mb'),
             'MiB',
             'sizes: configuration_mb',
             mechanism,
@@ -320,7 +320,7 @@
                 each.limit,
                 is_measured=True,
             )
-        member_seconds = self._find_at_full_size('member_seconds')
+        member_seconds = self._find_at_target_size('member_seconds')
         changes = 2 * (
             self._size.restarts_per_day + self._size.failures_per_day
         )
@@ -355,14 +355,16 @@
     def _list_request_key_homes(self) -> Figures:
         role = 'Home of request keys'
         mechanism = 'keys in ranges: requests/'
-        traffic = self._measured.find('keys', 'bytes_per_key')
-        work = self._measured.find('keys', 'decision_us_per_key')
+        bytes_per_key = self._measured.find('keys', 'bytes_per_key')
+        microseconds_per_key = self._measured.find(
+            'keys', 'decision_us_per_key'
+        )
         limit = self._budget.bytes_per_second
         core = self._budget.core_share
         yield _figure.Figure(
             role,
             'traffic for each key, whole fleet, worst scenario',
-            traffic,
+            bytes_per_key,
             'bytes',
             'keys: bytes_per_key',
             mechanism,
@@ -370,7 +372,7 @@
         yield _figure.Figure(
             role,
             'keys that the whole budget of traffic carries',
-            _compute_if_measured(lambda each: limit / each, traffic),
+            _compute_if_measured(lambda each: limit / each, bytes_per_key),
             'keys/s and node',
             'keys: bytes_per_key',
             mechanism,
@@ -378,7 +380,9 @@
         yield _figure.Figure(
             role,
             'keys that the whole budget of processor time carries',
-            _compute_if_measured(lambda each: core * 1e6 / each, work),
+            _compute_if_measured(
+                lambda each: core * 1e6 / each, microseconds_per_key
+            ),
             'keys/s and node',
             'keys: decision_us_per_key',
             mechanism,
--- a/skylarkfold/report/_control_figures.py
+++ b/skylarkfold/report/_control_figures.py
@@ -6,7 +6,7 @@
 
 from skylarkfold.report import _target_size
 
-DAILY = '1200-changes-a-day'
+DAILY_CHANGES_SCENARIO = '1200-changes-a-day'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,14 +40,14 @@
             'bytes/s',
             'bytes_per_node_second',
             traffic,
-            DAILY,
+            DAILY_CHANGES_SCENARIO,
         ),
         ControlFigure(
             'processor time at 1,200 changes a day, mean instance',
             'cores',
             'core_share',
             core,
-            DAILY,
+            DAILY_CHANGES_SCENARIO,
         ),
         ControlFigure(
             'traffic for seconds of the worst scenario, mean instance',
--- a/skylarkfold/report/_growth.py
+++ b/skylarkfold/report/_growth.py
@@ -65,17 +65,19 @@
         if entry.error or not entry.ok or entry.days_left_out:
             raise errors.UsageError(f'run {entry.id} did not finish')
         if not entry.days or not all(day.balancers for day in entry.days):
-            raise errors.UsageError(f'run {entry.id} tells no size')
+            raise errors.UsageError(
+                f'run {entry.id} has no days or no number of instances'
+            )
     if small.site is None or small.site != large.site:
-        reason = f'not of one site: {small.site} and {large.site}'
-        raise errors.UsageError(reason)
+        message = f'the runs are not of one site: {small.site}, {large.site}'
+        raise errors.UsageError(message)
     sizes = [
         min(day.balancers for day in small.days),
         max(day.balancers for day in large.days),
     ]
     if sizes[0] >= sizes[1]:
-        reason = f'the second run is no larger: {sizes[0]}, {sizes[1]}'
-        raise errors.UsageError(reason)
+        message = f'the second run is not larger: {sizes[0]}, {sizes[1]}'
+        raise errors.UsageError(message)
 
 
 def _compare_days(small: _journal.Day, large: _journal.Day) -> list[Growth]:
--- a/skylarkfold/report/_journal.py
+++ b/skylarkfold/report/_journal.py
@@ -127,14 +127,18 @@
     ]
     effects.append(_build_effect('score', before.score, after.score))
     names = [name for name in names if days_before[name].kind != _QUIET_KIND]
-    pairs = [
+    compared_days = [
         [each[name] for name in names] for each in (days_before, days_after)
     ]
-    effects.append(_compare_means('mean worth', pairs, _get_worth))
-    for part in _list_names(pairs, lambda day: day.parts):
-        effects.append(_compare_means(part, pairs, _get_part(part)))
-    for price in _list_names(pairs, lambda day: day.prices):
-        effect = _compare_means(f'price of {price}', pairs, _get_price(price))
+    effects.append(_compare_means('mean worth', compared_days, _get_worth))
+    for part in _list_names(compared_days, lambda day: day.parts):
+        effects.append(
+            _compare_means(part, compared_days, _get_part_share(part))
+        )
+    for price in _list_names(compared_days, lambda day: day.prices):
+        effect = _compare_means(
+            f'price of {price}', compared_days, _get_price_worth(price)
+        )
         if effect.before or effect.after:
             effects.append(effect)
     broken = [sum(map(_count_broken, each.days)) for each in (before, after)]
@@ -152,21 +156,24 @@
 
 
 def _compare_means(
-    figure: str, pairs: list[list[Day]], get: Callable[[Day], float]
+    figure: str, compared_days: list[list[Day]], get: Callable[[Day], float]
 ) -> Effect:
     means = [
         round(statistics.fmean(map(get, days)), 4) if days else None
-        for days in pairs
+        for days in compared_days
     ]
     return _build_effect(figure, *means)
 
 
 def _list_names(
-    pairs: list[list[Day]],
+    compared_days: list[list[Day]],
     get: Callable[[Day], list[tuple[str, float, float]]],
 ) -> list[str]:
     names = {
-        row[0]: None for days in pairs for day in days for row in get(day)
+        row[0]: None
+        for days in compared_days
+        for day in days
+        for row in get(day)
     }
     return list(names)
 
@@ -175,11 +182,11 @@
     return day.worth
 
 
-def _get_part(name: str) -> Callable[[Day], float]:
+def _get_part_share(name: str) -> Callable[[Day], float]:
     return lambda day: sum(row[2] for row in day.parts if row[0] == name)
 
 
-def _get_price(name: str) -> Callable[[Day], float]:
+def _get_price_worth(name: str) -> Callable[[Day], float]:
     return lambda day: sum(row[2] for row in day.prices if row[0] == name)
 
 
--- a/skylarkfold/report/_sweep.py
+++ b/skylarkfold/report/_sweep.py
@@ -17,10 +17,12 @@
 
 # A row has a name, a "middle / most" pair for each size, the power and the
 # value extrapolated to the target size.
-_PAIR = re.compile(r'([\d.]+) / ([\d.]+)')
-_ROW = re.compile(r'^(?P<name>\S.*?)\s{2,}(?P<rest>[\d.]+ / .*)$')
-_DAY = re.compile(r'^sweep-(?P<size>\d+)\s+\S+\s+\S+\s+(?P<worth>[\d.]+)')
-_BROKEN = 'BROKEN'
+_PAIR_PATTERN = re.compile(r'([\d.]+) / ([\d.]+)')
+_ROW_PATTERN = re.compile(r'^(?P<name>\S.*?)\s{2,}(?P<rest>[\d.]+ / .*)$')
+_DAY_PATTERN = re.compile(
+    r'^sweep-(?P<size>\d+)\s+\S+\s+\S+\s+(?P<worth>[\d.]+)'
+)
+_BROKEN_MARK = 'BROKEN'
 
 
 class Amount(msgspec.Struct, frozen=True):
@@ -70,30 +72,30 @@
     :returns: the sweep.
     :raises DecodeError: if the output is not that of a complete sweep.
     """
-    days = {}
+    worth_by_size = {}
     broken = []
     amounts = []
     for line in text.splitlines():
-        day = _DAY.match(line)
-        row = _ROW.match(line)
-        if day is not None:
-            size = int(day['size'])
-            days[size] = float(day['worth'])
-            if _BROKEN in line:
+        day_match = _DAY_PATTERN.match(line)
+        row_match = _ROW_PATTERN.match(line)
+        if day_match is not None:
+            size = int(day_match['size'])
+            worth_by_size[size] = float(day_match['worth'])
+            if _BROKEN_MARK in line:
                 broken.append(size)
-        elif row is not None:
-            amounts.append(_parse_amount(row['name'], row['rest']))
-    sizes = sorted(days)
-    is_whole = all(len(each.middle) == len(sizes) for each in amounts)
-    if not sizes or not amounts or not is_whole:
-        raise errors.DecodeError('no sweep that was played to its end')
-    worth = [days[size] for size in sizes]
+        elif row_match is not None:
+            amounts.append(_parse_amount(row_match['name'], row_match['rest']))
+    sizes = sorted(worth_by_size)
+    is_complete = all(len(each.middle) == len(sizes) for each in amounts)
+    if not sizes or not amounts or not is_complete:
+        raise errors.DecodeError('not the output of a complete sweep')
+    worth = [worth_by_size[size] for size in sizes]
     return Sweep(site, commit, sizes, worth, broken, amounts)
 
 
 def _parse_amount(name: str, rest: str) -> Amount:
-    pairs = _PAIR.findall(rest)
-    power, at_target = _PAIR.sub('', rest).split()
+    pairs = _PAIR_PATTERN.findall(rest)
+    power, at_target = _PAIR_PATTERN.sub('', rest).split()
     return Amount(
         name,
         [float(middle) for middle, _ in pairs],
@@ -131,14 +133,14 @@
     :param sweep: the sweep.
     :returns: lines of Markdown.
     """
-    heads = ' | '.join(str(size) for size in sweep.sizes)
+    sizes = ' | '.join(str(size) for size in sweep.sizes)
     worth = ', '.join(f'{each:.3f}' for each in sweep.worth)
     broken = ', '.join(str(size) for size in sweep.broken)
     yield f'### {sweep.site}, {sweep.commit}'
     yield ''
     yield f'Worth {worth}; a rule broken at: {broken or "no size"}.'
     yield ''
-    yield f'| middle / busiest or longest | {heads} | power | at full size |'
+    yield f'| middle / busiest or longest | {sizes} | power | at full size |'
     yield '| --- |' + ' --- |' * (len(sweep.sizes) + 2)
     for each in sweep.amounts:
         pairs = ' | '.join(
--- a/skylarkfold/tests/report/__init__.py
+++ b/skylarkfold/tests/report/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the reports."""
+"""Tests of reports on measures, journal entries and sweeps."""
--- a/skylarkfold/tests/report/test_growth.py
+++ b/skylarkfold/tests/report/test_growth.py
@@ -1,4 +1,4 @@
-"""Tests of what grows from a small run to a large one."""
+"""Tests of the comparison of runs of different sizes."""
 
 import testtools
 
@@ -25,14 +25,14 @@
     return _journal.Entry(head='abc', days=list(days), **fields)
 
 
-class SizesTest(testtools.TestCase):
+class GrowthTest(testtools.TestCase):
     def compare(self, small, large):
         return {
             (each.day, each.figure): each
             for each in report.compare_sizes(small, large)
         }
 
-    def test_growth_is_told_by_day_part_and_price(self):
+    def test_growth_is_listed_by_day_part_and_price(self):
         found = self.compare(
             build_entry(build_day(10, 0.01), build_day(10, 0.0, name='two')),
             build_entry(build_day(40, 0.02, windows=0.5)),
@@ -50,7 +50,7 @@
         self.assertNotIn(('one', 'price: disk'), found)
         self.assertNotIn('two', {day for day, _ in found})
 
-    def test_what_costs_most_at_the_larger_size_comes_first(self):
+    def test_largest_losses_of_the_larger_run_come_first(self):
         rows = report.compare_sizes(
             build_entry(build_day(10, 0.01)),
             build_entry(build_day(40, 0.3, windows=0.5)),
@@ -62,17 +62,17 @@
             [each.large for each in losses],
         )
 
-    def test_what_is_hardly_there_has_no_rate(self):
+    def test_too_small_value_has_no_exponent(self):
         found = self.compare(
             build_entry(build_day(10, 0.0001)),
             build_entry(build_day(40, 0.02)),
         )
         self.assertIsNone(found['one', 'price: calls'].exponent)
 
-    def test_runs_that_can_t_be_compared_are_told(self):
+    def test_runs_that_cannot_be_compared_are_rejected(self):
         small = build_entry(build_day(10, 0.01))
         large = build_entry(build_day(40, 0.02))
-        wrong = (
+        invalid_pairs = (
             (small, build_entry(build_day(40, 0.02), site='another')),
             (build_entry(build_day(10, 0.01), site=None), large),
             (small, build_entry(build_day(40, 0.02), error='killed')),
@@ -84,7 +84,10 @@
             (large, small),
             (small, small),
         )
-        for one, other in wrong:
+        for small_entry, large_entry in invalid_pairs:
             self.assertRaises(
-                errors.UsageError, report.compare_sizes, one, other
+                errors.UsageError,
+                report.compare_sizes,
+                small_entry,
+                large_entry,
             )
--- a/skylarkfold/tests/report/test_journal.py
+++ b/skylarkfold/tests/report/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of comparing entries of the journal."""
+"""Tests of the comparison of journal entries."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 
 
 def build_day(name, worth, kind='trouble', windows=0.5, calls=0.01, **fields):
-    """Build a day as the bench writes it."""
+    """Return a day as the bench writes it."""
     return {
         'name': name,
         'G': worth,
@@ -25,7 +25,7 @@
 
 
 def build_entry(*days, score=0.9):
-    """Build an entry as the bench writes it."""
+    """Return a journal entry as the bench writes it."""
     return {'site': 's', 'head': 'a1', 'score': score, 'days': list(days)}
 
 
@@ -66,21 +66,21 @@
         )
         self.assertEqual(0.05, found['worth of one'].change)
         self.assertEqual(0.02, found['score'].change)
-        # Calm days, and days that only one entry has, count in no mean.
+        # The mean leaves out quiet days and days that only one entry has.
         self.assertEqual(0.025, found['mean worth'].change)
         self.assertEqual(0.1, found['worst windows'].change)
         self.assertEqual(0.005, found['price of calls'].change)
         self.assertNotIn('price of disk', found)
         self.assertNotIn('worth of fresh', found)
 
-    def test_broken_rules_of_all_days_are_counted(self):
+    def test_broken_rules_are_counted_on_all_days(self):
         found = self.compare(
             build_entry(build_day('one', 0.8)),
             build_entry(build_day('fresh', 0.0, rules={'FLOW': 3})),
         )
         self.assertEqual(3, found['rules broken, all days'].change)
 
-    def test_a_run_without_a_score_has_none(self):
+    def test_missing_score_gives_no_change(self):
         found = self.compare(
             build_entry(build_day('one', 0.8), score=None),
             build_entry(build_day('one', 0.7)),
@@ -88,7 +88,7 @@
         self.assertIsNone(found['score'].change)
         self.assertEqual(-0.1, found['worth of one'].change)
 
-    def test_entries_and_results_are_told_apart(self):
+    def test_is_entry_distinguishes_entries_from_results(self):
         entry = self.write('entry.json', build_entry())
         results = self.write('results.json', {'measures': {}})
         self.assertTrue(report.is_entry(entry))
--- a/skylarkfold/tests/report/test_sweep.py
+++ b/skylarkfold/tests/report/test_sweep.py
@@ -1,4 +1,4 @@
-"""Tests of sweeps that are kept for the capacity page."""
+"""Tests of parsing, storing and formatting sweeps."""
 
 import pathlib
 import tempfile
@@ -10,7 +10,7 @@
 from skylarkfold.report import _capacity_page
 from skylarkfold.report import _sweep
 
-PRINTED = """\
+BENCH_OUTPUT = """\
 built in 0.2 s; 100 lines in 3 files
 day                  own/srv  score  worth served refused failed  weakest part
 sweep-30              31/300   0.89  0.895  0.958   0.000  0.022  worst windows
@@ -26,10 +26,10 @@
 
 
 class SweepTest(testtools.TestCase):
-    def parse(self, text=PRINTED):
+    def parse(self, text=BENCH_OUTPUT):
         return _sweep.parse_sweep(text, 'a-site', 'abc')
 
-    def test_days_and_amounts_are_read(self):
+    def test_days_and_amounts_are_parsed(self):
         sweep = self.parse()
         self.assertEqual([30, 100, 300], sweep.sizes)
         self.assertEqual([0.895, 0.857, 0.882], sweep.worth)
@@ -40,14 +40,14 @@
         self.assertEqual([16.0, 22.5, 31.3], processor.most)
         self.assertEqual((1.36, 2781), (config.power, config.at_target))
 
-    def test_what_is_kept_is_read_again(self):
+    def test_written_sweeps_are_read_back(self):
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'sweeps.json'
             self.assertEqual([], _sweep.read_sweeps(path))
             _sweep.write_sweeps([self.parse()], path)
             self.assertEqual([self.parse()], _sweep.read_sweeps(path))
 
-    def test_the_page_holds_them(self):
+    def test_capacity_page_shows_sweeps(self):
         results = report.Results({})
         page = _capacity_page.format_capacity(results, [self.parse()])
         self.assertIn('### a-site, abc', page)
@@ -56,6 +56,6 @@
         self.assertIn(row, page)
         self.assertNotIn('Sweeps', _capacity_page.format_capacity(results))
 
-    def test_one_that_was_not_played_to_its_end_is_refused(self):
-        for text in ('', PRINTED.split('middle')[0]):
+    def test_incomplete_sweep_is_rejected(self):
+        for text in ('', BENCH_OUTPUT.split('middle')[0]):
             self.assertRaises(errors.DecodeError, self.parse, text)
