--- a/skylarkfold/report/_sweep.py
+++ b/skylarkfold/report/_sweep.py
@@ -1,7 +1,7 @@
-"""What a sweep of the users' bench printed: one day on fleets of three sizes.
+"""Sweeps of the users' bench: one day run on fleets of several sizes.
 
-The bench plays real processes, so its slopes count what the measures' virtual
-clocks leave out: sockets, the interpreter, all decisions at once.
+The bench runs real processes, so unlike the measures, which use virtual
+clocks, a sweep includes the cost of sockets and of the interpreter.
 """
 
 from __future__ import annotations
@@ -15,21 +15,26 @@
 from skylarkfold import errors
 from skylarkfold.report import _results
 
-# A row: its name, a pair for each size, the power, the value at full size.
-_PAIR = re.compile(r'([\d.]+) / ([\d.]+)')
-_ROW = re.compile(r'^(?P<name>\S.*?)\s{2,}(?P<rest>[\d.]+ / .*)$')
-_DAY = re.compile(r'^sweep-(?P<size>\d+)\s+\S+\s+\S+\s+(?P<worth>[\d.]+)')
-_BROKEN = 'BROKEN'
+# A row has a name, a "middle / most" pair for each size, the power and the
+# value extrapolated to the target size.
+_PAIR_PATTERN = re.compile(r'([\d.]+) / ([\d.]+)')
+_ROW_PATTERN = re.compile(r'^(?P<name>\S.*?)\s{2,}(?P<rest>[\d.]+ / .*)$')
+_DAY_PATTERN = re.compile(
+    r'^sweep-(?P<size>\d+)\s+\S+\s+\S+\s+(?P<worth>[\d.]+)'
+)
+_BROKEN_MARK = 'BROKEN'
 
 
 class Amount(msgspec.Struct, frozen=True):
-    """One amount, at each size.
-
-    :param name: what it is, with its unit.
-    :param middle: of the middle instance, by size.
-    :param most: of the busiest one, or the longest time, by size.
-    :param power: how the latter grows with the number of instances.
-    :param at_target: what that leads to at the full size; not played.
+    """One amount, measured at each size.
+
+    :param name: its name and unit.
+    :param middle: the value of the middle instance, by size.
+    :param most: the value of the busiest instance, or the longest time, by
+        size.
+    :param power: the power of the number of instances with which ``most``
+        grows.
+    :param at_target: ``most`` extrapolated to the target size; not measured.
     """
 
     name: str
@@ -40,14 +45,14 @@
 
 
 class Sweep(msgspec.Struct, frozen=True):
-    """One sweep.
+    """The results of one sweep.
 
-    :param site: the deployment that was swept.
-    :param commit: of which sources.
-    :param sizes: how many instances were asked for.
-    :param worth: of the day at each size.
+    :param site: the deployment.
+    :param commit: the commit of the sources.
+    :param sizes: the requested numbers of instances.
+    :param worth: the worth of the day, by size.
     :param broken: the sizes at which a rule was broken.
-    :param amounts: what was seen.
+    :param amounts: the measured amounts.
     """
 
     site: str
@@ -59,38 +64,38 @@
 
 
 def parse_sweep(text: str, site: str, commit: str) -> Sweep:
-    """Read what the bench printed.
+    """Parse the output of a sweep.
 
-    :param text: its output.
+    :param text: the output of the bench.
     :param site: the deployment.
-    :param commit: of the sources that were played.
+    :param commit: the commit of the sources.
     :returns: the sweep.
-    :raises DecodeError: if it is none that was played to its end.
+    :raises DecodeError: if the output is not that of a complete sweep.
     """
-    days = {}
+    worth_by_size = {}
     broken = []
     amounts = []
     for line in text.splitlines():
-        day = _DAY.match(line)
-        row = _ROW.match(line)
-        if day is not None:
-            size = int(day['size'])
-            days[size] = float(day['worth'])
-            if _BROKEN in line:
+        day_match = _DAY_PATTERN.match(line)
+        row_match = _ROW_PATTERN.match(line)
+        if day_match is not None:
+            size = int(day_match['size'])
+            worth_by_size[size] = float(day_match['worth'])
+            if _BROKEN_MARK in line:
                 broken.append(size)
-        elif row is not None:
-            amounts.append(_parse_amount(row['name'], row['rest']))
-    sizes = sorted(days)
-    is_whole = all(len(each.middle) == len(sizes) for each in amounts)
-    if not sizes or not amounts or not is_whole:
-        raise errors.DecodeError('no sweep that was played to its end')
-    worth = [days[size] for size in sizes]
+        elif row_match is not None:
+            amounts.append(_parse_amount(row_match['name'], row_match['rest']))
+    sizes = sorted(worth_by_size)
+    is_complete = all(len(each.middle) == len(sizes) for each in amounts)
+    if not sizes or not amounts or not is_complete:
+        raise errors.DecodeError('not the output of a complete sweep')
+    worth = [worth_by_size[size] for size in sizes]
     return Sweep(site, commit, sizes, worth, broken, amounts)
 
 
 def _parse_amount(name: str, rest: str) -> Amount:
-    pairs = _PAIR.findall(rest)
-    power, at_target = _PAIR.sub('', rest).split()
+    pairs = _PAIR_PATTERN.findall(rest)
+    power, at_target = _PAIR_PATTERN.sub('', rest).split()
     return Amount(
         name,
         [float(middle) for middle, _ in pairs],
@@ -101,9 +106,9 @@
 
 
 def read_sweeps(path: str | pathlib.Path) -> list[Sweep]:
-    """Read the sweeps that are kept.
+    """Read the stored sweeps.
 
-    :param path: the file; one that is not there holds none.
+    :param path: the file; a missing file holds no sweeps.
     :returns: the sweeps.
     :raises SettingsError: if it can't be read.
     """
@@ -113,7 +118,7 @@
 
 
 def write_sweeps(sweeps: list[Sweep], path: str | pathlib.Path) -> None:
-    """Keep sweeps.
+    """Store sweeps.
 
     :param sweeps: the sweeps.
     :param path: the file.
@@ -123,19 +128,19 @@
 
 
 def format_sweep(sweep: Sweep) -> Iterator[str]:
-    """Format one as a table.
+    """Format a sweep as a table.
 
     :param sweep: the sweep.
     :returns: lines of Markdown.
     """
-    heads = ' | '.join(str(size) for size in sweep.sizes)
+    sizes = ' | '.join(str(size) for size in sweep.sizes)
     worth = ', '.join(f'{each:.3f}' for each in sweep.worth)
     broken = ', '.join(str(size) for size in sweep.broken)
     yield f'### {sweep.site}, {sweep.commit}'
     yield ''
     yield f'Worth {worth}; a rule broken at: {broken or "no size"}.'
     yield ''
-    yield f'| middle / busiest or longest | {heads} | power | at full size |'
+    yield f'| middle / busiest or longest | {sizes} | power | at full size |'
     yield '| --- |' + ' --- |' * (len(sweep.sizes) + 2)
     for each in sweep.amounts:
         pairs = ' | '.join(
