--- a/skylarkfold/report/_capacity.py
+++ b/skylarkfold/report/_capacity.py
@@ -180,7 +180,7 @@
             ),
             'bytes/s',
             'flows: control_bytes_per_node_second over new flows',
-            'notes in batches: flows/_notes.py',
+            'pin updates in batches: flows/_send_queues.py',
             self._budget.bytes_per_second,
         )
         hand_on_rate = settings.hand_on_bytes_per_second
@@ -193,7 +193,7 @@
             's',
             'flows: control bytes a new flow; setting '
             'hand_on_bytes_per_second',
-            'hand-on: flows/_handon.py',
+            'handover: flows/_handover.py',
             settings.stop_seconds,
         )
 
@@ -219,7 +219,7 @@
             self._find_at_target_size('tick_share'),
             'cores',
             'sizes: tick_share',
-            'upkeep: flows/_upkeep.py',
+            'pin maintenance: flows/_pin_maintenance.py',
             self._budget.core_share,
             is_measured=True,
         )
@@ -339,7 +339,7 @@
 
     def _list_watchers(self) -> Figures:
         role = 'Watcher of the platform'
-        mechanism = 'a few watchers a zone: distribution/_feed.py'
+        mechanism = 'a few watchers a zone: distribution/_platform_watch.py'
         for each in _control_figures.list_platform_figures(self._budget):
             yield _figure.Figure(
                 role,
