--- a/skylarkfold/soak/__init__.py
+++ b/skylarkfold/soak/__init__.py
@@ -13,12 +13,12 @@
 ``python -m skylarkfold.soak --seeds 1,2,3`` runs some seeds.
 """
 
-from skylarkfold.soak._judge import InvariantChecker
+from skylarkfold.soak._environment import Environment
+from skylarkfold.soak._invariants import InvariantChecker
 from skylarkfold.soak._plan import draw_plan
 from skylarkfold.soak._run import INSTANCES
 from skylarkfold.soak._run import run_plan
 from skylarkfold.soak._run import run_seed
-from skylarkfold.soak._world import Environment
 
 __all__ = [
     'Environment',
--- a/skylarkfold/soak/_world.py
+++ b/skylarkfold/soak/_environment.py
@@ -11,7 +11,7 @@
 
 from skylarkfold import reactor
 from skylarkfold.soak import _instance
-from skylarkfold.soak import _judge
+from skylarkfold.soak import _invariants
 from skylarkfold.standin import packets
 
 # How long a request waits for its answer.
@@ -51,7 +51,7 @@
         upstreams: int = 2,
     ) -> None:
         self.loop = reactor.Loop()
-        self.judge = _judge.InvariantChecker()
+        self.judge = _invariants.InvariantChecker()
         self.random = random.Random(seed)
         self.store = packets.ObjectStore()
         self.instances: list[_instance.Instance] = []
--- a/skylarkfold/soak/_director.py
+++ b/skylarkfold/soak/_plan_executor.py
@@ -8,10 +8,10 @@
 import signal
 
 from skylarkfold import reactor
+from skylarkfold.soak import _environment
 from skylarkfold.soak import _plan
-from skylarkfold.soak import _returns
 from skylarkfold.soak import _session
-from skylarkfold.soak import _world
+from skylarkfold.soak import _store_restore
 from skylarkfold.standin import packets
 
 _SLOW_SECONDS = 0.5
@@ -43,9 +43,9 @@
     :param world: what they happen to.
     """
 
-    def __init__(self, world: _world.Environment) -> None:
+    def __init__(self, world: _environment.Environment) -> None:
         self._world = world
-        self._returns = _returns.Returns(world)
+        self._returns = _store_restore.Returns(world)
         self._steps: dict[str, Callable[[_plan.Step], object]] = {
             'kill': self._kill,
             'freeze': self._freeze,
@@ -268,7 +268,9 @@
         if victim is None:
             return
         victim.end()
-        others = [each for each in _world.SERVICES if each != victim.service]
+        others = [
+            each for each in _environment.SERVICES if each != victim.service
+        ]
 
         def take_address() -> None:
             self._world.forget(victim)
@@ -292,7 +294,7 @@
 
     def _add(self, step: _plan.Step) -> None:
         self._world.add_upstream(
-            self._world.random.choice(_world.SERVICES),
+            self._world.random.choice(_environment.SERVICES),
             self._world.random.choice(self._world.zones),
         )
 
--- a/skylarkfold/soak/_run.py
+++ b/skylarkfold/soak/_run.py
@@ -5,10 +5,10 @@
 import pathlib
 
 from skylarkfold import explain
-from skylarkfold.soak import _director
+from skylarkfold.soak import _environment
 from skylarkfold.soak import _plan
+from skylarkfold.soak import _plan_executor
 from skylarkfold.soak import _session
-from skylarkfold.soak import _world
 
 _ZONES = ('a', 'b', 'c')
 INSTANCES = 5
@@ -102,8 +102,8 @@
     :param instances: how many there are, over three zones.
     :returns: what it showed.
     """
-    world = _world.Environment(folder, seed, _share_out(instances))
-    director = _director.Director(world)
+    world = _environment.Environment(folder, seed, _share_out(instances))
+    director = _plan_executor.Director(world)
     try:
         world.start()
         world.loop.call_later(
@@ -135,8 +135,8 @@
 
 
 def _begin(
-    world: _world.Environment,
-    director: _director.Director,
+    world: _environment.Environment,
+    director: _plan_executor.Director,
     plan: list[_plan.Step],
 ) -> None:
     for caller in world.callers:
@@ -148,7 +148,7 @@
         )
 
 
-def _list_broken(world: _world.Environment) -> list[str]:
+def _list_broken(world: _environment.Environment) -> list[str]:
     broken = []
     for instance in world.instances:
         broken += [
--- a/skylarkfold/soak/_session.py
+++ b/skylarkfold/soak/_session.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from skylarkfold.soak import _world
+from skylarkfold.soak import _environment
 from skylarkfold.standin import packets
 
 _FLOW_REQUESTS = 12
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        world: _world.Environment,
+        world: _environment.Environment,
         caller: packets.Caller,
         until: float = float('inf'),
         hurry: float = 1.0,
@@ -69,7 +69,7 @@
         world.judge.begin(exchange)
         flow.request(
             exchange,
-            _world.DEADLINE_SECONDS,
+            _environment.DEADLINE_SECONDS,
             lambda exchange: self._take(flow, exchange, retries),
         )
 
--- a/skylarkfold/soak/_returns.py
+++ b/skylarkfold/soak/_store_restore.py
@@ -7,7 +7,7 @@
 
 import collections
 
-from skylarkfold.soak import _world
+from skylarkfold.soak import _environment
 from skylarkfold.standin import packets
 
 _COPY_SECONDS = 0.2
@@ -27,7 +27,7 @@
     :param world: whose store it is.
     """
 
-    def __init__(self, world: _world.Environment) -> None:
+    def __init__(self, world: _environment.Environment) -> None:
         self._world = world
         self._copies: collections.deque[tuple[float, packets.StoreCopy]] = (
             collections.deque(maxlen=_COPIES)
--- a/skylarkfold/tests/platform/test_processes.py
+++ b/skylarkfold/tests/platform/test_processes.py
@@ -11,7 +11,7 @@
 
 from skylarkfold import explain
 from skylarkfold import reactor
-from skylarkfold.soak import _world
+from skylarkfold.soak import _environment
 from skylarkfold.standin import packets
 
 # No assertion depends on it: it bounds a run that hangs.
@@ -23,7 +23,7 @@
         super().setUp()
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
-        self.world = _world.Environment(
+        self.world = _environment.Environment(
             pathlib.Path(scratch.name), 1, {'a': 2, 'b': 1}, upstreams=1
         )
         self.addCleanup(self.world.end)
@@ -65,7 +65,7 @@
         return exchange
 
     def open(self):
-        address, _, _ = _world.ROUTES[0]
+        address, _, _ = _environment.ROUTES[0]
         return self.caller.open(address)
 
     def test_a_flow_is_carried_through_a_restart_of_everything(self):
@@ -183,7 +183,7 @@
     def test_lines_that_nobody_reads_hold_up_nothing(self):
         self.wait_for_rotation()
         (caller,) = [each for each in self.world.callers if each.zone == 'b']
-        address, _, _ = _world.ROUTES[0]
+        address, _, _ = _environment.ROUTES[0]
         # Some hundred lines of some hundred bytes fill a pipe.
         for _ in range(600):
             caller.open(address).finish()
--- a/skylarkfold/tests/soak/test_judge.py
+++ b/skylarkfold/tests/soak/test_invariants.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from skylarkfold.soak import _judge
+from skylarkfold.soak import _invariants
 from skylarkfold.standin import packets
 
 ADDRESS = ('198.51.100.1', 444)
@@ -15,7 +15,7 @@
 class JudgeCalmTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.judge = _judge.InvariantChecker()
+        self.judge = _invariants.InvariantChecker()
         self.judge.allow(ADDRESS, 'desk')
         self._names = iter(range(1, 1000))
 
