--- a/skylarkfold/soak/_environment.py
+++ b/skylarkfold/soak/_environment.py
@@ -17,12 +17,12 @@
 # How long a request waits for its answer.
 DEADLINE_SECONDS = 2.0
 
-_PORTS = 10
+_PORT_COUNT = 10
 # Below those that Linux gives to outgoing connections.
 _PORT_RANGE = (12000, 32000)
-_LEAVE_SECONDS = 4.0
+_DRAIN_SECONDS = 4.0
 # How often the end looks whether all requests have ended.
-_LOOK_SECONDS = 0.05
+_POLL_SECONDS = 0.05
 
 SERVICES = ('desk', 'vault')
 # What callers use: address, service, whether requests may run again.
@@ -67,14 +67,14 @@
         # No request begins any more, but those that have may be retried.
         self.is_ending = False
         self.is_over = False
-        self._numbers = itertools.count(1)
-        self._requests = itertools.count(1)
-        self._reservation, self._port = _reserve_ports()
-        self._faulty: dict[str, str] = {}
+        self._upstream_numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
+        self._port_reservation, self._base_port = _reserve_ports()
+        self._faults_by_host: dict[str, str] = {}
         self.server = packets.StoreServer(
             self.loop, ('127.0.0.1', 0), self.store
         )
-        self.server.fault = lambda host: self._faulty.get(host, '')
+        self.server.fault = lambda host: self._faults_by_host.get(host, '')
         # What instances take for the store, by their hosts.
         self.store_relays: dict[str, packets.FaultyRelay] = {}
         self.fabric = packets.Fabric(self.loop, random.Random(seed))
@@ -96,12 +96,14 @@
                 self.loop, instance.host, self.server.address
             )
             self.store_relays[instance.host] = relay
-            instance.configure(self._port, seeds, relay.address, self.zones)
+            instance.configure(
+                self._base_port, seeds, relay.address, self.zones
+            )
             self.fabric.add(
                 instance.name,
                 instance.zone,
-                (instance.host, self._port),
-                (instance.host, self._port + 1),
+                (instance.host, self._base_port),
+                (instance.host, self._base_port + 1),
             )
             instance.start()
 
@@ -153,18 +155,18 @@
         :param address: a new one where left out.
         :returns: the upstream.
         """
-        number = next(self._numbers)
+        number = next(self._upstream_numbers)
         if address is None:
-            address = (f'127.2.0.{number}', self._port)
+            address = (f'127.2.0.{number}', self._base_port)
         upstream = packets.Upstream(
             self.loop,
             f'i-{number:04x}{self.random.getrandbits(24):06x}',
             service,
             zone,
             address,
-            self._port,
+            self._base_port,
         )
-        self._add(upstream)
+        self._track_upstream(upstream)
         self.register(upstream)
         return upstream
 
@@ -182,13 +184,13 @@
             former.service,
             former.zone,
             former.address,
-            self._port,
+            self._base_port,
             born=int(time.time() * 1000),
         )
-        self._add(upstream)
+        self._track_upstream(upstream)
         return upstream
 
-    def _add(self, upstream: packets.Upstream) -> None:
+    def _track_upstream(self, upstream: packets.Upstream) -> None:
         upstream.ran = lambda _, request: self.judge.note_run(request)
         upstream.was_opened = lambda each: self.judge.note_open(
             each, self.loop.now()
@@ -210,7 +212,9 @@
         upstream.is_draining = True
         self.register(upstream)
         self.judge.note_drain(upstream.name, self.loop.now())
-        self.loop.call_later(_LEAVE_SECONDS, lambda: self._leave(upstream))
+        self.loop.call_later(
+            _DRAIN_SECONDS, lambda: self._stop_drained(upstream)
+        )
 
     def evacuate(self, zone: str, seconds: float) -> None:
         """Ask that a zone gets no new flow, and take it back.
@@ -221,9 +225,9 @@
         self.evacuated.add(zone)
         self.store.put('evacuations', zone, {})
         self.judge.note_evacuation(zone, self.loop.now())
-        self.loop.call_later(seconds, lambda: self._take_back(zone))
+        self.loop.call_later(seconds, lambda: self._end_evacuation(zone))
 
-    def _take_back(self, zone: str) -> None:
+    def _end_evacuation(self, zone: str) -> None:
         self.evacuated.discard(zone)
         self.judge.note_evacuation(zone, None)
         self.store.delete('evacuations', zone)
@@ -246,18 +250,18 @@
         """
         for host in hosts:
             if fault:
-                self._faulty[host] = fault
+                self._faults_by_host[host] = fault
             else:
-                self._faulty.pop(host, None)
+                self._faults_by_host.pop(host, None)
 
     def name_request(self) -> bytes:
         """Make a request that no other one is."""
-        return next(self._requests).to_bytes(8, 'big')
+        return next(self._request_numbers).to_bytes(8, 'big')
 
     def find_upstream(self, token: int) -> packets.Upstream | None:
         """Find the first start of the upstream that a flow's token names."""
-        found = self._list_starts(token)
-        return found[0] if found else None
+        matches = self._list_by_token(token)
+        return matches[0] if matches else None
 
     def find_holder(self, flow: packets.Flow) -> packets.Upstream | None:
         """Find the start of an upstream that holds a flow.
@@ -265,15 +269,15 @@
         :param flow: the flow.
         :returns: it; None where several have its name and none holds it.
         """
-        found = self._list_starts(flow.upstream_echo)
-        if len(found) == 1:
-            return found[0]
-        for each in found:
+        matches = self._list_by_token(flow.upstream_echo)
+        if len(matches) == 1:
+            return matches[0]
+        for each in matches:
             if each.holds(flow.source, flow.address):
                 return each
         return None
 
-    def _list_starts(self, token: int) -> list[packets.Upstream]:
+    def _list_by_token(self, token: int) -> list[packets.Upstream]:
         return [
             each
             for each in self.upstreams
@@ -283,13 +287,15 @@
     def finish(self) -> None:
         """Begin no more requests; stop once those that wait have ended."""
         self.is_ending = True
-        self._stop_by(self.loop.now() + DEADLINE_SECONDS)
+        self._stop_when_idle(self.loop.now() + DEADLINE_SECONDS)
 
-    def _stop_by(self, at: float) -> None:
-        if not self.judge.waiting or self.loop.now() >= at:
+    def _stop_when_idle(self, deadline: float) -> None:
+        if not self.judge.waiting or self.loop.now() >= deadline:
             self.loop.stop()
             return
-        self.loop.call_later(_LOOK_SECONDS, lambda: self._stop_by(at))
+        self.loop.call_later(
+            _POLL_SECONDS, lambda: self._stop_when_idle(deadline)
+        )
 
     def end(self) -> None:
         """End everything that was started."""
@@ -305,24 +311,24 @@
         for relay in self.store_relays.values():
             relay.close()
         self.server.close()
-        self._reservation.close()
+        self._port_reservation.close()
         self.loop.close()
 
-    def _leave(self, upstream: packets.Upstream) -> None:
+    def _stop_drained(self, upstream: packets.Upstream) -> None:
         self.forget(upstream)
         self.loop.call_later(0.3, upstream.end)
 
     def _build_zone(
         self, number: int, zone: str, count: int, upstreams: int
     ) -> None:
-        for place in range(count):
+        for index in range(count):
             self.instances.append(
                 _instance.Instance(
                     self.loop,
                     self._folder,
-                    f'entry-{zone}-{place}',
+                    f'entry-{zone}-{index}',
                     zone,
-                    f'127.1.{number}.{place + 1}',
+                    f'127.1.{number}.{index + 1}',
                 )
             )
         for service in SERVICES:
@@ -331,7 +337,7 @@
         caller = packets.Caller(
             self.loop,
             f'127.3.{number}.1',
-            self._port,
+            self._base_port,
             lambda source, address, data: self.fabric.send(
                 zone, source, address, data
             ),
@@ -354,14 +360,14 @@
 
     :returns: what holds the reservation, and the first of the ports.
     """
-    draw = random.Random()
+    generator = random.Random()
     while True:
-        first = draw.randrange(*_PORT_RANGE, _PORTS)
-        holder = socket.socket()
+        base_port = generator.randrange(*_PORT_RANGE, _PORT_COUNT)
+        reservation = socket.socket()
         try:
-            holder.bind(('127.0.0.1', first))
+            reservation.bind(('127.0.0.1', base_port))
         except OSError:
             # Another run has them.
-            holder.close()
+            reservation.close()
             continue
-        return holder, first
+        return reservation, base_port
--- a/skylarkfold/soak/_instance.py
+++ b/skylarkfold/soak/_instance.py
@@ -13,7 +13,7 @@
 from skylarkfold.standin import packets
 
 _RESTART_SECONDS = 0.3
-_LOOK_SECONDS = 0.05
+_POLL_SECONDS = 0.05
 # The port of the metrics, from the first one that instances use.
 _METRICS_OFFSET = 9
 
@@ -41,15 +41,15 @@
         self.name = name
         self.zone = zone
         self.host = host
-        self.own_ends: list[int] = []
-        self.is_wanted = True
+        self.unexpected_exits: list[int] = []
+        self.is_restarted = True
         self.output: int | None = None
         self._loop = loop
         self._path = folder / f'{name}.settings'
-        self._own_path = folder / f'{name}.json'
+        self._process_settings_path = folder / f'{name}.json'
         self._log_path = folder / f'{name}.log'
         self._process: subprocess.Popen | None = None
-        self._is_ending = False
+        self._is_exit_expected = False
         self._settings: tuple = ()
 
     def configure(
@@ -75,8 +75,8 @@
             *self._settings,
             terms=(packets.SHARES_TERM,),
         )
-        own = {'metrics_port': self.metrics_address[1]}
-        self._own_path.write_text(json.dumps(own))
+        process_settings = {'metrics_port': self.metrics_address[1]}
+        self._process_settings_path.write_text(json.dumps(process_settings))
 
     @property
     def metrics_address(self) -> tuple[str, int]:
@@ -87,7 +87,7 @@
         """Start the process and watch it."""
         environment = dict(os.environ, SKYLARKFOLD_CONFIG=str(self._path))
         command = [sys.executable, '-m', 'skylarkfold.platform']
-        command.append(str(self._own_path))
+        command.append(str(self._process_settings_path))
         with open(self._log_path, 'ab') as log:
             self._process = subprocess.Popen(
                 command,
@@ -95,8 +95,8 @@
                 stdout=log if self.output is None else self.output,
                 stderr=log,
             )
-        self._is_ending = False
-        self._loop.call_later(_LOOK_SECONDS, self._look)
+        self._is_exit_expected = False
+        self._loop.call_later(_POLL_SECONDS, self._check_process)
 
     def send(self, number: int) -> None:
         """Send a signal.
@@ -106,21 +106,21 @@
         if self._process is None or self._process.poll() is not None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self._is_ending = True
+            self._is_exit_expected = True
         self._process.send_signal(number)
 
-    def tear_settings(self, seconds: float) -> None:
+    def truncate_settings(self, seconds: float) -> None:
         """Leave half of the settings file for a while.
 
         :param seconds: how long.
         """
-        whole = self._path.read_text()
-        self._path.write_text(whole[: len(whole) // 2])
-        self._loop.call_later(seconds, lambda: self._path.write_text(whole))
+        contents = self._path.read_text()
+        self._path.write_text(contents[: len(contents) // 2])
+        self._loop.call_later(seconds, lambda: self._path.write_text(contents))
 
     def end(self) -> None:
         """End the process for good."""
-        self.is_wanted = False
+        self.is_restarted = False
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         if self._process is not None:
@@ -132,16 +132,16 @@
             return ''
         return self._log_path.read_text(errors='replace')
 
-    def _look(self) -> None:
+    def _check_process(self) -> None:
         status = self._process.poll()
         if status is None:
-            self._loop.call_later(_LOOK_SECONDS, self._look)
+            self._loop.call_later(_POLL_SECONDS, self._check_process)
             return
-        if not self._is_ending:
-            self.own_ends.append(status)
-        if self.is_wanted:
-            self._loop.call_later(_RESTART_SECONDS, self._start_again)
+        if not self._is_exit_expected:
+            self.unexpected_exits.append(status)
+        if self.is_restarted:
+            self._loop.call_later(_RESTART_SECONDS, self._restart)
 
-    def _start_again(self) -> None:
-        if self.is_wanted:
+    def _restart(self) -> None:
+        if self.is_restarted:
             self.start()
--- a/skylarkfold/soak/_plan.py
+++ b/skylarkfold/soak/_plan.py
@@ -50,12 +50,12 @@
 )
 
 # Drawn apart as well: the store comes back from an older copy.
-RETURNS = ('store-returns',)
+STORE_RESTORES = ('store-returns',)
 
 # Drawn apart as well: hard load. Callers' packets to some instances get lost,
 # as on a link that is full, and one caller asks for more than all others. No
 # promise is suspended by them.
-PRESSES = (
+OVERLOADS = (
     'caller-presses',
     'link-loses',
 )
@@ -97,9 +97,9 @@
     return _draw_steps(
         random.Random(f'{seed}/restarts'),
         RESTARTS,
-        counts=(2, 5),
-        begins=(1.0, 0.6 * seconds),
-        lengths=(0.5, 3.0),
+        count_range=(2, 5),
+        start_range=(1.0, 0.6 * seconds),
+        duration_range=(0.5, 3.0),
     )
 
 
@@ -113,14 +113,14 @@
     return _draw_steps(
         random.Random(f'{seed}/evacuations'),
         EVACUATIONS,
-        counts=(1, 3),
-        begins=(0.5, 0.3 * seconds),
-        lengths=(0.2 * seconds, 0.5 * seconds),
-        shares=(0.4, 0.7),
+        count_range=(1, 3),
+        start_range=(0.5, 0.3 * seconds),
+        duration_range=(0.2 * seconds, 0.5 * seconds),
+        share_choices=(0.4, 0.7),
     )
 
 
-def draw_returns(seed: int, seconds: float) -> list[Step]:
+def draw_store_restores(seed: int, seconds: float) -> list[Step]:
     """Draw returns of the store from older copies; two may be close.
 
     :param seed: the seed; the same one draws the same steps.
@@ -131,14 +131,16 @@
     steps = []
     for _ in range(generator.randint(1, 3)):
         at = generator.uniform(2.0, 0.6 * seconds)
-        away = generator.uniform(0.3, 2.5)
-        steps.append(Step(at, RETURNS[0], away, 1.0))
+        outage_seconds = generator.uniform(0.3, 2.5)
+        steps.append(Step(at, STORE_RESTORES[0], outage_seconds, 1.0))
         if generator.random() < 0.3:
-            steps.append(Step(at + away + 0.7, RETURNS[0], 0.3, 1.0))
+            steps.append(
+                Step(at + outage_seconds + 0.7, STORE_RESTORES[0], 0.3, 1.0)
+            )
     return sorted(steps, key=lambda step: step.at)
 
 
-def draw_presses(seed: int, seconds: float) -> list[Step]:
+def draw_overloads(seed: int, seconds: float) -> list[Step]:
     """Draw hard load, several kinds of which may overlap.
 
     :param seed: the seed; the same one draws the same steps.
@@ -147,11 +149,11 @@
     """
     return _draw_steps(
         random.Random(f'{seed}/presses'),
-        PRESSES,
-        counts=(1, 3),
-        begins=(1.0, 0.5 * seconds),
-        lengths=(1.0, 0.25 * seconds),
-        shares=(0.2, 0.4, 0.7),
+        OVERLOADS,
+        count_range=(1, 3),
+        start_range=(1.0, 0.5 * seconds),
+        duration_range=(1.0, 0.25 * seconds),
+        share_choices=(0.2, 0.4, 0.7),
     )
 
 
@@ -169,37 +171,37 @@
     for _ in range(generator.randint(3, 8)):
         at = generator.uniform(1.0, 0.7 * seconds)
         kind = generator.choice(kinds)
-        longest = 0.75 * seconds - at + 0.5
+        max_seconds = 0.75 * seconds - at + 0.5
         step = Step(
             at,
             kind,
-            min(generator.uniform(0.3, 4.0), longest),
+            min(generator.uniform(0.3, 4.0), max_seconds),
             generator.choice((0.2, 0.4, 0.7, 1.0)),
         )
         steps.append(step)
         if generator.random() < 0.3:
             # The same again, while the first one lasts or soon after.
-            again = min(at + generator.uniform(0.1, 3.0), 0.7 * seconds)
-            steps.append(Step(again, kind, step.seconds, step.share))
+            repeated_at = min(at + generator.uniform(0.1, 3.0), 0.7 * seconds)
+            steps.append(Step(repeated_at, kind, step.seconds, step.share))
     return sorted(steps, key=lambda step: step.at)
 
 
 def _draw_steps(
     generator: random.Random,
     kinds: tuple[str, ...],
-    counts: tuple[int, int],
-    begins: tuple[float, float],
-    lengths: tuple[float, float],
-    shares: tuple[float, ...] = (),
+    count_range: tuple[int, int],
+    start_range: tuple[float, float],
+    duration_range: tuple[float, float],
+    share_choices: tuple[float, ...] = (),
 ) -> list[Step]:
     """Draw steps within bounds; without shares each takes all that fits."""
     steps = [
         Step(
-            generator.uniform(*begins),
+            generator.uniform(*start_range),
             generator.choice(kinds),
-            generator.uniform(*lengths),
-            generator.choice(shares) if shares else 1.0,
+            generator.uniform(*duration_range),
+            generator.choice(share_choices) if share_choices else 1.0,
         )
-        for _ in range(generator.randint(*counts))
+        for _ in range(generator.randint(*count_range))
     ]
     return sorted(steps, key=lambda step: step.at)
--- a/skylarkfold/soak/_run.py
+++ b/skylarkfold/soak/_run.py
@@ -14,12 +14,12 @@
 INSTANCES = 5
 _SESSIONS = 8
 # Instances take so long to start at most before traffic begins.
-_START_SECONDS = 3.0
+_STARTUP_SECONDS = 3.0
 # The end of the run must be served again.
-_LEAST_SERVED = 0.98
+_MIN_ANSWERED_SHARE = 0.98
 # A change of the configuration is in force everywhere after so long; the
 # platform allows 3 s.
-_KNOWN_SECONDS = 2.5
+_CONFIGURATION_LIMIT_SECONDS = 2.5
 
 
 class Result:
@@ -78,9 +78,9 @@
     if has_evacuations:
         plan += _plan.draw_evacuations(seed, seconds)
     if has_returns:
-        plan += _plan.draw_returns(seed, seconds)
+        plan += _plan.draw_store_restores(seed, seconds)
     if has_presses:
-        plan += _plan.draw_presses(seed, seconds)
+        plan += _plan.draw_overloads(seed, seconds)
     return run_plan(plan, seed, folder, seconds, planned_only, instances)
 
 
@@ -102,70 +102,80 @@
     :param instances: how many there are, over three zones.
     :returns: what it showed.
     """
-    world = _environment.Environment(folder, seed, _share_out(instances))
-    director = _plan_executor.Director(world)
+    environment = _environment.Environment(
+        folder, seed, _distribute_instances(instances)
+    )
+    executor = _plan_executor.PlanExecutor(environment)
     try:
-        world.start()
-        world.loop.call_later(
-            _START_SECONDS, lambda: _begin(world, director, plan)
+        environment.start()
+        environment.loop.call_later(
+            _STARTUP_SECONDS,
+            lambda: _begin_traffic(environment, executor, plan),
         )
-        calm = _START_SECONDS + 0.85 * seconds
-        world.loop.call_later(
-            0.0 if planned_only else calm, world.judge.begin_calm
+        calm_start = _STARTUP_SECONDS + 0.85 * seconds
+        environment.loop.call_later(
+            0.0 if planned_only else calm_start, environment.judge.begin_calm
         )
-        world.loop.call_later(calm, world.configure)
-        if 0.15 * seconds >= _KNOWN_SECONDS:
-            world.loop.call_later(calm + _KNOWN_SECONDS, director.ask_versions)
-        world.loop.call_later(_START_SECONDS + seconds, world.finish)
-        world.loop.run()
+        environment.loop.call_later(calm_start, environment.configure)
+        if 0.15 * seconds >= _CONFIGURATION_LIMIT_SECONDS:
+            environment.loop.call_later(
+                calm_start + _CONFIGURATION_LIMIT_SECONDS,
+                executor.request_versions,
+            )
+        environment.loop.call_later(
+            _STARTUP_SECONDS + seconds, environment.finish
+        )
+        environment.loop.run()
     finally:
-        world.end()
-    broken = [*world.judge.broken, *_list_broken(world)]
-    broken += world.judge.judge_calm(1.0 if planned_only else _LEAST_SERVED)
-    return Result(seed, plan, broken, dict(world.judge.outcomes))
+        environment.end()
+    broken = [*environment.judge.broken, *_list_violations(environment)]
+    broken += environment.judge.judge_calm(
+        1.0 if planned_only else _MIN_ANSWERED_SHARE
+    )
+    return Result(seed, plan, broken, dict(environment.judge.outcomes))
 
 
-def _share_out(instances: int) -> dict[str, int]:
+def _distribute_instances(instances: int) -> dict[str, int]:
     """Divide instances over the zones, the first ones get the rest."""
     count = len(_ZONES)
     return {
-        zone: (instances + count - 1 - place) // count
-        for place, zone in enumerate(_ZONES)
+        zone: (instances + count - 1 - index) // count
+        for index, zone in enumerate(_ZONES)
     }
 
 
-def _begin(
-    world: _environment.Environment,
-    director: _plan_executor.Director,
+def _begin_traffic(
+    environment: _environment.Environment,
+    executor: _plan_executor.PlanExecutor,
     plan: list[_plan.Step],
 ) -> None:
-    for caller in world.callers:
+    for caller in environment.callers:
         for _ in range(_SESSIONS):
-            _session.Session(world, caller).begin()
+            _session.Session(environment, caller).begin()
     for step in plan:
-        world.loop.call_later(
-            step.at, lambda step=step: director.perform(step)
+        environment.loop.call_later(
+            step.at, lambda step=step: executor.perform(step)
         )
 
 
-def _list_broken(world: _environment.Environment) -> list[str]:
+def _list_violations(environment: _environment.Environment) -> list[str]:
     broken = []
-    for instance in world.instances:
+    for instance in environment.instances:
         broken += [
             f'{instance.name} ended by itself with {status}'
-            for status in instance.own_ends
+            for status in instance.unexpected_exits
         ]
         log = instance.read_log()
         if 'Traceback' in log:
             broken.append(f'{instance.name} logged a failure')
-        broken += _list_falls(instance.name, log)
-    for each in (*world.callers, *world.upstreams):
+        broken += _list_version_rollbacks(instance.name, log)
+    for each in (*environment.callers, *environment.upstreams):
         if each.forged:
             broken.append(f'{each.forged} packets were not as written')
     return broken
 
 
-def _list_falls(name: str, log: str) -> list[str]:
+def _list_version_rollbacks(name: str, log: str) -> list[str]:
     """List where a process went back to an older version of the routes."""
     broken = []
     version = -1
@@ -174,8 +184,8 @@
             version = -1
         if line.message != 'routes':
             continue
-        later = int(line.get('version'))
-        if later < version:
-            broken.append(f'{name} went back from {version} to {later}')
-        version = later
+        new_version = int(line.get('version'))
+        if new_version < version:
+            broken.append(f'{name} went back from {version} to {new_version}')
+        version = new_version
     return broken
--- a/skylarkfold/tests/platform/test_processes.py
+++ b/skylarkfold/tests/platform/test_processes.py
@@ -120,16 +120,16 @@
         for _ in range(4):
             for flow in flows:
                 self.assertEqual(packets.ANSWERED, self.ask(flow).outcome)
-        self.assertEqual([], self.world.instances[0].own_ends)
+        self.assertEqual([], self.world.instances[0].unexpected_exits)
 
     def test_a_torn_settings_file_keeps_the_last_good_one(self):
         self.wait_for_rotation()
         instance = self.world.instances[0]
-        instance.tear_settings(30.0)
+        instance.truncate_settings(30.0)
         instance.send(signal.SIGHUP)
         self.run_until(lambda: '"reason":"kept"' in instance.read_log())
         self.assertEqual(packets.ANSWERED, self.ask(self.open()).outcome)
-        self.assertEqual([], instance.own_ends)
+        self.assertEqual([], instance.unexpected_exits)
 
     def fetch(self, address):
         """Fetch the metrics of an instance."""
@@ -169,16 +169,16 @@
         self.run_until(lambda: '"reason":"reloaded"' in instance.read_log())
         self.assertIn('skylarkfold_services_short 0', self.fetch(address))
         # What can't be used is named, and changes nothing.
-        own = json.loads(instance._own_path.read_text())
+        own = json.loads(instance._process_settings_path.read_text())
         own['shares'] = {'weights': {'192.0.2.0/24': 0}}
-        instance._own_path.write_text(json.dumps(own))
+        instance._process_settings_path.write_text(json.dumps(own))
         instance.send(signal.SIGHUP)
         place = '$.shares.weights.192.0.2.0/24'
         self.run_until(lambda: place in instance.read_log())
         self.assertIn('skylarkfold_services_short 0', self.fetch(address))
         for _ in range(5):
             self.assertEqual(packets.ANSWERED, self.ask(self.open()).outcome)
-        self.assertEqual([], instance.own_ends)
+        self.assertEqual([], instance.unexpected_exits)
 
     def test_lines_that_nobody_reads_hold_up_nothing(self):
         self.wait_for_rotation()
--- a/skylarkfold/tests/soak/test_environment.py
+++ b/skylarkfold/tests/soak/test_environment.py
@@ -16,22 +16,22 @@
 
 class PortsTest(testtools.TestCase):
     def test_runs_at_the_same_time_have_ports_of_their_own(self):
-        held = [_environment._reserve_ports() for _ in range(20)]
-        self.addCleanup(lambda: [each.close() for each, _ in held])
-        firsts = sorted(first for _, first in held)
-        for one, other in zip(firsts, firsts[1:], strict=False):
-            self.assertGreaterEqual(other - one, _environment._PORTS)
+        reserved = [_environment._reserve_ports() for _ in range(20)]
+        self.addCleanup(lambda: [each.close() for each, _ in reserved])
+        base_ports = sorted(base_port for _, base_port in reserved)
+        for one, other in zip(base_ports, base_ports[1:], strict=False):
+            self.assertGreaterEqual(other - one, _environment._PORT_COUNT)
 
     def test_no_outgoing_connection_takes_them(self):
         path = pathlib.Path('/proc/sys/net/ipv4/ip_local_port_range')
         lowest = int(path.read_text().split()[0])
-        holder, first = _environment._reserve_ports()
-        holder.close()
-        self.assertLess(first + _environment._PORTS, lowest)
+        reservation, base_port = _environment._reserve_ports()
+        reservation.close()
+        self.assertLess(base_port + _environment._PORT_COUNT, lowest)
 
     def test_ports_that_another_run_holds_are_not_taken(self):
-        holder, first = _environment._reserve_ports()
-        self.addCleanup(holder.close)
-        again = [_environment._reserve_ports() for _ in range(50)]
-        self.addCleanup(lambda: [each.close() for each, _ in again])
-        self.assertNotIn(first, [each for _, each in again])
+        reservation, base_port = _environment._reserve_ports()
+        self.addCleanup(reservation.close)
+        others = [_environment._reserve_ports() for _ in range(50)]
+        self.addCleanup(lambda: [each.close() for each, _ in others])
+        self.assertNotIn(base_port, [each for _, each in others])
--- a/skylarkfold/tests/soak/test_soak.py
+++ b/skylarkfold/tests/soak/test_soak.py
@@ -142,12 +142,12 @@
         drawn = {
             step.kind
             for seed in range(20)
-            for step in _plan.draw_returns(seed, 20.0)
+            for step in _plan.draw_store_restores(seed, 20.0)
         }
-        self.assertEqual({*_plan.RETURNS}, drawn)
+        self.assertEqual({*_plan.STORE_RESTORES}, drawn)
         drawn = {
             step.kind
             for seed in range(20)
-            for step in _plan.draw_presses(seed, 20.0)
+            for step in _plan.draw_overloads(seed, 20.0)
         }
-        self.assertEqual({*_plan.PRESSES}, drawn)
+        self.assertEqual({*_plan.OVERLOADS}, drawn)
