--- a/skylarkfold/soak/__init__.py
+++ b/skylarkfold/soak/__init__.py
@@ -1,16 +1,15 @@
-"""A randomized soak of real instances on loopback.
+"""Randomized soak test of real instances on loopback.
 
-Instances are processes as in production; the store, the upstreams, the
-callers and the routers are stand-ins in this process. A seed draws the
-faults: signals, a store that misbehaves towards some instances, a way to it
-that delays, loses answers, falls silent or resets, upstreams that crash, fall
-silent, drain, are replaced and start again under their names, entries that
-other writers leave, a store that comes back from an older copy, changes of the
-configuration. What callers
-and upstreams see is judged all along, and that the last configuration is in
-force everywhere in the end.
+Instances are processes as in production; the store, upstreams, callers and
+routers are stand-ins in this process. A seed determines the faults: signals to
+instances, store errors, slow or broken connections to the store, upstreams
+that crash, stop responding, drain or restart, invalid store entries, a store
+restored from an older copy, and configuration changes.
 
-``python -m skylarkfold.soak --seeds 1,2,3`` runs some seeds.
+The invariants are checked throughout against what callers and upstreams
+observe. At the end every instance must use the latest configuration.
+
+``python -m skylarkfold.soak --seeds 1,2,3`` runs the given seeds.
 """
 
 from skylarkfold.soak._environment import Environment
--- a/skylarkfold/soak/__main__.py
+++ b/skylarkfold/soak/__main__.py
@@ -1,10 +1,10 @@
-"""The soak's command line.
+"""Command line of the soak test.
 
     python -m skylarkfold.soak --seeds 1,2,3 [--seconds 20] [--planned]
     python -m skylarkfold.soak --first 100 --count 50
     python -m skylarkfold.soak --seeds 1 --instances 60
 
-Exit status 1 where a promise was broken.
+The exit status is 1 if an invariant was violated or no seed was given.
 """
 
 from __future__ import annotations
@@ -31,21 +31,21 @@
     instances: int = soak.INSTANCES,
     keep: str = '',
 ) -> None:
-    """Run some seeds, one after the other.
+    """Run seeds one after another.
 
-    :param seeds: the seeds.
-    :param first: the first of a row of seeds.
-    :param count: how many of that row.
-    :param seconds: how long traffic lasts in each.
-    :param planned: only planned work; nothing may fail then.
-    :param restarts: upstreams also start again under their names, and other
-        writers leave entries.
-    :param evacuations: zones are emptied and taken back.
-    :param returns: the store comes back from older copies.
-    :param presses: callers press and links lose packets.
-    :param instances: how many processes there are, over three zones.
-    :param keep: a folder for settings and logs; one that is thrown away
-        where left out.
+    :param seeds: the seeds to run.
+    :param first: the first seed of a consecutive range.
+    :param count: the number of seeds in that range.
+    :param seconds: the duration of the traffic for each seed.
+    :param planned: run only planned operations; no request may fail.
+    :param restarts: also restart upstreams under their names and write
+        invalid entries to the store.
+    :param evacuations: also evacuate zones and end the evacuations.
+    :param returns: also restore the store from older copies.
+    :param presses: also overload instances with requests from one caller
+        and drop packets.
+    :param instances: the number of instances, spread over three zones.
+    :param keep: the folder for settings and logs; a temporary one if empty.
     """
     chosen = list(seeds) if isinstance(seeds, tuple) else [seeds]
     if isinstance(seeds, str):
--- a/skylarkfold/soak/_environment.py
+++ b/skylarkfold/soak/_environment.py
@@ -1,4 +1,4 @@
-"""Instances, store, upstreams, callers and routers on loopback."""
+"""Test environment: instances and stand-ins on loopback."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from skylarkfold.soak import _invariants
 from skylarkfold.standin import packets
 
-# How long a request waits for its answer.
+# Time until a request without an answer fails.
 DEADLINE_SECONDS = 2.0
 
 _PORT_COUNT = 10
-# Below those that Linux gives to outgoing connections.
+# Below the ephemeral ports of Linux.
 _PORT_RANGE = (12000, 32000)
 _DRAIN_SECONDS = 4.0
-# How often the end looks whether all requests have ended.
+# Interval of the check whether all requests have ended.
 _POLL_SECONDS = 0.05
 
 SERVICES = ('desk', 'vault')
-# What callers use: address, service, whether requests may run again.
+# Virtual address, service, and whether its requests may be repeated.
 ROUTES = (
     (('198.51.100.1', 443), 'desk', True),
     (('198.51.100.1', 444), 'desk', False),
@@ -35,12 +35,12 @@
 
 
 class Environment:
-    """Everything that a run needs.
+    """Instances, store, upstreams, callers and routers of a run.
 
-    :param folder: where settings and logs lie.
-    :param seed: draws what is drawn here.
-    :param zones: instances in each zone, by name.
-    :param upstreams: upstreams of each service in each zone.
+    :param folder: the folder for settings and logs.
+    :param seed: the seed of random choices.
+    :param zones: the number of instances by zone.
+    :param upstreams: the number of upstreams of each service in each zone.
     """
 
     def __init__(
@@ -56,15 +56,15 @@
         self.store = packets.ObjectStore()
         self.instances: list[_instance.Instance] = []
         self.upstreams: list[packets.Upstream] = []
-        # Those whose entries were removed.
+        # Upstreams whose store entries were deleted.
         self.forgotten: set[packets.Upstream] = set()
         self.callers: list[packets.Caller] = []
         self.routes = ROUTES
         self.version = 0
         self.has_probe_route = False
-        # The zones that are to be empty.
+        # Zones that are evacuated.
         self.evacuated: set[str] = set()
-        # No request begins any more, but those that have may be retried.
+        # No new request begins, but open requests may be retried.
         self.is_ending = False
         self.is_over = False
         self._upstream_numbers = itertools.count(1)
@@ -75,7 +75,7 @@
             self.loop, ('127.0.0.1', 0), self.store
         )
         self.server.fault = lambda host: self._faults_by_host.get(host, '')
-        # What instances take for the store, by their hosts.
+        # Relays between instances and the store, by instance host.
         self.store_relays: dict[str, packets.FaultyRelay] = {}
         self.fabric = packets.Fabric(self.loop, random.Random(seed))
         self._folder = folder
@@ -84,7 +84,7 @@
 
     @property
     def zones(self) -> list[str]:
-        """All availability zones."""
+        """Names of all availability zones, sorted."""
         return sorted({each.zone for each in self.instances})
 
     def start(self) -> None:
@@ -108,12 +108,12 @@
             instance.start()
 
     def configure(self) -> None:
-        """Write a newer configuration."""
+        """Write a configuration with a higher version."""
         self.version += self.random.randint(1, 5)
         self.write_configuration()
 
     def write_configuration(self) -> None:
-        """Write the newest configuration, once more if it was before."""
+        """Write the configuration under the current version."""
         routes = [*ROUTES]
         if self.has_probe_route:
             routes.append((PROBE_ADDRESS, 'desk', True))
@@ -150,9 +150,9 @@
     ) -> packets.Upstream:
         """Start an upstream and register it.
 
-        :param service: its service.
+        :param service: the upstream's service.
         :param zone: its zone.
-        :param address: a new one where left out.
+        :param address: its address; a new one if None.
         :returns: the upstream.
         """
         number = next(self._upstream_numbers)
@@ -171,12 +171,12 @@
         return upstream
 
     def restart_upstream(self, former: packets.Upstream) -> packets.Upstream:
-        """Start one again that has ended, under its name and address.
+        """Restart a stopped upstream under its name and address.
 
-        It does not register itself.
+        The upstream is not registered.
 
-        :param former: the start before.
-        :returns: the upstream.
+        :param former: the stopped upstream.
+        :returns: the restarted upstream.
         """
         upstream = packets.Upstream(
             self.loop,
@@ -198,17 +198,17 @@
         self.upstreams.append(upstream)
 
     def register(self, upstream: packets.Upstream) -> None:
-        """Write an upstream's entry."""
+        """Write an upstream's entry to the store."""
         self.forgotten.discard(upstream)
         self.store.put('servers', upstream.name, upstream.describe())
 
     def forget(self, upstream: packets.Upstream) -> None:
-        """Remove an upstream's entry."""
+        """Delete an upstream's entry from the store."""
         self.forgotten.add(upstream)
         self.store.delete('servers', upstream.name)
 
     def drain(self, upstream: packets.Upstream) -> None:
-        """Drain an upstream and end it a while later."""
+        """Drain an upstream and stop it after a delay."""
         upstream.is_draining = True
         self.register(upstream)
         self.judge.note_drain(upstream.name, self.loop.now())
@@ -217,10 +217,10 @@
         )
 
     def evacuate(self, zone: str, seconds: float) -> None:
-        """Ask that a zone gets no new flow, and take it back.
+        """Evacuate a zone for a while, so that it gets no new flow.
 
         :param zone: the zone.
-        :param seconds: how long it is evacuated.
+        :param seconds: the duration of the evacuation.
         """
         self.evacuated.add(zone)
         self.store.put('evacuations', zone, {})
@@ -233,7 +233,7 @@
         self.store.delete('evacuations', zone)
 
     def list_upstreams(self, service: str = '') -> list[packets.Upstream]:
-        """List the upstreams that serve."""
+        """List the running upstreams that are not draining."""
         return [
             each
             for each in self.upstreams
@@ -243,10 +243,10 @@
         ]
 
     def set_fault(self, fault: str, hosts: list[str]) -> None:
-        """Have the store treat some instances badly.
+        """Set the fault that the store shows to some instances.
 
-        :param fault: a word of the stand-in; empty to end it.
-        :param hosts: the instances' addresses.
+        :param fault: a fault of the stand-in; empty for none.
+        :param hosts: the hosts of the instances.
         """
         for host in hosts:
             if fault:
@@ -255,19 +255,20 @@
                 self._faults_by_host.pop(host, None)
 
     def name_request(self) -> bytes:
-        """Make a request that no other one is."""
+        """Return a unique request."""
         return next(self._request_numbers).to_bytes(8, 'big')
 
     def find_upstream(self, token: int) -> packets.Upstream | None:
-        """Find the first start of the upstream that a flow's token names."""
+        """Return the first upstream that a flow's token identifies."""
         matches = self._list_by_token(token)
         return matches[0] if matches else None
 
     def find_holder(self, flow: packets.Flow) -> packets.Upstream | None:
-        """Find the start of an upstream that holds a flow.
+        """Return the upstream that holds a flow.
 
         :param flow: the flow.
-        :returns: it; None where several have its name and none holds it.
+        :returns: the upstream; None if the token does not identify exactly
+            one upstream and none of the candidates holds the flow.
         """
         matches = self._list_by_token(flow.upstream_echo)
         if len(matches) == 1:
@@ -285,7 +286,7 @@
         ]
 
     def finish(self) -> None:
-        """Begin no more requests; stop once those that wait have ended."""
+        """Begin no more requests and stop once the open ones have ended."""
         self.is_ending = True
         self._stop_when_idle(self.loop.now() + DEADLINE_SECONDS)
 
@@ -298,7 +299,7 @@
         )
 
     def end(self) -> None:
-        """End everything that was started."""
+        """Stop all processes and stand-ins and release the ports."""
         self.is_over = True
         for instance in self.instances:
             instance.end()
@@ -346,19 +347,19 @@
         self.callers.append(caller)
 
     def kill_all(self) -> None:
-        """Kill every instance at the same moment."""
+        """Kill all instances at once."""
         for instance in self.instances:
             instance.send(signal.SIGKILL)
 
 
 def _reserve_ports() -> tuple[socket.socket, int]:
-    """Reserve ports that nothing else on this machine takes.
+    """Reserve a range of ports that no other run on this machine uses.
 
-    All runs share their hosts. Not ports that the kernel gives to outgoing
-    connections: of a host whose instance is about to start again, the way to
-    the store might be given them.
+    All runs share the same hosts. Ephemeral ports are excluded, since an
+    outgoing connection to the store might take the port of an instance that
+    is being restarted.
 
-    :returns: what holds the reservation, and the first of the ports.
+    :returns: the socket that holds the reservation, and the first port.
     """
     generator = random.Random()
     while True:
@@ -367,7 +368,7 @@
         try:
             reservation.bind(('127.0.0.1', base_port))
         except OSError:
-            # Another run has them.
+            # Another run has reserved the range.
             reservation.close()
             continue
         return reservation, base_port
--- a/skylarkfold/soak/_instance.py
+++ b/skylarkfold/soak/_instance.py
@@ -1,4 +1,4 @@
-"""One instance as a process."""
+"""Instance that runs as a child process."""
 
 from __future__ import annotations
 
@@ -14,20 +14,22 @@
 
 _RESTART_SECONDS = 0.3
 _POLL_SECONDS = 0.05
-# The port of the metrics, from the first one that instances use.
+# Offset of the metrics port from the base port.
 _METRICS_OFFSET = 9
 
 
 class Instance:
-    """A process that is started again whenever it ends.
+    """Instance process that is restarted whenever it exits.
 
     :param loop: the event loop.
-    :param folder: where its settings and its log lie.
-    :param name: its name.
+    :param folder: the folder of its settings and its log.
+    :param name: the instance's name.
     :param zone: its availability zone.
-    :param host: its address.
-    :ivar own_ends: exit statuses of ends that nobody asked for.
-    :ivar output: where its lines go; its log file where left out.
+    :param host: its IP address.
+    :ivar unexpected_exits: exit statuses of exits that no signal caused.
+    :ivar is_restarted: whether the process is restarted when it exits.
+    :ivar output: the file descriptor for standard output; None for the log
+        file.
     """
 
     def __init__(
@@ -59,10 +61,10 @@
         store: tuple[str, int],
         zones: list[str],
     ) -> None:
-        """Write its settings file.
+        """Write the settings files.
 
-        :param base_port: the first port that all instances use.
-        :param seeds: hosts of others.
+        :param base_port: the first of the ports, the same on every instance.
+        :param seeds: hosts of the first peers to contact.
         :param store: the store's address.
         :param zones: all availability zones.
         """
@@ -80,11 +82,11 @@
 
     @property
     def metrics_address(self) -> tuple[str, int]:
-        """Where it shows its metrics."""
+        """Host and port of the metrics endpoint."""
         return self.host, self._settings[0] + _METRICS_OFFSET
 
     def start(self) -> None:
-        """Start the process and watch it."""
+        """Start the process and poll for its exit."""
         environment = dict(os.environ, SKYLARKFOLD_CONFIG=str(self._path))
         command = [sys.executable, '-m', 'skylarkfold.platform']
         command.append(str(self._process_settings_path))
@@ -99,9 +101,9 @@
         self._loop.call_later(_POLL_SECONDS, self._check_process)
 
     def send(self, number: int) -> None:
-        """Send a signal.
+        """Send a signal to the process if it is running.
 
-        :param number: the signal.
+        :param number: the signal's number.
         """
         if self._process is None or self._process.poll() is not None:
             return
@@ -110,16 +112,16 @@
         self._process.send_signal(number)
 
     def truncate_settings(self, seconds: float) -> None:
-        """Leave half of the settings file for a while.
+        """Truncate the settings file to half, then write it back.
 
-        :param seconds: how long.
+        :param seconds: the time until it is written back.
         """
         contents = self._path.read_text()
         self._path.write_text(contents[: len(contents) // 2])
         self._loop.call_later(seconds, lambda: self._path.write_text(contents))
 
     def end(self) -> None:
-        """End the process for good."""
+        """Kill the process and do not restart it."""
         self.is_restarted = False
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
@@ -127,7 +129,7 @@
             self._process.wait()
 
     def read_log(self) -> str:
-        """Read what all its processes have logged."""
+        """Return the log of all processes of this instance."""
         if not self._log_path.exists():
             return ''
         return self._log_path.read_text(errors='replace')
--- a/skylarkfold/soak/_invariants.py
+++ b/skylarkfold/soak/_invariants.py
@@ -1,4 +1,4 @@
-"""Checks the promises from what callers and upstreams see."""
+"""Checks of the invariants against what callers and upstreams observe."""
 
 from __future__ import annotations
 
@@ -6,19 +6,21 @@
 
 from skylarkfold.standin import packets
 
-# A fault explains what is seen up to so long after its end.
+# Violations within this time after a fault are attributed to the fault.
 FAULT_AFTERMATH_SECONDS = 4.0
-# A drained upstream gets no new flow after so long.
+# A drained upstream must get no new flow after this time.
 DRAIN_LIMIT_SECONDS = 3.0
-# Nor does one of a zone that is evacuated.
+# An upstream of an evacuated zone must get no new flow after this time.
 EVACUATION_LIMIT_SECONDS = 5.0
 
 
 class InvariantChecker:
-    """Collects events and names broken promises.
+    """Checker that collects events and records violated invariants.
 
-    :ivar broken: one line for each broken promise.
-    :ivar waiting: requests that have begun in the calm and not ended.
+    The final phase without new faults is called calm.
+
+    :ivar broken: one line for each violation.
+    :ivar waiting: requests that began in the calm phase and have not ended.
     """
 
     def __init__(self) -> None:
@@ -35,32 +37,32 @@
         self._allowed_services: dict[tuple[str, int], set[str]] = {}
 
     def allow(self, address: tuple[str, int], service: str) -> None:
-        """Note that a configuration leads an address to a service."""
+        """Record that a configuration routes an address to a service."""
         self._allowed_services.setdefault(address, set()).add(service)
 
     def note_fault(self, started: float, ended: float) -> None:
-        """Note an unplanned fault with its end."""
+        """Record the start and end of an unplanned fault."""
         self._faults.append((started, ended))
 
     def note_return(self, started: float, ended: float) -> None:
-        """Note that the store is away, and comes back from an older copy.
+        """Record an outage after which the store is restored from a copy.
 
-        What was in force before it went stays so.
+        Settings applied before the outage remain in force.
 
-        :param begun: when it went.
-        :param ended: when it is back.
+        :param started: the start of the outage.
+        :param ended: the end of the outage.
         """
         self._store_outages.append((started, ended))
 
     def note_drain(self, name: str, now: float) -> None:
-        """Note that the store has accepted a drain."""
+        """Record that the store has accepted a drain."""
         self._drained_at[name] = now
 
     def note_evacuation(self, zone: str, now: float | None) -> None:
-        """Note that the store has accepted an evacuation, or its end.
+        """Record that the store has accepted an evacuation or its end.
 
         :param zone: the zone.
-        :param now: the time; None for the end.
+        :param now: the start time; None if the evacuation ends.
         """
         if now is None:
             self._evacuated_at.pop(zone, None)
@@ -68,17 +70,17 @@
             self._evacuated_at.setdefault(zone, now)
 
     def note_once(self, request: bytes) -> None:
-        """Note a request that may run once at most."""
+        """Record a request that may run at most once."""
         self._non_repeatable.add(request)
 
     def note_run(self, request: bytes) -> None:
-        """Note that an upstream runs a request."""
+        """Record that an upstream runs a request."""
         self._runs[request] += 1
         if request in self._non_repeatable and self._runs[request] > 1:
             self.broken.append(f'{request.hex()} ran twice')
 
     def note_open(self, upstream: packets.Upstream, now: float) -> None:
-        """Note that a new flow has opened at an upstream."""
+        """Check a new flow against the upstream's drain and evacuation."""
         drained_at = self._drained_at.get(upstream.name)
         if self._exceeds_limit(drained_at, now, DRAIN_LIMIT_SECONDS):
             self.broken.append(
@@ -102,7 +104,7 @@
         return now - since > limit
 
     def _overlaps_store_outage(self, since: float, limit: float) -> bool:
-        """Tell whether the store went before what it held was in force."""
+        """Return whether an outage may have lost an entry before its limit."""
         return any(
             started <= since + limit
             and ended + FAULT_AFTERMATH_SECONDS >= since
@@ -110,33 +112,34 @@
         )
 
     def note_reset(self, now: float, upstream: packets.Upstream) -> None:
-        """Note that an open flow got a reset from an instance."""
+        """Record the reset of an open flow unless a fault explains it."""
         if upstream.is_ended or self._overlaps_fault(now, now):
             return
         self.broken.append(f'a flow of {upstream.name} was reset')
 
     def begin_calm(self) -> None:
-        """Note that what begins from now on must be served.
+        """Start the calm phase, whose requests must be answered.
 
-        What began earlier may have met a fault and still end later.
+        Requests that began earlier do not count: a fault may have affected
+        them.
         """
         self._calm_outcomes = collections.Counter()
 
     def begin(self, exchange: packets.Exchange) -> None:
-        """Note that a request begins."""
+        """Record that a request begins."""
         if self._calm_outcomes is not None:
             self.waiting.add(exchange)
 
     def note_retry(self, exchange: packets.Exchange) -> None:
-        """Note that a request has failed and begins once more."""
+        """Record that a request has failed and is retried."""
         self.outcomes['retried'] += 1
         self.waiting.discard(exchange)
 
     def judge_calm(self, min_answered_share: float) -> list[str]:
-        """Judge what has begun in the calm, once it has ended.
+        """Check the requests of the calm phase at the end of the run.
 
-        :param least: the share that must be answered.
-        :returns: broken promises, one line each.
+        :param min_answered_share: the share that must be answered.
+        :returns: violations, one line each.
         """
         counts = collections.Counter(self._calm_outcomes)
         counts['waiting'] += len(self.waiting)
@@ -146,7 +149,7 @@
         return [f'of {total} requests in the end: {dict(counts)}']
 
     def take(self, exchange: packets.Exchange, address: tuple) -> None:
-        """Judge the end of a request."""
+        """Record the outcome of a request and check its answer."""
         self.outcomes[exchange.outcome] += 1
         if exchange in self.waiting:
             self.waiting.remove(exchange)
--- a/skylarkfold/soak/_plan.py
+++ b/skylarkfold/soak/_plan.py
@@ -1,10 +1,10 @@
-"""What a seed draws."""
+"""Random plans: the steps of a run, determined by its seed."""
 
 from __future__ import annotations
 
 import random
 
-# The faults that are no planned work.
+# Faults; the other steps are planned operations.
 UNPLANNED = (
     'kill',
     'freeze',
@@ -34,27 +34,26 @@
     'remove-route',
     'storm',
 )
-# Drawn apart from the others, so that older seeds stay as they were. No
-# promise is suspended by them.
+# The kinds below have random generators of their own, so that adding them does
+# not change the plans of existing seeds. They suspend no invariant, except for
+# restores of the store.
 RESTARTS = (
     'upstream-restarted',
     'upstream-restarted-late',
     'entries-foreign',
 )
 
-# Drawn apart as well. Zones are emptied and taken back; other writers leave
-# entries of that kind.
+# Evacuations of zones that end again, and invalid evacuation entries.
 EVACUATIONS = (
     'zone-evacuated',
     'evacuations-foreign',
 )
 
-# Drawn apart as well: the store comes back from an older copy.
+# The store has an outage and is restored from an older copy.
 STORE_RESTORES = ('store-returns',)
 
-# Drawn apart as well: hard load. Callers' packets to some instances get lost,
-# as on a link that is full, and one caller asks for more than all others. No
-# promise is suspended by them.
+# Overload: one caller sends more requests than all others, and packets from
+# callers to some instances are lost, as on a saturated link.
 OVERLOADS = (
     'caller-presses',
     'link-loses',
@@ -62,12 +61,12 @@
 
 
 class Step:
-    """One event.
+    """Fault or operation of a plan.
 
-    :param at: seconds from the start of traffic.
-    :param kind: one of this module's words.
-    :param seconds: how long it lasts, where it does.
-    :param share: which part of the things that fit.
+    :param at: the time in seconds from the start of traffic.
+    :param kind: one of the kinds in this module.
+    :param seconds: the duration, for kinds that have one.
+    :param share: the share of the eligible targets that are affected.
     """
 
     __slots__ = ('at', 'kind', 'seconds', 'share')
@@ -88,11 +87,11 @@
 
 
 def draw_restarts(seed: int, seconds: float) -> list[Step]:
-    """Draw new starts of upstreams, and entries of other writers.
+    """Draw restarts of upstreams and invalid store entries.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     return _draw_steps(
         random.Random(f'{seed}/restarts'),
@@ -104,11 +103,11 @@
 
 
 def draw_evacuations(seed: int, seconds: float) -> list[Step]:
-    """Draw evacuations, several of which may overlap.
+    """Draw evacuations of zones, which may overlap.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     return _draw_steps(
         random.Random(f'{seed}/evacuations'),
@@ -121,11 +120,11 @@
 
 
 def draw_store_restores(seed: int, seconds: float) -> list[Step]:
-    """Draw returns of the store from older copies; two may be close.
+    """Draw restores of the store from older copies, some in quick succession.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     generator = random.Random(f'{seed}/returns')
     steps = []
@@ -141,11 +140,11 @@
 
 
 def draw_overloads(seed: int, seconds: float) -> list[Step]:
-    """Draw hard load, several kinds of which may overlap.
+    """Draw steps that overload instances and may overlap.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     return _draw_steps(
         random.Random(f'{seed}/presses'),
@@ -158,12 +157,12 @@
 
 
 def draw_plan(seed: int, seconds: float, planned_only: bool) -> list[Step]:
-    """Draw a plan.
+    """Draw the planned operations and faults of a plan.
 
-    :param seed: the seed; the same one draws the same plan.
-    :param seconds: how long traffic lasts; the last quarter is calm.
-    :param planned_only: whether to leave unplanned faults out.
-    :returns: steps in order.
+    :param seed: the seed, which determines the plan.
+    :param seconds: the duration of the traffic; the last quarter is calm.
+    :param planned_only: whether to omit unplanned faults.
+    :returns: the steps in order of time.
     """
     generator = random.Random(seed)
     kinds = PLANNED if planned_only else PLANNED + UNPLANNED
@@ -180,7 +179,7 @@
         )
         steps.append(step)
         if generator.random() < 0.3:
-            # The same again, while the first one lasts or soon after.
+            # Repeat the step during the first one or shortly after it.
             repeated_at = min(at + generator.uniform(0.1, 3.0), 0.7 * seconds)
             steps.append(Step(repeated_at, kind, step.seconds, step.share))
     return sorted(steps, key=lambda step: step.at)
@@ -194,7 +193,7 @@
     duration_range: tuple[float, float],
     share_choices: tuple[float, ...] = (),
 ) -> list[Step]:
-    """Draw steps within bounds; without shares each takes all that fits."""
+    """Draw steps within ranges; without share choices the share is 1."""
     steps = [
         Step(
             generator.uniform(*start_range),
--- a/skylarkfold/soak/_plan_executor.py
+++ b/skylarkfold/soak/_plan_executor.py
@@ -1,4 +1,4 @@
-"""What the steps of a plan do to the world."""
+"""Execution of a plan's steps on the environment."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 _SLOW_STORE_SECONDS = 0.5
 _STORE_DELAY_SECONDS = 0.3
 _METRICS_TIMEOUT_SECONDS = 0.3
-# One that is started again at once is back before anyone doubts it.
+# Shorter than the time in which instances detect that an upstream is gone.
 _RESTART_SECONDS = 0.03
-# How often another writer changes what it left, and what is wrong with it.
+# Interval at which invalid entries are rewritten, and their invalid fields.
 _FOREIGN_WRITE_SECONDS = 0.3
 _INVALID_FIELDS: tuple[dict[str, object], ...] = (
     {'state': 'paused'},
@@ -29,18 +29,19 @@
     {'born': 'now'},
     {'service': ['desk']},
 )
-# One caller beside the others: sessions, how much oftener each asks.
+# Extra sessions of the overloading caller at a share of 1, and how many times
+# the usual request rate each of them has.
 _OVERLOAD_SESSIONS = 30
 _OVERLOAD_RATE_FACTOR = 8.0
-# Of the packets to an instance whose link is full.
+# Share of packets lost on the way to an affected instance.
 _PACKET_LOSS_SHARE = 0.4
 _VERSION = re.compile(r'^skylarkfold_version (\S+)$', re.MULTILINE)
 
 
 class PlanExecutor:
-    """Performs the steps of a plan.
+    """Executor of a plan's steps.
 
-    :param world: what they happen to.
+    :param environment: the environment that the steps change.
     """
 
     def __init__(self, environment: _environment.Environment) -> None:
@@ -102,7 +103,7 @@
         self._handlers[step.kind](step)
 
     def request_versions(self) -> None:
-        """Ask all instances which version they have in force."""
+        """Request every instance's configuration version and check it."""
         for instance in self._environment.instances:
             client = reactor.HttpClient(
                 self._environment.loop, instance.metrics_address
@@ -141,7 +142,7 @@
             )
 
     def _terminate(self, step: _plan.Step) -> None:
-        # One at a time: a fleet of five has no more to spare.
+        # Only one at a time: five instances tolerate no second planned stop.
         (instance,) = self._sample(self._environment.instances[:4], 0.01)
         instance.send(signal.SIGTERM)
 
@@ -226,7 +227,7 @@
     def _restart_upstream(
         self, step: _plan.Step, registration_delay: float
     ) -> None:
-        """Have one start again under its name, unheard of for a while."""
+        """Restart an upstream under its name and register it after a delay."""
         upstream = self._choose_redundant_upstream()
         if upstream is None:
             return
@@ -242,7 +243,7 @@
         environment.loop.call_later(_RESTART_SECONDS, start_successor)
 
     def _write_invalid_entries(self, step: _plan.Step) -> None:
-        """Have another writer leave entries that change all the time."""
+        """Rewrite invalid upstream entries periodically, then delete them."""
         store = self._environment.store
         entry = self._environment.random.choice(
             self._environment.upstreams
@@ -280,7 +281,7 @@
             self._environment.evacuate(zone, step.seconds)
 
     def _write_invalid_evacuations(self, step: _plan.Step) -> None:
-        """Have another writer leave entries that evacuate nothing."""
+        """Write evacuation entries that are invalid or name no zone."""
         store = self._environment.store
         store.put('evacuations', 'nowhere', {})
         for zone in self._environment.zones:
@@ -310,7 +311,7 @@
             self._environment.drain(upstream)
 
     def _choose_redundant_upstream(self) -> packets.Upstream | None:
-        """Choose an upstream whose service can do without it."""
+        """Choose an upstream of a service that has more than two."""
         candidates = [
             each
             for each in self._environment.list_upstreams()
--- a/skylarkfold/soak/_run.py
+++ b/skylarkfold/soak/_run.py
@@ -1,4 +1,4 @@
-"""Runs one seed."""
+"""Runs of one seed or plan."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 _ZONES = ('a', 'b', 'c')
 INSTANCES = 5
 _SESSIONS = 8
-# Instances take so long to start at most before traffic begins.
+# Time for instances to start before traffic begins.
 _STARTUP_SECONDS = 3.0
-# The end of the run must be served again.
+# Minimum share of requests answered in the calm phase.
 _MIN_ANSWERED_SHARE = 0.98
-# A change of the configuration is in force everywhere after so long; the
+# Every instance must apply a configuration change within this time; the
 # platform allows 3 s.
 _CONFIGURATION_LIMIT_SECONDS = 2.5
 
 
 class Result:
-    """What a run showed.
+    """Result of a run.
 
     :param seed: the seed.
-    :param plan: its steps.
-    :param broken: broken promises, one line each.
-    :param outcomes: how requests ended, by outcome.
+    :param plan: the executed steps.
+    :param broken: violated invariants, one line each.
+    :param outcomes: the number of requests by outcome.
     """
 
     __slots__ = ('broken', 'outcomes', 'plan', 'seed')
@@ -57,20 +57,20 @@
     has_presses: bool = False,
     instances: int = INSTANCES,
 ) -> Result:
-    """Run one seed.
+    """Draw the plan of a seed and run it.
 
     :param seed: the seed.
-    :param folder: where settings and logs lie.
-    :param seconds: how long traffic lasts.
-    :param planned_only: whether only planned work is done; every request
-        must be answered then.
-    :param has_restarts: whether upstreams also start again under their
-        names, and other writers leave entries.
-    :param has_evacuations: whether zones are emptied and taken back.
-    :param has_returns: whether the store comes back from older copies.
-    :param has_presses: whether callers press and links lose packets.
-    :param instances: how many there are, over three zones.
-    :returns: what it showed.
+    :param folder: the folder for settings and logs.
+    :param seconds: the duration of the traffic.
+    :param planned_only: whether to run only planned operations, so that
+        every request must be answered.
+    :param has_restarts: whether to restart upstreams under their names and
+        to write invalid entries to the store.
+    :param has_evacuations: whether to evacuate zones.
+    :param has_returns: whether to restore the store from older copies.
+    :param has_presses: whether to overload instances and drop packets.
+    :param instances: the number of instances, spread over three zones.
+    :returns: the result.
     """
     plan = _plan.draw_plan(seed, seconds, planned_only)
     if has_restarts:
@@ -94,13 +94,13 @@
 ) -> Result:
     """Run a plan.
 
-    :param plan: its steps.
-    :param seed: draws who is hit by each.
-    :param folder: where settings and logs lie.
-    :param seconds: how long traffic lasts.
+    :param plan: the steps.
+    :param seed: the seed that determines the targets of each step.
+    :param folder: the folder for settings and logs.
+    :param seconds: the duration of the traffic.
     :param planned_only: whether every request must be answered.
-    :param instances: how many there are, over three zones.
-    :returns: what it showed.
+    :param instances: the number of instances, spread over three zones.
+    :returns: the result.
     """
     environment = _environment.Environment(
         folder, seed, _distribute_instances(instances)
@@ -136,7 +136,7 @@
 
 
 def _distribute_instances(instances: int) -> dict[str, int]:
-    """Divide instances over the zones, the first ones get the rest."""
+    """Return the number of instances by zone; the first get the remainder."""
     count = len(_ZONES)
     return {
         zone: (instances + count - 1 - index) // count
@@ -176,7 +176,7 @@
 
 
 def _list_version_rollbacks(name: str, log: str) -> list[str]:
-    """List where a process went back to an older version of the routes."""
+    """List the log lines that return to an older version of the routes."""
     broken = []
     version = -1
     for line in explain.read_lines(log.splitlines()):
--- a/skylarkfold/soak/_session.py
+++ b/skylarkfold/soak/_session.py
@@ -1,4 +1,4 @@
-"""One user of the soak."""
+"""Session of a caller that sends requests one after another."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 _MAX_FLOW_REQUESTS = 12
 _MAX_RETRIES = 2
-# The pause before each request.
+# Range of the pause before each request.
 _PAUSE_SECONDS = (0.05, 0.6)
 
 
 class Session:
-    """Request after request, with retries.
+    """Sequence of requests with retries.
 
-    :param world: where they are sent, and who judges them.
-    :param caller: who sends them.
-    :param until: when the last one begins.
-    :param hurry: how many times as often as others it asks.
+    :param environment: the environment that is tested.
+    :param caller: the caller that sends the requests.
+    :param until: the time after which no request begins.
+    :param rate_factor: the request rate relative to other sessions.
     """
 
     def __init__(
--- a/skylarkfold/soak/_store_restore.py
+++ b/skylarkfold/soak/_store_restore.py
@@ -1,6 +1,6 @@
-"""A store that goes away and comes back from an older copy.
+"""Outages after which the store is restored from an older copy.
 
-Whoever had written to it writes again, each at a moment of its own.
+After the restore every writer rewrites its entries after a random delay.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 _COPY_INTERVAL_SECONDS = 0.2
 _MAX_COPIES = 30
-# How old the copy is at most.
+# Maximum age of the copy that is restored.
 _MAX_COPY_AGE_SECONDS = 5.0
-# By when everybody has written again; the platform says two seconds.
+# Writers rewrite their entries within this time, which the platform promises.
 MAX_REWRITE_SECONDS = 2.0
 _MIN_REWRITE_SECONDS = 0.1
-# An entry whose upstream has ended is removed after its silence.
+# Entries of stopped upstreams are deleted after this time.
 _ENTRY_TIMEOUT_SECONDS = 3.6
 
 
 class StoreRestorer:
-    """Makes copies of the store, and has it come back from one.
+    """Restorer that copies the store regularly and restores such a copy.
 
-    :param world: whose store it is.
+    :param environment: the environment with the store.
     """
 
     def __init__(self, environment: _environment.Environment) -> None:
@@ -35,9 +35,9 @@
         environment.loop.call_every(_COPY_INTERVAL_SECONDS, self._copy_store)
 
     def restore_after_outage(self, outage_seconds: float) -> None:
-        """Have the store away for a while, then back from a copy.
+        """Make the store fail for a while, then restore it from a copy.
 
-        :param away_seconds: how long.
+        :param outage_seconds: the duration of the outage.
         """
         environment = self._environment
         hosts = [each.host for each in environment.instances]
@@ -101,7 +101,7 @@
             self._environment.register(upstream)
 
     def _delete_stopped_upstream(self, upstream: packets.Upstream) -> None:
-        # A later start may have its name by now.
+        # A restarted upstream may use the name by now.
         is_name_in_use = any(
             each.name == upstream.name and not each.is_ended
             for each in self._environment.upstreams
--- a/skylarkfold/tests/soak/test_invariants.py
+++ b/skylarkfold/tests/soak/test_invariants.py
@@ -1,4 +1,4 @@
-"""What the judge of the soak makes of the end of a run."""
+"""Tests of the soak's checks at the end of a run."""
 
 import testtools
 
@@ -6,13 +6,13 @@
 from skylarkfold.standin import packets
 
 ADDRESS = ('198.51.100.1', 444)
-# As the soak asks for: at most one in fifty is lost.
+# As in the soak: at most one request in fifty may fail.
 MIN_ANSWERED_SHARE = 0.98
 DEADLINE = 'deadline'
 RESET = 'reset'
 
 
-class CalmTest(testtools.TestCase):
+class CalmPhaseTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
         self.checker = _invariants.InvariantChecker()
@@ -35,9 +35,9 @@
         for _ in range(count):
             self.end(self.begin(), packets.ANSWERED)
 
-    def test_what_began_during_a_fault_may_end_in_the_calm(self):
-        # Seed 11, 8 s: requests that must not run twice wait at an upstream
-        # that has ended, and reach their deadline after the calm's begin.
+    def test_requests_from_before_the_calm_phase_do_not_count(self):
+        # Requests that must not be repeated wait for a stopped upstream and
+        # reach their deadline only in the calm phase.
         early = [self.begin(), self.begin()]
         self.checker.begin_calm()
         self.answer(77)
@@ -45,7 +45,7 @@
             self.end(each, DEADLINE)
         self.assertEqual([], self.checker.judge_calm(MIN_ANSWERED_SHARE))
 
-    def test_what_is_lost_of_the_calm_is_told(self):
+    def test_failed_requests_of_the_calm_phase_are_reported(self):
         self.checker.begin_calm()
         late = [self.begin(), self.begin()]
         self.answer(77)
@@ -53,20 +53,20 @@
             self.end(each, RESET)
         self.assertEqual(1, len(self.checker.judge_calm(MIN_ANSWERED_SHARE)))
 
-    def test_what_never_ends_is_lost(self):
+    def test_requests_that_never_end_are_reported(self):
         self.checker.begin_calm()
         self.begin()
         self.begin()
         self.answer(77)
         self.assertEqual(1, len(self.checker.judge_calm(MIN_ANSWERED_SHARE)))
 
-    def test_a_retry_counts_in_place_of_the_first_attempt(self):
+    def test_a_retry_replaces_the_first_attempt(self):
         self.checker.begin_calm()
         for _ in range(9):
             self.checker.note_retry(self.begin())
         self.answer(9)
         self.assertEqual([], self.checker.judge_calm(1.0))
 
-    def test_a_calm_without_requests_is_told(self):
+    def test_a_calm_phase_without_requests_is_reported(self):
         self.checker.begin_calm()
         self.assertEqual(1, len(self.checker.judge_calm(MIN_ANSWERED_SHARE)))
--- a/skylarkfold/tests/soak/test_soak.py
+++ b/skylarkfold/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and seeds that once failed."""
+"""Tests of short soak runs, including seeds that failed before."""
 
 import pathlib
 import tempfile
@@ -9,9 +9,9 @@
 from skylarkfold.soak import _plan
 
 SECONDS = 8.0
-# Long enough that the last configuration must be in force everywhere.
+# Long enough for the check that all instances use the last configuration.
 LONG_SECONDS = 20.0
-# Long enough for three new starts, each unheard of for 2.5 s.
+# Long enough for three restarts, each registered after 2.5 s.
 LATE_SECONDS = 12.0
 
 
@@ -40,18 +40,18 @@
         self.assertEqual([], result.broken, f'{result.plan}')
         self.assertGreater(result.outcomes['answered'], 0)
 
-    def test_planned_work_fails_no_request(self):
+    def test_planned_operations_fail_no_request(self):
         self.run_seed(7, planned_only=True)
 
-    def test_faults_break_no_promise(self):
+    def test_faults_violate_no_invariant(self):
         self.run_seed(11)
 
-    def test_new_starts_and_foreign_entries_break_no_promise(self):
+    def test_restarts_and_invalid_entries_violate_no_invariant(self):
         self.run_seed(3, has_restarts=True)
 
-    def test_new_starts_that_are_heard_of_late_lose_no_flow(self):
-        # Fails where all flows that are older than the new entry are ended
-        # (no `entry_seconds`): those opened since the start are reset.
+    def test_late_registration_after_a_restart_loses_no_flow(self):
+        # Guards against resetting flows that were opened between an
+        # upstream's restart and its registration.
         plan = [
             _plan.Step(2.0 + 2.5 * number, 'upstream-restarted-late', 2.5, 1.0)
             for number in range(3)
@@ -62,23 +62,23 @@
         self.assertEqual([], result.broken)
         self.assertGreater(result.outcomes['answered'], 0)
 
-    def test_silent_connections_to_the_store_hide_no_change(self):
-        # Failed while a watch could wait for a silent connection for ever:
-        # the last configuration was in force nowhere.
+    def test_unresponsive_store_connections_hide_no_change(self):
+        # Guards against a watch that waits forever on a connection that no
+        # longer responds, so that no instance gets the last configuration.
         self.run_seed(161, seconds=LONG_SECONDS)
 
-    def test_evacuations_beside_faults_break_no_promise(self):
+    def test_evacuations_during_faults_violate_no_invariant(self):
         self.run_seed(4, seconds=LATE_SECONDS, has_evacuations=True)
 
-    def test_returns_from_an_older_copy_break_no_promise(self):
+    def test_store_restores_violate_no_invariant(self):
         self.run_seed(5, seconds=LATE_SECONDS, has_returns=True)
 
-    def test_presses_beside_faults_break_no_promise(self):
+    def test_overload_during_faults_violates_no_invariant(self):
         self.run_seed(6, seconds=LATE_SECONDS, has_presses=True)
 
-    def test_a_press_fails_no_request(self):
-        # Packets that get lost are repeated, and what one caller asks beyond
-        # its share takes no other's flow.
+    def test_overload_fails_no_request(self):
+        # Lost packets are retransmitted, and a caller that exceeds its share
+        # displaces no flow of others.
         plan = [
             _plan.Step(1.0, 'caller-presses', 4.0, 0.4),
             _plan.Step(2.0, 'link-loses', 3.0, 0.4),
@@ -89,7 +89,7 @@
         self.assertEqual([], result.broken)
         self.assertGreater(result.outcomes['answered'], 0)
 
-    def test_a_return_fails_no_request(self):
+    def test_a_store_restore_fails_no_request(self):
         plan = [
             _plan.Step(1.0, 'drain', 0.0, 0.4),
             _plan.Step(2.0, 'add-upstream', 0.0, 0.4),
@@ -115,9 +115,9 @@
         self.assertGreater(result.outcomes['answered'], 0)
 
     def test_the_same_seed_draws_the_same_plan(self):
-        one = [repr(step) for step in soak.draw_plan(5, 20.0, False)]
+        plan = [repr(step) for step in soak.draw_plan(5, 20.0, False)]
         self.assertEqual(
-            one, [repr(step) for step in soak.draw_plan(5, 20.0, False)]
+            plan, [repr(step) for step in soak.draw_plan(5, 20.0, False)]
         )
 
     def test_all_kinds_of_faults_are_drawn(self):
