--- a/skylarkfold/load/__init__.py
+++ b/skylarkfold/load/__init__.py
@@ -18,10 +18,6 @@
 from skylarkfold.load._action import UndrainUpstream
 from skylarkfold.load._command import print_progress
 from skylarkfold.load._command import run
-from skylarkfold.load._judge import Drain
-from skylarkfold.load._judge import Evidence
-from skylarkfold.load._judge import judge
-from skylarkfold.load._judge import Promises
 from skylarkfold.load._latency import LatencySummary
 from skylarkfold.load._operator import Operator
 from skylarkfold.load._ports import choose_subnet
@@ -29,6 +25,10 @@
 from skylarkfold.load._process import Process
 from skylarkfold.load._process import ProcessError
 from skylarkfold.load._process import run_command
+from skylarkfold.load._promises import Drain
+from skylarkfold.load._promises import Evidence
+from skylarkfold.load._promises import judge
+from skylarkfold.load._promises import Promises
 from skylarkfold.load._run import run_scenario
 from skylarkfold.load._run import RunResult
 from skylarkfold.load._scenario import read_scenario
--- a/skylarkfold/load/_director.py
+++ b/skylarkfold/load/_action_executor.py
@@ -10,9 +10,9 @@
 from typing import Any
 
 from skylarkfold.load import _action
-from skylarkfold.load import _fleet
-from skylarkfold.load import _judge
+from skylarkfold.load import _deployment
 from skylarkfold.load import _process
+from skylarkfold.load import _promises
 
 Report = Callable[[str], None]
 
@@ -24,10 +24,10 @@
     :param report: takes a line about what happens.
     """
 
-    def __init__(self, fleet: _fleet.Fleet, report: Report) -> None:
+    def __init__(self, fleet: _deployment.Fleet, report: Report) -> None:
         self._fleet = fleet
         self._report = report
-        self.drains: list[_judge.Drain] = []
+        self.drains: list[_promises.Drain] = []
         self._locks: dict[str, asyncio.Lock] = {}
         self.failures: list[str] = []
 
@@ -65,7 +65,7 @@
         async with self._lock(upstream):
             await self._fleet.operator.drain(service, upstream)
             now = time.monotonic()
-            self.drains.append(_judge.Drain(service, upstream, now))
+            self.drains.append(_promises.Drain(service, upstream, now))
 
     def _lock(self, upstream: str) -> asyncio.Lock:
         """Get the lock that keeps an upstream's commands in their order."""
--- a/skylarkfold/load/_caller.py
+++ b/skylarkfold/load/_caller.py
@@ -19,7 +19,7 @@
 from skylarkfold.load import _fabric
 from skylarkfold.load import _flow_caller
 from skylarkfold.load import _latency
-from skylarkfold.load import _path
+from skylarkfold.load import _network_path
 from skylarkfold.load import _request_caller
 from skylarkfold.load import _result
 from skylarkfold.load import _stream_caller
@@ -75,9 +75,11 @@
 
     def _find_path(
         self, traffic: _traffic.Datagrams | _traffic.Streams
-    ) -> _path.Path:
+    ) -> _network_path.Path:
         port = self._plan.services[traffic.service].port
-        return _path.Path(port, self._plan.host, self._fabric, self._latency)
+        return _network_path.Path(
+            port, self._plan.host, self._fabric, self._latency
+        )
 
     def start(self) -> None:
         """Begin the traffic."""
--- a/skylarkfold/load/_flow_caller.py
+++ b/skylarkfold/load/_flow_caller.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from skylarkfold.load import _latency
-from skylarkfold.load import _path
+from skylarkfold.load import _network_path
 from skylarkfold.load import _result
 from skylarkfold.load import _traffic
 from skylarkfold import standin
@@ -105,7 +105,9 @@
     :param path: where they come from and go to.
     """
 
-    def __init__(self, traffic: _traffic.Datagrams, path: _path.Path) -> None:
+    def __init__(
+        self, traffic: _traffic.Datagrams, path: _network_path.Path
+    ) -> None:
         self._traffic = traffic
         self._path = path
         self._started = 0
--- a/skylarkfold/load/_run.py
+++ b/skylarkfold/load/_run.py
@@ -10,10 +10,10 @@
 import pathlib
 import time
 
-from skylarkfold.load import _director
-from skylarkfold.load import _fleet
-from skylarkfold.load import _judge
+from skylarkfold.load import _action_executor
+from skylarkfold.load import _deployment
 from skylarkfold.load import _latency
+from skylarkfold.load import _promises
 from skylarkfold.load import _result
 from skylarkfold.load import _scenario
 
@@ -35,7 +35,7 @@
     """
 
     scenario: str
-    promises: _judge.Promises
+    promises: _promises.Promises
     latencies: dict[str, _latency.LatencySummary]
     failures: tuple[str, ...]
     details: tuple[str, ...]
@@ -62,17 +62,17 @@
     :raises ProcessError: if a process can't be started.
     """
     began = time.monotonic()
-    async with _fleet.Fleet(scenario, folder) as fleet:
+    async with _deployment.Fleet(scenario, folder) as fleet:
         await fleet.start()
         report(
             f'{scenario.name}: ready after {time.monotonic() - began:.1f} s'
         )
-        director = _director.Director(fleet, report)
+        director = _action_executor.Director(fleet, report)
         results = await _drive(scenario, fleet, director, report)
         records = await fleet.read_records()
         counts = await fleet.read_platform_counts()
     steady = {name: tuple(each) for name, each in fleet.steady.items()}
-    evidence = _judge.Evidence(
+    evidence = _promises.Evidence(
         results,
         records,
         tuple(director.drains),
@@ -81,11 +81,11 @@
     )
     return RunResult(
         scenario=scenario.name,
-        promises=_judge.judge(evidence),
+        promises=_promises.judge(evidence),
         latencies=_summarize(results),
         failures=tuple(director.failures),
         details=tuple(
-            itertools.islice(_judge.describe(evidence), MAXIMUM_DETAILS)
+            itertools.islice(_promises.describe(evidence), MAXIMUM_DETAILS)
         ),
         platform_calls=counts,
         seconds=round(time.monotonic() - began, 1),
@@ -94,8 +94,8 @@
 
 async def _drive(
     scenario: _scenario.Scenario,
-    fleet: _fleet.Fleet,
-    director: _director.Director,
+    fleet: _deployment.Fleet,
+    director: _action_executor.Director,
     report: Callable[[str], None],
 ) -> _result.CallerResults:
     await fleet.start_traffic()
--- a/skylarkfold/load/_stream_caller.py
+++ b/skylarkfold/load/_stream_caller.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from skylarkfold.load import _path
+from skylarkfold.load import _network_path
 from skylarkfold.load import _result
 from skylarkfold.load import _traffic
 
@@ -19,7 +19,9 @@
     :param path: where they come from and go to.
     """
 
-    def __init__(self, traffic: _traffic.Streams, path: _path.Path) -> None:
+    def __init__(
+        self, traffic: _traffic.Streams, path: _network_path.Path
+    ) -> None:
         self._traffic = traffic
         self._path = path
         self.results: list[_result.StreamResult] = []
--- a/skylarkfold/tests/load/test_caller.py
+++ b/skylarkfold/tests/load/test_caller.py
@@ -7,7 +7,7 @@
 
 from skylarkfold import load
 from skylarkfold.load import _caller
-from skylarkfold.load import _judge
+from skylarkfold.load import _promises
 from skylarkfold.load import _traffic
 from skylarkfold.tests.load import _forwarder
 from skylarkfold.tests.standin import _servers
@@ -39,7 +39,7 @@
             caller.start()
             await asyncio.sleep(0.1)
             results = await caller.finish()
-    return _judge.judge(_judge.Evidence(results, records))
+    return _promises.judge(_promises.Evidence(results, records))
 
 
 async def _run(traffic, upstreams=1, repeats=1, **behaviour):
--- a/skylarkfold/tests/load/test_judge.py
+++ b/skylarkfold/tests/load/test_promises.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from skylarkfold.load import _judge
+from skylarkfold.load import _promises
 from skylarkfold.load import _result
 from skylarkfold import standin
 
@@ -45,7 +45,7 @@
 def _judge_all(flows=(), requests=(), records=None, **fields):
     results = _result.CallerResults(list(flows), [], list(requests))
     records = records or {'desk-1': _make_record()}
-    return _judge.judge(_judge.Evidence(results, records, **fields))
+    return _promises.judge(_promises.Evidence(results, records, **fields))
 
 
 class FlowTest(testtools.TestCase):
@@ -107,8 +107,8 @@
         )
         results = _result.CallerResults([], [stream], [])
         records = {'desk-1': _make_record()}
-        evidence = _judge.Evidence(results, records, **fields)
-        promises = _judge.judge(evidence)
+        evidence = _promises.Evidence(results, records, **fields)
+        promises = _promises.judge(evidence)
         return promises.broken_streams, promises.cut_streams
 
     def test_a_stream_that_ends_early_is_broken(self):
@@ -175,7 +175,7 @@
 
 class DrainTest(testtools.TestCase):
     def _judge_drain(self, time, **fields):
-        drain = _judge.Drain('desk', 'desk-1', 10.0)
+        drain = _promises.Drain('desk', 'desk-1', 10.0)
         drain = dataclasses.replace(drain, **fields)
         late = standin.FlowRecord(time, time)
         record = _make_record(
