--- a/skylarkfold/demo/_run.py
+++ b/skylarkfold/demo/_run.py
@@ -12,14 +12,14 @@
 from skylarkfold.demo import _scenario
 from skylarkfold import load
 
-LIMIT_SECONDS = 44.0
-EXIT_HELD = 0
-EXIT_BROKEN = 1
-EXIT_FAILED = 3
+TIMEOUT_SECONDS = 44.0
+EXIT_PASSED = 0
+EXIT_PROMISE_BROKEN = 1
+EXIT_ERROR = 3
 
 
 async def _run(folder: pathlib.Path) -> load.RunResult:
-    async with asyncio.timeout(LIMIT_SECONDS):
+    async with asyncio.timeout(TIMEOUT_SECONDS):
         return await load.run_scenario(
             _scenario.SCENARIO, folder, load.print_progress
         )
@@ -38,9 +38,9 @@
         result = asyncio.run(_run(folder))
     except (load.ProcessError, TimeoutError, OSError) as error:
         load.print_progress(f'the demo could not be run: {error!r}')
-        return EXIT_FAILED
+        return EXIT_ERROR
     for line in load.format_table(result):
         print(line)
     if json_output:
         print(json.dumps(msgspec.to_builtins(result.promises)))
-    return EXIT_HELD if result.passed else EXIT_BROKEN
+    return EXIT_PASSED if result.passed else EXIT_PROMISE_BROKEN
--- a/skylarkfold/demo/_scenario.py
+++ b/skylarkfold/demo/_scenario.py
@@ -3,7 +3,7 @@
 from skylarkfold import load
 
 # Later than the drain, its command and the grace of five seconds.
-LATER_SECONDS = 11.5
+AFTER_DRAIN_SECONDS = 11.5
 
 SCENARIO = load.Scenario(
     name='demo',
@@ -27,7 +27,7 @@
             name='new alerts',
             service='press-desk',
             flows=40,
-            start_seconds=LATER_SECONDS,
+            start_seconds=AFTER_DRAIN_SECONDS,
         ),
         load.Datagrams(
             name='drawing feeds',
--- a/skylarkfold/load/_action_executor.py
+++ b/skylarkfold/load/_action_executor.py
@@ -14,37 +14,39 @@
 from skylarkfold.load import _process
 from skylarkfold.load import _promises
 
-Report = Callable[[str], None]
+ReportProgress = Callable[[str], None]
 
 
-class Director:
+class ActionExecutor:
     """Carries out actions on a fleet, each at its time.
 
     :param fleet: the running processes.
     :param report: takes a line about what happens.
     """
 
-    def __init__(self, fleet: _deployment.Fleet, report: Report) -> None:
-        self._fleet = fleet
+    def __init__(
+        self, deployment: _deployment.Deployment, report: ReportProgress
+    ) -> None:
+        self._deployment = deployment
         self._report = report
         self.drains: list[_promises.Drain] = []
         self._locks: dict[str, asyncio.Lock] = {}
         self.failures: list[str] = []
 
-    async def carry_out(self, actions: list[_action.AnyAction]) -> None:
+    async def run_actions(self, actions: list[_action.AnyAction]) -> None:
         """Carry out actions, each at its time from now.
 
         An action that fails is reported and listed, and ends no other.
 
         :param actions: what to do.
         """
-        await asyncio.gather(*(self._carry_out_one(each) for each in actions))
+        await asyncio.gather(*(self._run_action(each) for each in actions))
 
-    async def _carry_out_one(self, action: _action.AnyAction) -> None:
+    async def _run_action(self, action: _action.AnyAction) -> None:
         await asyncio.sleep(action.at_seconds)
         started = time.monotonic()
         try:
-            await self._act(action)
+            await self._perform(action)
         except (_process.ProcessError, OSError, ValueError) as error:
             self.failures.append(f'{action}: {error}')
             self._report(f'FAILED {action}: {error}')
@@ -53,34 +55,36 @@
         self._report(f'{action.at_seconds:5.1f} s  {action} ({elapsed:.1f} s)')
 
     @functools.singledispatchmethod
-    async def _act(self, action: _action.Action) -> None:
+    async def _perform(self, action: _action.Action) -> None:
         raise NotImplementedError(type(action))
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.DrainUpstream) -> None:
         await self._drain(action.service, action.upstream)
 
     async def _drain(self, service: str, upstream: str) -> None:
-        self._forget_steady(service, upstream)
-        async with self._lock(upstream):
-            await self._fleet.operator.drain(service, upstream)
+        self._remove_from_steady(service, upstream)
+        async with self._get_lock(upstream):
+            await self._deployment.operator.drain(service, upstream)
             now = time.monotonic()
             self.drains.append(_promises.Drain(service, upstream, now))
 
-    def _lock(self, upstream: str) -> asyncio.Lock:
+    def _get_lock(self, upstream: str) -> asyncio.Lock:
         """Get the lock that keeps an upstream's commands in their order."""
         return self._locks.setdefault(upstream, asyncio.Lock())
 
-    def _forget_steady(self, service: str, upstream: str) -> None:
-        steady = self._fleet.steady[service]
+    def _remove_from_steady(self, service: str, upstream: str) -> None:
+        steady = self._deployment.steady[service]
         if upstream in steady:
             steady.remove(upstream)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.UndrainUpstream) -> None:
-        async with self._lock(action.upstream):
+        async with self._get_lock(action.upstream):
             self._end_drain(action.upstream)
-            await self._fleet.operator.undrain(action.service, action.upstream)
+            await self._deployment.operator.undrain(
+                action.service, action.upstream
+            )
 
     def _end_drain(self, upstream: str) -> None:
         now = time.monotonic()
@@ -91,31 +95,31 @@
             for each in self.drains
         ]
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.AddUpstream) -> None:
-        record = await self._fleet.start_upstream(
+        record = await self._deployment.start_upstream(
             action.service, action.upstream
         )
 
         def add(settings: dict[str, Any]) -> None:
             upstreams = settings['services'][action.service]['upstreams']
-            upstreams[action.upstream] = self._fleet.describe_upstream(
+            upstreams[action.upstream] = self._deployment.describe_upstream(
                 len(upstreams), record
             )
 
-        await self._fleet.operator.change(add)
+        await self._deployment.operator.change(add)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.ChangeWeight) -> None:
-        self._forget_steady(action.service, action.upstream)
+        self._remove_from_steady(action.service, action.upstream)
 
         def change(settings: dict[str, Any]) -> None:
             upstreams = settings['services'][action.service]['upstreams']
             upstreams[action.upstream]['weight'] = action.weight
 
-        await self._fleet.operator.change(change)
+        await self._deployment.operator.change(change)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.RaceOperators) -> None:
         await asyncio.gather(
             *(
@@ -124,37 +128,39 @@
             )
         )
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.KillUpstream) -> None:
-        await self._fleet.kill_upstream(action.service, action.upstream)
+        await self._deployment.kill_upstream(action.service, action.upstream)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.ChangeBehaviour) -> None:
-        await self._fleet.set_behaviour(action.upstream, action.behaviour)
+        await self._deployment.set_behaviour(action.upstream, action.behaviour)
         if action.for_seconds:
             await asyncio.sleep(action.for_seconds)
-            await self._fleet.set_behaviour(action.upstream, action.back)
+            await self._deployment.set_behaviour(action.upstream, action.back)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.ReplaceInstance) -> None:
-        status = await self._fleet.stop_instance(action.instance)
+        status = await self._deployment.stop_instance(action.instance)
         if status:
             raise _process.ProcessError(f'the instance ended with {status}')
-        await self._fleet.start_instance(action.instance)
+        await self._deployment.start_instance(action.instance)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.KillInstance) -> None:
-        await self._fleet.kill_instance(action.instance)
+        await self._deployment.kill_instance(action.instance)
         await asyncio.sleep(action.replace_after_seconds)
-        await self._fleet.start_instance(action.instance)
+        await self._deployment.start_instance(action.instance)
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.PauseInstance) -> None:
-        await self._fleet.pause_instance(action.instance, action.for_seconds)
+        await self._deployment.pause_instance(
+            action.instance, action.for_seconds
+        )
 
-    @_act.register
+    @_perform.register
     async def _(self, action: _action.BreakPlatform) -> None:
-        await self._fleet.set_faults(action.faults, action.zone)
+        await self._deployment.set_faults(action.faults, action.zone)
         await asyncio.sleep(action.for_seconds)
         healthy = {
             'delay_ms': 0,
@@ -163,4 +169,4 @@
             'list_lag_s': 0,
             'stale_reads': False,
         }
-        await self._fleet.set_faults(healthy, action.zone)
+        await self._deployment.set_faults(healthy, action.zone)
--- a/skylarkfold/load/_caller.py
+++ b/skylarkfold/load/_caller.py
@@ -1,9 +1,9 @@
-"""The caller process.
+"""Caller process that generates all traffic of a run.
 
 ``python -m skylarkfold.load.caller PLAN`` reads a plan, prints ``ready
-host:port`` and is steered there: ``PUT /start`` begins the traffic,
-``PUT /targets`` changes what instances the fabric knows, ``PUT /finish``
-ends the traffic and answers with all results.
+host:port`` and serves a control API at that address: ``PUT /start`` starts
+the traffic, ``PUT /targets`` sets the instances that traffic is sent to, and
+``PUT /finish`` stops the traffic and responds with all results.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 
 class Caller:
-    """All traffic of one caller process.
+    """Generator of all traffic of a caller process.
 
-    :param plan: what to make.
-    :param session: the HTTP client.
+    :param plan: the traffic to generate.
+    :param session: the HTTP client session.
     """
 
     def __init__(
@@ -47,22 +47,22 @@
         self._session = session
         self._fabric = _fabric.Fabric(plan.seed, plan.targets)
         self._latency = _latency.LatencyRecorder()
-        self._callers = [self._make_caller(each) for each in plan.traffic]
+        self._callers = [self._build_caller(each) for each in plan.traffic]
         self._tasks: list[asyncio.Task[None]] = []
 
     @functools.singledispatchmethod
-    def _make_caller(self, traffic: _traffic.Traffic) -> AnyCaller:
+    def _build_caller(self, traffic: _traffic.Traffic) -> AnyCaller:
         raise NotImplementedError(type(traffic))
 
-    @_make_caller.register
+    @_build_caller.register
     def _(self, traffic: _traffic.Datagrams) -> AnyCaller:
-        return _flow_caller.FlowCaller(traffic, self._find_path(traffic))
+        return _flow_caller.FlowCaller(traffic, self._build_path(traffic))
 
-    @_make_caller.register
+    @_build_caller.register
     def _(self, traffic: _traffic.Streams) -> AnyCaller:
-        return _stream_caller.StreamCaller(traffic, self._find_path(traffic))
+        return _stream_caller.StreamCaller(traffic, self._build_path(traffic))
 
-    @_make_caller.register
+    @_build_caller.register
     def _(self, traffic: _traffic.Requests) -> AnyCaller:
         ports = self._plan.services[traffic.service]
         return _request_caller.RequestCaller(
@@ -73,28 +73,32 @@
             self._session,
         )
 
-    def _find_path(
+    def _build_path(
         self, traffic: _traffic.Datagrams | _traffic.Streams
-    ) -> _network_path.Path:
+    ) -> _network_path.NetworkPath:
         port = self._plan.services[traffic.service].port
-        return _network_path.Path(
+        return _network_path.NetworkPath(
             port, self._plan.host, self._fabric, self._latency
         )
 
     def start(self) -> None:
-        """Begin the traffic."""
+        """Start the traffic."""
         self._tasks = [
             asyncio.create_task(each.run()) for each in self._callers
         ]
 
     def set_targets(self, targets: list[str]) -> None:
-        """Change what instances the fabric knows."""
+        """Set the hosts of the instances that traffic is sent to."""
         self._fabric.targets = targets
 
     async def finish(self) -> _result.CallerResults:
-        """End the traffic, wait for what is open and tell what was seen.
+        """Stop the traffic, wait for open requests and return the results.
 
-        Requests end first, so that flows and streams are held throughout.
+        Requests are stopped first, so that flows and streams are held until
+        all requests have ended.
+
+        :returns: the results of all traffic.
+        :raises RuntimeError: if traffic ended before it was stopped.
         """
         for task, caller in zip(self._tasks, self._callers, strict=True):
             if isinstance(caller, _request_caller.RequestCaller):
@@ -105,7 +109,9 @@
         ended = await asyncio.gather(*self._tasks, return_exceptions=True)
         for each in ended:
             if not isinstance(each, asyncio.CancelledError):
-                raise each or RuntimeError('a caller ended by itself')
+                raise each or RuntimeError(
+                    'traffic ended before it was stopped'
+                )
         return self._collect()
 
     def _collect(self) -> _result.CallerResults:
@@ -120,7 +126,7 @@
         return results
 
 
-def _make_application(caller: Caller) -> web.Application:
+def _build_application(caller: Caller) -> web.Application:
     async def start(request: web.Request) -> web.Response:
         caller.start()
         return web.json_response({})
@@ -147,14 +153,14 @@
 
 
 async def serve(path: str) -> None:
-    """Make the traffic of a plan until SIGTERM.
+    """Serve the control API of a caller until SIGTERM.
 
-    :param path: the plan's file.
+    :param path: the path of the plan file.
     """
     text = pathlib.Path(path).read_bytes()
     plan = msgspec.json.decode(text, type=_traffic.CallerPlan)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         await standin.serve_until_stopped(
-            _make_application(Caller(plan, session))
+            _build_application(Caller(plan, session))
         )
--- a/skylarkfold/load/_command.py
+++ b/skylarkfold/load/_command.py
@@ -16,10 +16,10 @@
 from skylarkfold.load import _scenario
 from skylarkfold.load import _table
 
-EXIT_HELD = 0
-EXIT_BROKEN = 1
-LIMIT_FACTOR = 2.0
-START_SECONDS = 60.0
+EXIT_PASSED = 0
+EXIT_PROMISE_BROKEN = 1
+TIMEOUT_FACTOR = 2.0
+STARTUP_SECONDS = 60.0
 
 
 def run(
@@ -37,13 +37,13 @@
     """
     scenario = _scenario.read_scenario(file)
     passed = True
-    for names in _choose(scenario, faults, combine):
-        chosen = _scenario.add_faults(scenario, names)
-        passed = _run_one(chosen, as_json) and passed
-    return EXIT_HELD if passed else EXIT_BROKEN
+    for names in _list_fault_sets(scenario, faults, combine):
+        selected = _scenario.add_faults(scenario, names)
+        passed = _run_scenario(selected, as_json) and passed
+    return EXIT_PASSED if passed else EXIT_PROMISE_BROKEN
 
 
-def _choose(
+def _list_fault_sets(
     scenario: _scenario.Scenario, faults: str, combine: bool
 ) -> Iterator[tuple[str, ...]]:
     if combine:
@@ -52,11 +52,11 @@
     yield tuple(name for name in faults.split(',') if name)
 
 
-def _run_one(scenario: _scenario.Scenario, as_json: bool) -> bool:
+def _run_scenario(scenario: _scenario.Scenario, as_json: bool) -> bool:
     folder = pathlib.Path(tempfile.mkdtemp(prefix='skylarkfold-load-'))
     print_progress(f'settings and logs are in {folder}')
     try:
-        result = asyncio.run(_run_bounded(scenario, folder))
+        result = asyncio.run(_run_with_timeout(scenario, folder))
     except (_process.ProcessError, TimeoutError, OSError) as error:
         print_progress(f'{scenario.name} could not be run: {error!r}')
         return False
@@ -67,11 +67,13 @@
     return result.passed
 
 
-async def _run_bounded(
+async def _run_with_timeout(
     scenario: _scenario.Scenario, folder: pathlib.Path
 ) -> _run.RunResult:
-    limit = scenario.duration_seconds * LIMIT_FACTOR + START_SECONDS
-    async with asyncio.timeout(limit):
+    timeout_seconds = (
+        scenario.duration_seconds * TIMEOUT_FACTOR + STARTUP_SECONDS
+    )
+    async with asyncio.timeout(timeout_seconds):
         return await _run.run_scenario(scenario, folder, print_progress)
 
 
--- a/skylarkfold/load/_deployment.py
+++ b/skylarkfold/load/_deployment.py
@@ -25,7 +25,7 @@
 SERVICE_HOST = 2
 FIRST_INSTANCE_HOST = 10
 FABRIC_LAG_SECONDS = 0.3
-TOTAL_SECONDS = 60.0
+REQUEST_TIMEOUT_SECONDS = 60.0
 
 Records = dict[str, standin.UpstreamRecord]
 
@@ -50,7 +50,7 @@
     process: _process.Process
 
 
-class Fleet:
+class Deployment:
     """Starts, changes and stops the processes of a scenario.
 
     :param scenario: what to run.
@@ -63,36 +63,41 @@
         self._scenario = scenario
         self._folder = folder
         self._subnet = _ports.choose_subnet()
-        self._started = 0
-        self._others: list[_process.Process] = []
+        self._started_count = 0
+        self._other_processes: list[_process.Process] = []
         self.instances: dict[int, Instance] = {}
         self.steady: dict[str, list[str]] = {}
-        self.stopped: set[str] = set()
+        self.stopped_hosts: set[str] = set()
 
-    async def __aenter__(self) -> Fleet:
+    async def __aenter__(self) -> Deployment:
         self._session = aiohttp.ClientSession()
         return self
 
     async def __aexit__(self, *error: object) -> None:
         await self._session.close()
         processes = [each.process for each in self.instances.values()]
-        processes += self._others
+        processes += self._other_processes
         await asyncio.gather(*(each.stop() for each in processes))
 
     async def start(self) -> None:
         """Start all processes and put the settings in force."""
         await asyncio.gather(self._start_platform(), self._start_upstreams())
         self.operator = _operator.Operator(
-            self._scenario.team, self._platform, self._folder, self._session
+            self._scenario.team,
+            self._platform_url,
+            self._folder,
+            self._session,
         )
-        hosts = [self._get_host(n) for n in range(self._scenario.instances)]
+        hosts = [
+            self._get_instance_host(n) for n in range(self._scenario.instances)
+        ]
         ports = await self._apply_settings(hosts)
         await asyncio.gather(
             *(self.start_instance(n) for n in range(len(hosts)))
         )
         await self._start_caller(ports)
 
-    async def _start(
+    async def _start_process(
         self, name: str, arguments: list[str]
     ) -> tuple[_process.Process, str]:
         log = self._folder / f'{name}.err'
@@ -101,9 +106,9 @@
 
     async def _start_platform(self) -> None:
         arguments = ['-m', 'skylarkfold', 'platform-standin']
-        process, address = await self._start('platform', arguments)
-        self._others.append(process)
-        self._platform = f'http://{address}'
+        process, address = await self._start_process('platform', arguments)
+        self._other_processes.append(process)
+        self._platform_url = f'http://{address}'
 
     async def _start_upstreams(self) -> None:
         services = {
@@ -125,14 +130,16 @@
         )
         arguments = ['-m', 'skylarkfold', 'upstream-standin']
         arguments += ['--settings', str(path)]
-        process, address = await self._start('upstreams', arguments)
-        self._others.append(process)
-        self._upstreams = f'http://{address}'
+        process, address = await self._start_process('upstreams', arguments)
+        self._other_processes.append(process)
+        self._upstreams_url = f'http://{address}'
 
     async def read_records(self) -> Records:
         """Ask the upstreams what they did."""
-        async with self._session.get(f'{self._upstreams}/records') as answer:
-            body = await answer.read()
+        async with self._session.get(
+            f'{self._upstreams_url}/records'
+        ) as response:
+            body = await response.read()
         return msgspec.json.decode(body, type=Records)
 
     async def _apply_settings(
@@ -188,7 +195,7 @@
             'connections': shape.connections,
         }
 
-    def _get_host(self, number: int) -> str:
+    def _get_instance_host(self, number: int) -> str:
         return f'{self._subnet}.{FIRST_INSTANCE_HOST + number}'
 
     async def start_instance(self, number: int) -> None:
@@ -199,18 +206,18 @@
 
         :param number: its number; a replacement has that of the other.
         """
-        instance = self._make_instance(number)
-        await self._list_instance(instance, leaving=False)
+        instance = self._build_instance(number)
+        await self._register_instance(instance, leaving=False)
         await instance.process.start()
         self.instances[number] = instance
-        await self._tell_caller()
+        await self._update_caller_targets()
 
-    def _make_instance(self, number: int) -> Instance:
+    def _build_instance(self, number: int) -> Instance:
         zones = self._scenario.zones
-        host = self._get_host(number)
+        host = self._get_instance_host(number)
         zone = zones[number % len(zones)]
-        self._started += 1
-        name = f'entry-{number + 1}-{self._started}'
+        self._started_count += 1
+        name = f'entry-{number + 1}-{self._started_count}'
         peer_port = _ports.find_port([host])
         admin_port = _ports.find_port([host])
         path = self._write_settings(name, zone, host, peer_port, admin_port)
@@ -230,7 +237,7 @@
                 'peer_address': f'{host}:{peer_port}',
                 'bind_host': host,
             },
-            'platform': {'url': f'{self._platform}/via/{zone}'},
+            'platform': {'url': f'{self._platform_url}/via/{zone}'},
             'admin_address': f'{host}:{admin_port}',
             'log': {'path': str(self._folder / f'{name}.log')},
             **self._scenario.entry,
@@ -239,26 +246,28 @@
         path.write_text(json.dumps(settings, indent=2))
         return path
 
-    async def _list_instance(self, instance: Instance, leaving: bool) -> None:
+    async def _register_instance(
+        self, instance: Instance, leaving: bool
+    ) -> None:
         entry = {
             'zone': instance.zone,
             'region': self._scenario.region,
             'address': f'{instance.host}:{instance.peer_port}',
             'leaving': leaving,
         }
-        url = f'{self._platform}/instances/{instance.name}'
+        url = f'{self._platform_url}/instances/{instance.name}'
         await self._put(url, entry)
 
     async def _put(self, url: str, body: object) -> bytes:
-        timeout = aiohttp.ClientTimeout(TOTAL_SECONDS)
+        timeout = aiohttp.ClientTimeout(REQUEST_TIMEOUT_SECONDS)
         async with self._session.put(
             url, json=body, timeout=timeout
-        ) as answer:
-            answer.raise_for_status()
-            return await answer.read()
+        ) as response:
+            response.raise_for_status()
+            return await response.read()
 
-    async def _delist(self, instance: Instance) -> None:
-        url = f'{self._platform}/instances/{instance.name}'
+    async def _deregister_instance(self, instance: Instance) -> None:
+        url = f'{self._platform_url}/instances/{instance.name}'
         async with self._session.delete(url):
             return
 
@@ -270,19 +279,19 @@
         :param number: its number.
         :returns: its exit status.
         """
-        instance = self._take_instance(number)
-        await self._list_instance(instance, leaving=True)
+        instance = self._remove_instance(number)
+        await self._register_instance(instance, leaving=True)
         instance.process.send_signal(signal.SIGTERM)
         await asyncio.sleep(FABRIC_LAG_SECONDS)
-        await self._tell_caller()
-        self._others.append(instance.process)
+        await self._update_caller_targets()
+        self._other_processes.append(instance.process)
         status = await instance.process.wait()
-        await self._delist(instance)
+        await self._deregister_instance(instance)
         return status
 
-    def _take_instance(self, number: int) -> Instance:
+    def _remove_instance(self, number: int) -> Instance:
         instance = self.instances.pop(number)
-        self.stopped.add(instance.host)
+        self.stopped_hosts.add(instance.host)
         return instance
 
     async def kill_instance(self, number: int) -> None:
@@ -290,12 +299,12 @@
 
         :param number: its number.
         """
-        instance = self._take_instance(number)
+        instance = self._remove_instance(number)
         instance.process.send_signal(signal.SIGKILL)
         await instance.process.wait()
         await asyncio.sleep(FABRIC_LAG_SECONDS)
-        await self._tell_caller()
-        await self._delist(instance)
+        await self._update_caller_targets()
+        await self._deregister_instance(instance)
 
     async def pause_instance(self, number: int, for_seconds: float) -> None:
         """Let an entry instance stand still for a while.
@@ -316,14 +325,16 @@
         :param faults: the changed switches.
         :param zone: the zone that sees them; empty for all.
         """
-        via = f'/via/{zone}' if zone else ''
-        await self._put(f'{self._platform}{via}/faults', faults)
+        zone_path = f'/via/{zone}' if zone else ''
+        await self._put(f'{self._platform_url}{zone_path}/faults', faults)
 
     async def set_behaviour(
         self, upstream: str, behaviour: dict[str, Any]
     ) -> None:
         """Change how an upstream behaves."""
-        await self._put(f'{self._upstreams}/behaviour/{upstream}', behaviour)
+        await self._put(
+            f'{self._upstreams_url}/behaviour/{upstream}', behaviour
+        )
 
     async def start_upstream(
         self, service: str, upstream: str
@@ -338,16 +349,16 @@
         settings = standin.UpstreamSettings(
             slots=shape.slots, behaviour=shape.behaviour
         )
-        url = f'{self._upstreams}/upstreams/{service}/{upstream}'
+        url = f'{self._upstreams_url}/upstreams/{service}/{upstream}'
         body = await self._put(url, dataclasses.asdict(settings))
         return msgspec.json.decode(body, type=standin.UpstreamRecord)
 
     async def kill_upstream(self, service: str, upstream: str) -> None:
         """Let an upstream die unannounced."""
         self.steady[service].remove(upstream)
-        url = f'{self._upstreams}/upstreams/{service}/{upstream}'
-        async with self._session.delete(url) as answer:
-            answer.raise_for_status()
+        url = f'{self._upstreams_url}/upstreams/{service}/{upstream}'
+        async with self._session.delete(url) as response:
+            response.raise_for_status()
 
     async def _start_caller(
         self, ports: dict[str, _traffic.ServicePorts]
@@ -362,38 +373,42 @@
         path = self._folder / 'caller.json'
         path.write_bytes(msgspec.json.encode(plan))
         arguments = ['-m', 'skylarkfold.load.caller', str(path)]
-        process, address = await self._start('caller', arguments)
-        self._others.append(process)
-        self._caller = f'http://{address}'
+        process, address = await self._start_process('caller', arguments)
+        self._other_processes.append(process)
+        self._caller_url = f'http://{address}'
 
-    _caller = ''
+    _caller_url = ''
 
     def _list_targets(self) -> list[str]:
         return [each.host for each in self.instances.values()]
 
-    async def _tell_caller(self) -> None:
-        if self._caller:
-            await self._put(f'{self._caller}/targets', self._list_targets())
+    async def _update_caller_targets(self) -> None:
+        if self._caller_url:
+            await self._put(
+                f'{self._caller_url}/targets', self._list_targets()
+            )
 
     async def start_traffic(self) -> None:
         """Let the caller begin."""
-        await self._put(f'{self._caller}/start', {})
+        await self._put(f'{self._caller_url}/start', {})
 
     async def finish_traffic(self) -> _result.CallerResults:
         """Let the caller end.
 
         :returns: what it saw.
         """
-        body = await self._put(f'{self._caller}/finish', {})
+        body = await self._put(f'{self._caller_url}/finish', {})
         return msgspec.json.decode(body, type=_result.CallerResults)
 
     async def read_platform_counts(self) -> dict[str, int]:
         """Ask the platform how often it was called."""
-        async with self._session.get(f'{self._platform}/counts') as answer:
-            return await answer.json()
+        async with self._session.get(
+            f'{self._platform_url}/counts'
+        ) as response:
+            return await response.json()
 
     async def read_status(self, instance: Instance) -> dict[str, Any]:
         """Ask an instance what it says of itself."""
         address = endpoint.Endpoint(instance.host, instance.admin_port)
-        async with self._session.get(f'http://{address}/status') as answer:
-            return await answer.json()
+        async with self._session.get(f'http://{address}/status') as response:
+            return await response.json()
--- a/skylarkfold/load/_flow_caller.py
+++ b/skylarkfold/load/_flow_caller.py
@@ -13,7 +13,7 @@
 from skylarkfold.load import _traffic
 from skylarkfold import standin
 
-REMEMBERED_SENDINGS = 16
+MAX_TRACKED_DATAGRAMS = 16
 
 _encoder = msgspec.msgpack.Encoder()
 _reply_decoder = msgspec.msgpack.Decoder(standin.EchoReply)
@@ -37,7 +37,7 @@
         self._number = number
         self._traffic = traffic
         self._latency = latency
-        self._sendings: dict[int, float] = {}
+        self._sent_at: dict[int, float] = {}
         self.result = _result.FlowResult(traffic.name, traffic.service, '')
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -56,8 +56,8 @@
         self.result.sent += 1
         self.result.first_sent = self.result.first_sent or now
         self.result.last_sent = now
-        self._sendings[self.result.sent] = now
-        self._sendings.pop(self.result.sent - REMEMBERED_SENDINGS, None)
+        self._sent_at[self.result.sent] = now
+        self._sent_at.pop(self.result.sent - MAX_TRACKED_DATAGRAMS, None)
         probe = standin.Probe(
             self.result.sent, self._traffic.service, self._number
         )
@@ -72,12 +72,14 @@
         except msgspec.DecodeError:
             self.result.misdelivered += 1
             return
-        if not self._is_own(reply, probe):
+        if not self._is_own_reply(reply, probe):
             self.result.misdelivered += 1
             return
-        self._count(now, reply.upstream, probe.sequence)
+        self._record_reply(now, reply.upstream, probe.sequence)
 
-    def _is_own(self, reply: standin.EchoReply, probe: standin.Probe) -> bool:
+    def _is_own_reply(
+        self, reply: standin.EchoReply, probe: standin.Probe
+    ) -> bool:
         service = self._traffic.service
         return (
             reply.caller == self.result.caller
@@ -85,12 +87,12 @@
             and probe.flow == self._number
         )
 
-    def _count(self, now: float, upstream: str, sequence: int) -> None:
+    def _record_reply(self, now: float, upstream: str, sequence: int) -> None:
         self.result.answered += 1
         self.result.last_answered = now
         upstreams = self.result.upstreams
         upstreams[upstream] = upstreams.get(upstream, 0) + 1
-        sent = self._sendings.pop(sequence, None)
+        sent = self._sent_at.pop(sequence, None)
         if sent is not None:
             self._latency.record(self._traffic.name, now - sent)
 
@@ -106,7 +108,7 @@
     """
 
     def __init__(
-        self, traffic: _traffic.Datagrams, path: _network_path.Path
+        self, traffic: _traffic.Datagrams, path: _network_path.NetworkPath
     ) -> None:
         self._traffic = traffic
         self._path = path
@@ -119,27 +121,27 @@
         pause = self._traffic.ramp_seconds / max(1, self._traffic.flows)
         async with asyncio.TaskGroup() as group:
             for _ in range(self._traffic.flows):
-                group.create_task(self._hold_place())
+                group.create_task(self._hold_flows())
                 await asyncio.sleep(pause)
 
-    async def _hold_place(self) -> None:
+    async def _hold_flows(self) -> None:
         while True:
             await self._hold_flow()
 
     async def _hold_flow(self) -> None:
-        flow = await self._open()
+        flow = await self._open_flow()
         lifetime_seconds = self._traffic.lifetime_seconds
-        ends = time.monotonic() + (lifetime_seconds or float('inf'))
-        due = time.monotonic()
+        ends_at = time.monotonic() + (lifetime_seconds or float('inf'))
+        next_send = time.monotonic()
         try:
-            while due < ends:
+            while next_send < ends_at:
                 flow.send((self._path.fabric.choose(), self._path.port))
-                due += self._traffic.interval_seconds
-                await asyncio.sleep(max(0.0, due - time.monotonic()))
+                next_send += self._traffic.interval_seconds
+                await asyncio.sleep(max(0.0, next_send - time.monotonic()))
         finally:
             flow.transport.close()
 
-    async def _open(self) -> Flow:
+    async def _open_flow(self) -> Flow:
         loop = asyncio.get_running_loop()
         self._started += 1
         number = self._started
--- a/skylarkfold/load/_latency.py
+++ b/skylarkfold/load/_latency.py
@@ -9,8 +9,8 @@
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 120_000_000
 SIGNIFICANT_DIGITS = 3
-MICROSECONDS = 1_000_000
-MILLISECOND = 1000
+MICROSECONDS_PER_SECOND = 1_000_000
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,12 +36,18 @@
         :param traffic: the traffic's name.
         :param seconds: the latency.
         """
-        found = self._histograms.get(traffic)
-        if found is None:
-            found = self._histograms[traffic] = histogram.HdrHistogram(
-                LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
+        traffic_histogram = self._histograms.get(traffic)
+        if traffic_histogram is None:
+            traffic_histogram = self._histograms[traffic] = (
+                histogram.HdrHistogram(
+                    LOWEST_MICROSECONDS,
+                    HIGHEST_MICROSECONDS,
+                    SIGNIFICANT_DIGITS,
+                )
             )
-        found.record_value(max(1, int(seconds * MICROSECONDS)))
+        traffic_histogram.record_value(
+            max(1, int(seconds * MICROSECONDS_PER_SECOND))
+        )
 
     def encode(self) -> dict[str, str]:
         """Encode all histograms, by traffic name."""
@@ -63,12 +69,14 @@
 
     def get_percentile(percentile: float) -> float:
         value = total.get_value_at_percentile(percentile)
-        return round(value / MILLISECOND, 3)
+        return round(value / MICROSECONDS_PER_MILLISECOND, 3)
 
     return LatencySummary(
         count=total.get_total_count(),
         p50_ms=get_percentile(50),
         p90_ms=get_percentile(90),
         p99_ms=get_percentile(99),
-        maximum_ms=round(total.get_max_value() / MILLISECOND, 3),
+        maximum_ms=round(
+            total.get_max_value() / MICROSECONDS_PER_MILLISECOND, 3
+        ),
     )
--- a/skylarkfold/load/_network_path.py
+++ b/skylarkfold/load/_network_path.py
@@ -6,7 +6,7 @@
 from skylarkfold.load import _latency
 
 
-class Path:
+class NetworkPath:
     """From an address of callers to one port of every instance.
 
     :param port: the service's port on every instance.
--- a/skylarkfold/load/_operator.py
+++ b/skylarkfold/load/_operator.py
@@ -13,7 +13,7 @@
 from skylarkfold.load import _process
 
 COMMAND = ['-m', 'skylarkfold']
-APPLY_TRIES = 5
+APPLY_ATTEMPTS = 5
 
 
 class Operator:
@@ -39,13 +39,13 @@
 
     async def drain(self, service: str, upstream: str) -> None:
         """Drain an upstream."""
-        await self._command('drain', service, upstream)
+        await self._run_command('drain', service, upstream)
 
     async def undrain(self, service: str, upstream: str) -> None:
         """Put an upstream into service again."""
-        await self._command('undrain', service, upstream)
+        await self._run_command('undrain', service, upstream)
 
-    async def _command(self, *arguments: str) -> None:
+    async def _run_command(self, *arguments: str) -> None:
         command = [*COMMAND, *arguments, '--team', self._team]
         command += ['--platform', self._url]
         status, output = await _process.run_command(command)
@@ -64,26 +64,26 @@
         path = self._folder / f'{self._team}.json'
         path.write_text(json.dumps(settings, indent=2))
         condition = [] if version is None else [f'--version={version}']
-        await self._command('apply', str(path), *condition)
+        await self._run_command('apply', str(path), *condition)
 
     async def change(self, change: Callable[[dict[str, Any]], None]) -> None:
         """Change the settings that are in force.
 
         :param change: changes them in place.
         """
-        for attempt in range(APPLY_TRIES):
+        for attempt in range(APPLY_ATTEMPTS):
             settings, version = await self.read()
             change(settings)
             try:
                 return await self.apply(settings, version)
             except _process.ProcessError:
-                if attempt == APPLY_TRIES - 1:
+                if attempt == APPLY_ATTEMPTS - 1:
                     raise
 
     async def read(self) -> tuple[dict[str, Any], int]:
         """Read the settings that are in force, and their version."""
         url = f'{self._url}/objects/teams/{self._team}/settings'
-        async with self._session.get(url) as answer:
-            found = await answer.json()
-        settings = json.loads(base64.b64decode(found['value']))
-        return settings, found['version']
+        async with self._session.get(url) as response:
+            stored = await response.json()
+        settings = json.loads(base64.b64decode(stored['value']))
+        return settings, stored['version']
--- a/skylarkfold/load/_ports.py
+++ b/skylarkfold/load/_ports.py
@@ -8,7 +8,7 @@
 import os
 import socket
 
-TRIES = 200
+MAX_ATTEMPTS = 200
 FIRST_SUBNET = 20
 SUBNETS = 200
 
@@ -31,7 +31,7 @@
     :returns: the port.
     :raises OSError: if none was found.
     """
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
             probe.bind((hosts[0], 0))
             port = probe.getsockname()[1]
@@ -42,9 +42,9 @@
 
 def _is_free(host: str, port: int) -> bool:
     kinds = (socket.SOCK_STREAM, socket.SOCK_DGRAM)
-    with contextlib.ExitStack() as opened:
+    with contextlib.ExitStack() as stack:
         for kind in kinds:
-            probe = opened.enter_context(socket.socket(socket.AF_INET, kind))
+            probe = stack.enter_context(socket.socket(socket.AF_INET, kind))
             try:
                 probe.bind((host, port))
             except OSError:
--- a/skylarkfold/load/_process.py
+++ b/skylarkfold/load/_process.py
@@ -8,9 +8,9 @@
 import signal
 import sys
 
-READY = 'ready'
-START_SECONDS = 20.0
-KILL_SECONDS = 3.0
+READY_WORD = 'ready'
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 3.0
 
 
 class ProcessError(Exception):
@@ -48,7 +48,7 @@
                 env=os.environ | {'PYTHONUNBUFFERED': '1'},
             )
         try:
-            async with asyncio.timeout(START_SECONDS):
+            async with asyncio.timeout(START_TIMEOUT_SECONDS):
                 return await self._wait_until_ready()
         except TimeoutError:
             await self.stop()
@@ -57,7 +57,7 @@
     async def _wait_until_ready(self) -> str:
         while line := await self._process.stdout.readline():
             word, _, rest = line.decode().strip().partition(' ')
-            if word == READY:
+            if word == READY_WORD:
                 return rest
         status = await self._process.wait()
         tail = self._log.read_text()[-2000:]
@@ -92,7 +92,7 @@
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(KILL_SECONDS):
+            async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
                 await self.wait()
         except TimeoutError:
             self.send_signal(signal.SIGKILL)
@@ -100,7 +100,7 @@
 
 
 async def run_command(
-    arguments: list[str], timeout_seconds: float = START_SECONDS
+    arguments: list[str], timeout_seconds: float = START_TIMEOUT_SECONDS
 ) -> tuple[int, str]:
     """Run a command of this interpreter to its end.
 
--- a/skylarkfold/load/_promises.py
+++ b/skylarkfold/load/_promises.py
@@ -165,7 +165,7 @@
     :param evidence: what callers and upstreams saw.
     :returns: the flows.
     """
-    reached = _map_reached(evidence)
+    reached = _map_upstreams_by_flow(evidence)
     dead = evidence.dead
     return [
         flow
@@ -175,7 +175,7 @@
 
 
 def _count_moved_flows(evidence: Evidence) -> int:
-    reached = _map_reached(evidence)
+    reached = _map_upstreams_by_flow(evidence)
     dead = evidence.dead
     return sum(
         bool(reached[flow.caller] & dead) and bool(reached[flow.caller] - dead)
@@ -201,7 +201,7 @@
     ]
 
 
-def _map_reached(evidence: Evidence) -> dict[str, set[str]]:
+def _map_upstreams_by_flow(evidence: Evidence) -> dict[str, set[str]]:
     """Map each flow's address to all upstreams that it reached."""
     reached = collections.defaultdict(set)
     for flow in evidence.results.flows:
@@ -273,16 +273,16 @@
         for request in evidence.results.requests
         for attempt in request.attempts
         if attempt.outcome is _result.AttemptOutcome.NOT_RUN
-        and _has_run_unasked(attempt, request, runs[attempt.key])
+        and _has_run_before_retry(attempt, request, runs[attempt.key])
     ]
 
 
-def _has_run_unasked(
+def _has_run_before_retry(
     refused: _result.AttemptResult,
     request: _result.RequestResult,
     runs: list[float],
 ) -> bool:
-    sent_again = min(
+    retried_at = min(
         (
             each.sent
             for each in request.attempts
@@ -290,7 +290,7 @@
         ),
         default=float('inf'),
     )
-    return any(run < sent_again for run in runs)
+    return any(run < retried_at for run in runs)
 
 
 def _count_misdelivered(evidence: Evidence) -> int:
@@ -326,8 +326,8 @@
 ) -> Iterator[tuple[str, float]]:
     for caller, flow in record.flows.items():
         yield caller, flow.first_seen
-    for begun in (record.runs, record.streams):
-        for subject, times in begun.items():
+    for start_times in (record.runs, record.streams):
+        for subject, times in start_times.items():
             for time in times:
                 yield subject, time
 
@@ -353,7 +353,7 @@
     :param evidence: what callers and upstreams saw.
     :returns: lines for a person.
     """
-    reached = _map_reached(evidence)
+    reached = _map_upstreams_by_flow(evidence)
     for flow in list_broken_flows(evidence)[:MAXIMUM_DESCRIBED]:
         names = ', '.join(sorted(reached[flow.caller])) or 'nobody'
         counts = f'{flow.answered} of {flow.sent} answered'
--- a/skylarkfold/load/_request_caller.py
+++ b/skylarkfold/load/_request_caller.py
@@ -16,17 +16,17 @@
 from skylarkfold import standin
 from skylarkfold import verdict
 
-PATIENCE_SECONDS = 2.0
-MAXIMUM_PAUSE_SECONDS = 1.0
-PAUSE_SECONDS = 0.1
+CLIENT_TIMEOUT_MARGIN_SECONDS = 2.0
+MAXIMUM_RETRY_PAUSE_SECONDS = 1.0
+RETRY_PAUSE_SECONDS = 0.1
 TOKEN_PARAMETER = 'token'
 
 _VERDICTS = {each.value: each for each in verdict.Verdict}
-_OUTCOMES = {
+_OUTCOMES_BY_VERDICT = {
     verdict.Verdict.NOT_RUN: _result.AttemptOutcome.NOT_RUN,
     verdict.Verdict.MAY_HAVE_RUN: _result.AttemptOutcome.MAY_HAVE_RUN,
 }
-_RETRIED = (
+_RETRIED_OUTCOMES = (
     _result.AttemptOutcome.NOT_RUN,
     _result.AttemptOutcome.MAY_HAVE_RUN,
     _result.AttemptOutcome.UNSENT,
@@ -34,7 +34,7 @@
 )
 
 
-class _Sending:
+class _RequestContent:
     """A request's content, alike for all its attempts but for the token.
 
     A request that may not be repeated keeps its key. Each attempt of any
@@ -51,7 +51,7 @@
         """The HTTP method."""
         return 'GET' if self._traffic.repeatable else 'POST'
 
-    def make_target(self, attempt: int) -> str:
+    def build_target(self, attempt: int) -> str:
         """Make the path and query of one attempt."""
         target = f'/{self._traffic.service}'
         token = f'{self._name}.{attempt}' if self._traffic.repeatable else ''
@@ -63,10 +63,10 @@
     def get_key(self, attempt: int) -> str:
         """Tell by what key an upstream counts one attempt."""
         if self._traffic.repeatable:
-            return self.make_target(attempt)
+            return self.build_target(attempt)
         return self._name
 
-    def make_headers(self) -> dict[str, str]:
+    def build_headers(self) -> dict[str, str]:
         """Make the headers of an attempt."""
         timeout_ms = int(self._traffic.timeout_seconds * 1000)
         headers = {
@@ -102,31 +102,31 @@
         self._fabric = fabric
         self._latency = latency
         self._session = session
-        self._open: set[asyncio.Task[None]] = set()
+        self._open_tasks: set[asyncio.Task[None]] = set()
         self.results: list[_result.RequestResult] = []
 
     async def run(self) -> None:
         """Begin requests at the traffic's rate until cancelled."""
         await asyncio.sleep(self._traffic.start_seconds)
-        due = time.monotonic()
+        next_start = time.monotonic()
         number = 0
         while True:
             number += 1
-            self._begin(number)
-            due += 1 / self._traffic.rate_per_second
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            self._start_request(number)
+            next_start += 1 / self._traffic.rate_per_second
+            await asyncio.sleep(max(0.0, next_start - time.monotonic()))
 
-    def _begin(self, number: int) -> None:
-        task = asyncio.create_task(self._make(number))
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+    def _start_request(self, number: int) -> None:
+        task = asyncio.create_task(self._send_with_retries(number))
+        self._open_tasks.add(task)
+        task.add_done_callback(self._open_tasks.discard)
 
     async def finish(self) -> None:
         """Wait for the requests that are still open."""
-        await asyncio.gather(*self._open)
+        await asyncio.gather(*self._open_tasks)
 
-    async def _make(self, number: int) -> None:
-        sending = _Sending(self._traffic, number)
+    async def _send_with_retries(self, number: int) -> None:
+        content = _RequestContent(self._traffic, number)
         attempts: list[_result.AttemptResult] = []
         result = _result.RequestResult(
             self._traffic.name,
@@ -139,22 +139,22 @@
         while len(attempts) < self._traffic.attempts:
             target = self._fabric.choose(other_than=target)
             attempts.append(
-                await self._attempt(sending, len(attempts), target)
+                await self._run_attempt(content, len(attempts), target)
             )
-            if result.outcome not in _RETRIED:
+            if result.outcome not in _RETRIED_OUTCOMES:
                 break
-            await asyncio.sleep(PAUSE_SECONDS * 2 ** len(attempts))
+            await asyncio.sleep(RETRY_PAUSE_SECONDS * 2 ** len(attempts))
         if result.outcome is _result.AttemptOutcome.RAN:
             elapsed = attempts[-1].ended - attempts[0].sent
             self._latency.record(self._traffic.name, elapsed)
 
-    async def _attempt(
-        self, sending: _Sending, number: int, target: str
+    async def _run_attempt(
+        self, content: _RequestContent, number: int, target: str
     ) -> _result.AttemptResult:
         sent = time.monotonic()
-        outcome, code = await self._send(sending, number, target)
+        outcome, code = await self._send(content, number, target)
         return _result.AttemptResult(
-            sending.get_key(number),
+            content.get_key(number),
             target,
             sent,
             time.monotonic(),
@@ -163,64 +163,67 @@
         )
 
     async def _send(
-        self, sending: _Sending, number: int, target: str
+        self, content: _RequestContent, number: int, target: str
     ) -> tuple[_result.AttemptOutcome, str]:
-        url = f'http://{target}:{self._port}{sending.make_target(number)}'
+        url = f'http://{target}:{self._port}{content.build_target(number)}'
         try:
             async with self._session.request(
-                sending.method,
+                content.method,
                 url,
-                data=sending.body.encode(),
-                headers=sending.make_headers(),
+                data=content.body.encode(),
+                headers=content.build_headers(),
                 timeout=aiohttp.ClientTimeout(
-                    self._traffic.timeout_seconds + PATIENCE_SECONDS
+                    self._traffic.timeout_seconds
+                    + CLIENT_TIMEOUT_MARGIN_SECONDS
                 ),
-            ) as answer:
-                body = await answer.read()
+            ) as response:
+                body = await response.read()
         except aiohttp.ClientConnectorError as error:
             return _result.AttemptOutcome.UNSENT, type(error).__name__
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             return _result.AttemptOutcome.NO_ANSWER, type(error).__name__
-        return self._judge(answer, body, sending, number)
+        return self._classify_response(response, body, content, number)
 
-    def _judge(
+    def _classify_response(
         self,
-        answer: aiohttp.ClientResponse,
+        response: aiohttp.ClientResponse,
         body: bytes,
-        sending: _Sending,
+        content: _RequestContent,
         number: int,
     ) -> tuple[_result.AttemptOutcome, str]:
-        text = answer.headers.get(request_module.VERDICT_HEADER, '')
-        said = _VERDICTS.get(text)
-        if said is None:
-            return _result.AttemptOutcome.UNKNOWN_VERDICT, str(answer.status)
-        if said is verdict.Verdict.RAN:
-            if self._is_own(body, sending, number):
+        text = response.headers.get(request_module.VERDICT_HEADER, '')
+        received_verdict = _VERDICTS.get(text)
+        if received_verdict is None:
+            return _result.AttemptOutcome.UNKNOWN_VERDICT, str(response.status)
+        if received_verdict is verdict.Verdict.RAN:
+            if self._is_expected_answer(body, content, number):
                 return _result.AttemptOutcome.RAN, ''
-            return _result.AttemptOutcome.WRONG, str(answer.status)
-        return _OUTCOMES[said], _read_code(body)
+            return _result.AttemptOutcome.WRONG, str(response.status)
+        return _OUTCOMES_BY_VERDICT[received_verdict], _read_code(body)
 
-    def _is_own(self, body: bytes, sending: _Sending, number: int) -> bool:
+    def _is_expected_answer(
+        self, body: bytes, content: _RequestContent, number: int
+    ) -> bool:
         try:
             read = msgspec.json.decode(body, type=standin.RunAnswer)
         except msgspec.DecodeError:
             return False
-        key = sending.get_key(number)
+        key = content.get_key(number)
         fill = standin.make_fill(key, self._traffic.answer_bytes)
         return (read.service, read.key, read.echo, read.fill) == (
             self._traffic.service,
             key,
-            sending.body,
+            content.body,
             fill,
         )
 
 
-class _Problem(msgspec.Struct):
+class _ProblemDetails(msgspec.Struct):
     code: str = ''
 
 
 def _read_code(body: bytes) -> str:
     try:
-        return msgspec.json.decode(body, type=_Problem).code
+        return msgspec.json.decode(body, type=_ProblemDetails).code
     except msgspec.DecodeError:
         return ''
--- a/skylarkfold/load/_run.py
+++ b/skylarkfold/load/_run.py
@@ -17,7 +17,7 @@
 from skylarkfold.load import _result
 from skylarkfold.load import _scenario
 
-PROGRESS_SECONDS = 5.0
+PROGRESS_INTERVAL_SECONDS = 5.0
 MAXIMUM_DETAILS = 20
 
 
@@ -61,61 +61,61 @@
     :returns: what came of it.
     :raises ProcessError: if a process can't be started.
     """
-    began = time.monotonic()
-    async with _deployment.Fleet(scenario, folder) as fleet:
-        await fleet.start()
+    started = time.monotonic()
+    async with _deployment.Deployment(scenario, folder) as deployment:
+        await deployment.start()
         report(
-            f'{scenario.name}: ready after {time.monotonic() - began:.1f} s'
+            f'{scenario.name}: ready after {time.monotonic() - started:.1f} s'
         )
-        director = _action_executor.Director(fleet, report)
-        results = await _drive(scenario, fleet, director, report)
-        records = await fleet.read_records()
-        counts = await fleet.read_platform_counts()
-    steady = {name: tuple(each) for name, each in fleet.steady.items()}
+        executor = _action_executor.ActionExecutor(deployment, report)
+        results = await _run_traffic(scenario, deployment, executor, report)
+        records = await deployment.read_records()
+        counts = await deployment.read_platform_counts()
+    steady = {name: tuple(each) for name, each in deployment.steady.items()}
     evidence = _promises.Evidence(
         results,
         records,
-        tuple(director.drains),
+        tuple(executor.drains),
         steady,
-        frozenset(fleet.stopped),
+        frozenset(deployment.stopped_hosts),
     )
     return RunResult(
         scenario=scenario.name,
         promises=_promises.judge(evidence),
         latencies=_summarize(results),
-        failures=tuple(director.failures),
+        failures=tuple(executor.failures),
         details=tuple(
             itertools.islice(_promises.describe(evidence), MAXIMUM_DETAILS)
         ),
         platform_calls=counts,
-        seconds=round(time.monotonic() - began, 1),
+        seconds=round(time.monotonic() - started, 1),
     )
 
 
-async def _drive(
+async def _run_traffic(
     scenario: _scenario.Scenario,
-    fleet: _deployment.Fleet,
-    director: _action_executor.Director,
+    deployment: _deployment.Deployment,
+    executor: _action_executor.ActionExecutor,
     report: Callable[[str], None],
 ) -> _result.CallerResults:
-    await fleet.start_traffic()
-    progress = asyncio.create_task(_show_progress(scenario, report))
-    acting = asyncio.create_task(director.carry_out(scenario.actions))
+    await deployment.start_traffic()
+    progress = asyncio.create_task(_report_progress(scenario, report))
+    actions = asyncio.create_task(executor.run_actions(scenario.actions))
     await asyncio.sleep(scenario.duration_seconds)
-    await acting
+    await actions
     progress.cancel()
-    results = await fleet.finish_traffic()
+    results = await deployment.finish_traffic()
     await asyncio.sleep(scenario.settle_seconds)
     return results
 
 
-async def _show_progress(
+async def _report_progress(
     scenario: _scenario.Scenario, report: Callable[[str], None]
 ) -> None:
     elapsed = 0.0
     while True:
-        await asyncio.sleep(PROGRESS_SECONDS)
-        elapsed += PROGRESS_SECONDS
+        await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
+        elapsed += PROGRESS_INTERVAL_SECONDS
         report(f'{elapsed:5.1f} s of {scenario.duration_seconds:g} s')
 
 
--- a/skylarkfold/load/_scenario.py
+++ b/skylarkfold/load/_scenario.py
@@ -99,7 +99,7 @@
         scenario = msgspec.convert(fields, Scenario)
     except (OSError, ValueError) as error:
         raise errors.SettingsError(str(error), source=path) from error
-    check_bounds(scenario, path)
+    check_limits(scenario, path)
     return scenario
 
 
@@ -133,7 +133,7 @@
     ]
 
 
-def check_bounds(scenario: Scenario, source: str) -> None:
+def check_limits(scenario: Scenario, source: str) -> None:
     """Refuse a scenario that asks for too much or names what is not there.
 
     :param scenario: the scenario.
--- a/skylarkfold/load/_stream_caller.py
+++ b/skylarkfold/load/_stream_caller.py
@@ -9,7 +9,7 @@
 from skylarkfold.load import _result
 from skylarkfold.load import _traffic
 
-ANSWER_SECONDS = 5.0
+ANSWER_TIMEOUT_SECONDS = 5.0
 
 
 class StreamCaller:
@@ -20,7 +20,7 @@
     """
 
     def __init__(
-        self, traffic: _traffic.Streams, path: _network_path.Path
+        self, traffic: _traffic.Streams, path: _network_path.NetworkPath
     ) -> None:
         self._traffic = traffic
         self._path = path
@@ -31,10 +31,10 @@
         await asyncio.sleep(self._traffic.start_seconds)
         async with asyncio.TaskGroup() as group:
             for _ in range(self._traffic.streams):
-                group.create_task(self._hold())
+                group.create_task(self._hold_stream())
         await asyncio.Event().wait()
 
-    async def _hold(self) -> None:
+    async def _hold_stream(self) -> None:
         result = _result.StreamResult(
             self._traffic.name,
             self._traffic.service,
@@ -42,12 +42,12 @@
         )
         self.results.append(result)
         try:
-            await self._talk(result)
+            await self._exchange_messages(result)
         except (OSError, ValueError, TimeoutError, EOFError) as error:
             result.broken = f'{type(error).__name__}: {error}'
             result.broken_at = time.monotonic()
 
-    async def _talk(self, result: _result.StreamResult) -> None:
+    async def _exchange_messages(self, result: _result.StreamResult) -> None:
         reader, writer = await asyncio.open_connection(
             result.target, self._path.port, local_addr=(self._path.host, 0)
         )
@@ -56,20 +56,20 @@
             result.upstream = await self._read_greeting(reader)
             await self._check_echo(reader, b'begin\n')
             while True:
-                await self._exchange(reader, writer, result)
+                await self._send_message(reader, writer, result)
                 await asyncio.sleep(self._traffic.interval_seconds)
         finally:
             writer.close()
 
     async def _read_greeting(self, reader: asyncio.StreamReader) -> str:
-        async with asyncio.timeout(ANSWER_SECONDS):
+        async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
             greeting = await reader.readuntil()
         service, upstream, _ = greeting.decode().split()
         if service != self._traffic.service:
             raise ValueError(f'greeted by {service}')
         return upstream
 
-    async def _exchange(
+    async def _send_message(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -89,7 +89,7 @@
     async def _check_echo(
         self, reader: asyncio.StreamReader, line: bytes
     ) -> None:
-        async with asyncio.timeout(ANSWER_SECONDS):
+        async with asyncio.timeout(ANSWER_TIMEOUT_SECONDS):
             echo = await reader.readuntil()
         if echo != line:
             raise ValueError('echoed something else')
--- a/skylarkfold/tests/load/_forwarder.py
+++ b/skylarkfold/tests/load/_forwarder.py
@@ -15,7 +15,7 @@
 SERVICE = endpoint.Endpoint('192.0.2.1', 7000)
 
 
-class _Upstreams(asyncio.DatagramProtocol):
+class _UpstreamProtocol(asyncio.DatagramProtocol):
     def __init__(self, forwarder):
         self._forwarder = forwarder
 
@@ -28,13 +28,13 @@
         self._forwarder.transport.sendto(data[length:], caller)
 
 
-class _Callers(asyncio.DatagramProtocol):
+class _CallerProtocol(asyncio.DatagramProtocol):
     """Sends each datagram to the next of some upstreams."""
 
     def __init__(self, addresses):
         self._addresses = addresses
         self._count = 0
-        self.upstreams = _Upstreams(self)
+        self.upstreams = _UpstreamProtocol(self)
 
     def connection_made(self, transport):
         self.transport = transport
@@ -48,7 +48,7 @@
         self.upstreams.transport.sendto(header + data, address)
 
 
-async def _make_requests(port, repeats):
+async def _start_http_proxy(port, repeats):
     async def answer(request):
         headers = dict(request.headers)
         headers.pop('Content-Length', None)
@@ -58,12 +58,12 @@
             for _ in range(repeats):
                 async with session.request(
                     request.method, url, data=body, headers=headers
-                ) as answered:
-                    body = await answered.read()
+                ) as response:
+                    body = await response.read()
         return web.Response(
             body=body,
-            status=answered.status,
-            headers={'Request-Verdict': answered.headers['Request-Verdict']},
+            status=response.status,
+            headers={'Request-Verdict': response.headers['Request-Verdict']},
         )
 
     application = web.Application()
@@ -96,13 +96,13 @@
         endpoint.parse_endpoint(each.address) for each in records.values()
     ]
     transport, callers = await loop.create_datagram_endpoint(
-        lambda: _Callers(addresses), local_addr=('127.0.0.1', 0)
+        lambda: _CallerProtocol(addresses), local_addr=('127.0.0.1', 0)
     )
     other, _ = await loop.create_datagram_endpoint(
         lambda: callers.upstreams, local_addr=('127.0.0.1', 0)
     )
     first = next(iter(records.values()))
-    runner = await _make_requests(first.request_port, repeats)
+    runner = await _start_http_proxy(first.request_port, repeats)
     port = transport.get_extra_info('sockname')[1]
     yield port, runner.addresses[0][1]
     transport.close()
--- a/skylarkfold/tests/load/test_promises.py
+++ b/skylarkfold/tests/load/test_promises.py
@@ -42,7 +42,7 @@
     return _result.RequestResult('settings', 'desk', repeatable, attempts)
 
 
-def _judge_all(flows=(), requests=(), records=None, **fields):
+def _judge_results(flows=(), requests=(), records=None, **fields):
     results = _result.CallerResults(list(flows), [], list(requests))
     records = records or {'desk-1': _make_record()}
     return _promises.judge(_promises.Evidence(results, records, **fields))
@@ -52,20 +52,20 @@
     def test_a_healthy_flow_is_whole(self):
         flow = standin.FlowRecord(1.0, 10.0)
         records = {'desk-1': _make_record(flows={CALLER: flow})}
-        promises = _judge_all([_make_flow()], records=records)
+        promises = _judge_results([_make_flow()], records=records)
         self.assertEqual(0, promises.broken_flows)
         self.assertTrue(promises.hold)
 
     def test_answers_of_two_upstreams_break_a_flow(self):
         flow = _make_flow(upstreams={'desk-1': 9, 'desk-2': 1})
-        promises = _judge_all([flow])
+        promises = _judge_results([flow])
         self.assertEqual(1, promises.broken_flows)
         self.assertFalse(promises.hold)
 
     def test_a_packet_at_another_upstream_breaks_a_flow(self):
         stray = standin.FlowRecord(3.0, 3.0)
         records = {'desk-2': _make_record(flows={CALLER: stray})}
-        promises = _judge_all([_make_flow()], records=records)
+        promises = _judge_results([_make_flow()], records=records)
         self.assertEqual(1, promises.broken_flows)
 
     def test_a_flow_whose_upstream_died_moved(self):
@@ -74,20 +74,22 @@
             'desk-1': _make_record(stopped=5.0),
             'desk-2': _make_record(),
         }
-        promises = _judge_all([flow], records=records)
+        promises = _judge_results([flow], records=records)
         self.assertEqual((0, 1), (promises.broken_flows, promises.moved_flows))
 
     def test_a_silent_flow_is_broken(self):
         flow = _make_flow(answered=4, last_answered=4.9)
-        self.assertEqual(1, _judge_all([flow]).broken_flows)
+        self.assertEqual(1, _judge_results([flow]).broken_flows)
 
     def test_lost_datagrams_alone_break_nothing(self):
         flow = _make_flow(answered=8, last_answered=9.0)
-        self.assertEqual(0, _judge_all([flow]).broken_flows)
+        self.assertEqual(0, _judge_results([flow]).broken_flows)
 
     def test_misdelivery_is_counted_on_both_sides(self):
         records = {'desk-1': _make_record(misdelivered=2)}
-        promises = _judge_all([_make_flow(misdelivered=1)], records=records)
+        promises = _judge_results(
+            [_make_flow(misdelivered=1)], records=records
+        )
         self.assertEqual(3, promises.misdelivered)
         self.assertFalse(promises.hold)
 
@@ -96,7 +98,7 @@
             _make_flow(upstreams={name: 1}, caller=str(number))
             for number, name in enumerate(['a', 'a', 'a', 'b', 'drained'])
         ]
-        promises = _judge_all(flows, steady={'desk': ('a', 'b')})
+        promises = _judge_results(flows, steady={'desk': ('a', 'b')})
         self.assertEqual({'desk': 1.5}, promises.imbalance)
 
 
@@ -123,7 +125,7 @@
     def _judge_runs(self, times, *outcomes, repeatable=False):
         request = _make_request(*outcomes, repeatable=repeatable)
         records = {'desk-1': _make_record(runs={'key': times})}
-        return _judge_all(requests=[request], records=records)
+        return _judge_results(requests=[request], records=records)
 
     def test_one_run_and_its_answer_are_as_promised(self):
         promises = self._judge_runs([0.2], RAN)
@@ -139,7 +141,9 @@
             'desk-1': _make_record(runs={'key': [0.2]}),
             'desk-2': _make_record(runs={'key': [0.3]}),
         }
-        promises = _judge_all(requests=[_make_request(RAN)], records=records)
+        promises = _judge_results(
+            requests=[_make_request(RAN)], records=records
+        )
         self.assertEqual(1, promises.duplicate_runs)
 
     def test_what_is_repeatable_may_run_twice(self):
@@ -182,7 +186,7 @@
             flows={CALLER: late}, runs={'key': [time]}, streams={'s': [time]}
         )
         records = {'desk-1': record}
-        return _judge_all(records=records, drains=(drain,)).late_new_work
+        return _judge_results(records=records, drains=(drain,)).late_new_work
 
     def test_new_work_long_after_the_drain_is_late(self):
         self.assertEqual(3, self._judge_drain(15.1))
