--- a/skylarkfold/demo/__init__.py
+++ b/skylarkfold/demo/__init__.py
@@ -1,4 +1,4 @@
-"""``make demo``: the whole system on loopback, as separate processes."""
+"""Demo of the whole system as separate processes on loopback."""
 
 from skylarkfold.demo._run import run
 
--- a/skylarkfold/demo/_run.py
+++ b/skylarkfold/demo/_run.py
@@ -1,4 +1,4 @@
-"""Running the demo and showing what came of it."""
+"""Run of the demo and output of its results."""
 
 from __future__ import annotations
 
@@ -28,9 +28,10 @@
 def run(json_output: bool = False) -> int:
     """Run the demo.
 
-    :param json_output: whether the last line is one JSON object.
-    :returns: the exit status: 0 if all promises held, 1 if not, 3 if the
-        demo could not be run.
+    :param json_output: whether to print the counts as a JSON object on the
+        last line.
+    :returns: the exit status: 0 if all promises held and no action failed, 1
+        if not, 3 if the demo could not be run.
     """
     folder = pathlib.Path(tempfile.mkdtemp(prefix='skylarkfold-demo-'))
     load.print_progress(f'settings and logs are in {folder}')
--- a/skylarkfold/demo/_scenario.py
+++ b/skylarkfold/demo/_scenario.py
@@ -1,8 +1,8 @@
-"""What the demo runs: the co-operative on a busy minute."""
+"""Scenario of the demo."""
 
 from skylarkfold import load
 
-# Later than the drain, its command and the grace of five seconds.
+# Later than the end of the drain and its grace period of five seconds.
 AFTER_DRAIN_SECONDS = 11.5
 
 SCENARIO = load.Scenario(
@@ -12,7 +12,8 @@
     instances=3,
     team='tooling',
     services={
-        # The service whose upstreams change tells how a flow begins.
+        # This service's settings identify first datagrams, since its upstreams
+        # change during the run.
         'press-desk': load.ServiceShape(upstreams=7, slots=2, is_marked=True),
         'plano-vault': load.ServiceShape(upstreams=3, slots=2),
     },
--- a/skylarkfold/load/__init__.py
+++ b/skylarkfold/load/__init__.py
@@ -1,7 +1,8 @@
-"""The load tool: real processes, traffic, faults, and the promises kept.
+"""Load test tool that runs real processes with traffic and faults.
 
-It serves benches only and starts processes, which production code must
-not.
+It checks the load balancer's promises to callers against what callers and
+upstreams observe. Production code must not import it, because it starts
+processes.
 """
 
 from skylarkfold.load._action import AddUpstream
--- a/skylarkfold/load/_action.py
+++ b/skylarkfold/load/_action.py
@@ -1,4 +1,4 @@
-"""What operators do and what fails during a run."""
+"""Actions of a scenario: operations and faults during a run."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     forbid_unknown_fields=True,
     tag_field='action',
 ):
-    """Something that happens once.
+    """Operation or fault that a run performs once.
 
-    :param at_seconds: when, after the traffic's beginning.
+    :param at_seconds: the time in seconds after traffic starts.
     """
 
     at_seconds: float
 
 
 class DrainUpstream(Action, tag='drain-upstream', frozen=True, kw_only=True):
-    """An operator drains an upstream with the command line."""
+    """Drain of an upstream with the operators' command line."""
 
     service: str
     upstream: str
@@ -30,21 +30,21 @@
 class UndrainUpstream(
     Action, tag='undrain-upstream', frozen=True, kw_only=True
 ):
-    """An operator puts an upstream into service again."""
+    """Return of a drained upstream to service."""
 
     service: str
     upstream: str
 
 
 class AddUpstream(Action, tag='add-upstream', frozen=True, kw_only=True):
-    """An upstream starts and an operator adds it."""
+    """Start of a new upstream that is then added to the settings."""
 
     service: str
     upstream: str
 
 
 class ChangeWeight(Action, tag='change-weight', frozen=True, kw_only=True):
-    """An operator changes an upstream's weight."""
+    """Change of an upstream's weight in the settings."""
 
     service: str
     upstream: str
@@ -52,14 +52,14 @@
 
 
 class RaceOperators(Action, tag='race-operators', frozen=True, kw_only=True):
-    """Operators drain several upstreams at the same moment."""
+    """Concurrent drains of several upstreams."""
 
     service: str
     upstreams: list[str]
 
 
 class KillUpstream(Action, tag='kill-upstream', frozen=True, kw_only=True):
-    """An upstream dies unannounced and does not come back."""
+    """Crash of an upstream that is not restarted."""
 
     service: str
     upstream: str
@@ -68,10 +68,12 @@
 class ChangeBehaviour(
     Action, tag='change-behaviour', frozen=True, kw_only=True
 ):
-    """An upstream behaves otherwise for a while.
+    """Temporary change of an upstream's behaviour.
 
-    :param behaviour: the changed fields of its behaviour.
-    :param back: the fields to set at the end.
+    :param upstream: the upstream's name.
+    :param behaviour: the fields of the behaviour to change.
+    :param back: the fields to set when the change ends.
+    :param for_seconds: the duration; 0 for a change that does not end.
     """
 
     upstream: str
@@ -83,19 +85,19 @@
 class ReplaceInstance(
     Action, tag='replace-instance', frozen=True, kw_only=True
 ):
-    """An instance is stopped as planned and another takes its place.
+    """Graceful stop of an instance, which is then replaced.
 
-    :param instance: its number, from 0.
+    :param instance: the instance's number, from 0.
     """
 
     instance: int
 
 
 class KillInstance(Action, tag='kill-instance', frozen=True, kw_only=True):
-    """An instance dies unannounced and another takes its place later.
+    """Kill of an instance, which is replaced after a delay.
 
-    :param instance: its number, from 0.
-    :param replace_after_seconds: when the other starts.
+    :param instance: the instance's number, from 0.
+    :param replace_after_seconds: the delay until the replacement starts.
     """
 
     instance: int
@@ -103,9 +105,10 @@
 
 
 class PauseInstance(Action, tag='pause-instance', frozen=True, kw_only=True):
-    """An instance stands still for a while and then goes on.
+    """Suspension of an instance's process for a while.
 
-    :param instance: its number, from 0.
+    :param instance: the instance's number, from 0.
+    :param for_seconds: the duration.
     """
 
     instance: int
@@ -113,10 +116,11 @@
 
 
 class BreakPlatform(Action, tag='break-platform', frozen=True, kw_only=True):
-    """The platform is at fault for a while, for one zone or for all.
+    """Temporary faults of the platform, for one zone or all zones.
 
-    :param faults: the switches of the platform stand-in.
-    :param zone: the zone that sees it; empty for all.
+    :param faults: the fault settings of the platform stand-in.
+    :param for_seconds: the duration.
+    :param zone: the affected zone; empty for all zones.
     """
 
     faults: dict[str, float | bool | int]
--- a/skylarkfold/load/_action_executor.py
+++ b/skylarkfold/load/_action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what operators do and what fails during a run."""
+"""Execution of a scenario's actions."""
 
 from __future__ import annotations
 
@@ -18,10 +18,12 @@
 
 
 class ActionExecutor:
-    """Carries out actions on a fleet, each at its time.
+    """Executor of actions on a deployment, each at its time.
 
-    :param fleet: the running processes.
-    :param report: takes a line about what happens.
+    :param deployment: the running deployment.
+    :param report: the function that is called with progress lines.
+    :ivar drains: the drains that were performed.
+    :ivar failures: messages of the actions that failed.
     """
 
     def __init__(
@@ -34,11 +36,11 @@
         self.failures: list[str] = []
 
     async def run_actions(self, actions: list[_action.AnyAction]) -> None:
-        """Carry out actions, each at its time from now.
+        """Run actions concurrently, each at its time from now.
 
-        An action that fails is reported and listed, and ends no other.
+        A failed action is reported and recorded; the others continue.
 
-        :param actions: what to do.
+        :param actions: the actions.
         """
         await asyncio.gather(*(self._run_action(each) for each in actions))
 
@@ -70,7 +72,7 @@
             self.drains.append(_promises.Drain(service, upstream, now))
 
     def _get_lock(self, upstream: str) -> asyncio.Lock:
-        """Get the lock that keeps an upstream's commands in their order."""
+        """Return the lock that serializes the commands for an upstream."""
         return self._locks.setdefault(upstream, asyncio.Lock())
 
     def _remove_from_steady(self, service: str, upstream: str) -> None:
--- a/skylarkfold/load/_command.py
+++ b/skylarkfold/load/_command.py
@@ -25,14 +25,14 @@
 def run(
     file: str, faults: str = '', combine: bool = False, as_json: bool = False
 ) -> int:
-    """Run a scenario file.
-
-    :param file: the file, in JSON with comments.
-    :param faults: names of the file's faults to add, with commas between.
-    :param combine: run without faults, with each alone and with all
-        pairs, one after another, instead.
-    :param as_json: print one JSON object for each run instead of tables.
-    :returns: the exit status: 0 if all promises held in all runs, else 1.
+    """Run the scenario of a file.
+
+    :param file: the path of the file, in JSON with comments.
+    :param faults: comma-separated names of the file's faults to add.
+    :param combine: instead run without faults, with each fault alone and
+        with each pair of faults, one after another.
+    :param as_json: print one JSON object per run instead of a table.
+    :returns: the exit status: 0 if all runs passed, else 1.
     :raises SettingsError: if the file is invalid.
     """
     scenario = _scenario.read_scenario(file)
@@ -78,5 +78,5 @@
 
 
 def print_progress(line: str) -> None:
-    """Print a line about the progress on standard error."""
+    """Print a progress line to standard error."""
     print(line, file=sys.stderr, flush=True)
--- a/skylarkfold/load/_deployment.py
+++ b/skylarkfold/load/_deployment.py
@@ -1,4 +1,4 @@
-"""All processes of a run: stand-ins, entry instances, a caller."""
+"""Processes of a run: stand-ins, entry instances and the caller."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Instance:
-    """One entry instance.
+    """Running entry instance.
 
-    :param name: its name.
+    :param name: the instance's name.
     :param zone: its availability zone.
-    :param host: where it takes callers' and peers' traffic.
-    :param peer_port: where it takes peers' streams.
-    :param admin_port: where it answers operators.
-    :param process: the process.
+    :param host: its IP address for traffic of callers and peers.
+    :param peer_port: its port for streams of peers.
+    :param admin_port: its port for operators.
+    :param process: its process.
     """
 
     name: str
@@ -51,10 +51,13 @@
 
 
 class Deployment:
-    """Starts, changes and stops the processes of a scenario.
+    """All processes of a scenario.
 
-    :param scenario: what to run.
-    :param folder: where settings and logs are kept.
+    :param scenario: the scenario to run.
+    :param folder: the folder for settings and logs.
+    :ivar instances: the running instances by number.
+    :ivar steady: by service, the upstreams that accept new work throughout.
+    :ivar stopped_hosts: hosts of instances that were stopped or killed.
     """
 
     def __init__(
@@ -80,7 +83,7 @@
         await asyncio.gather(*(each.stop() for each in processes))
 
     async def start(self) -> None:
-        """Start all processes and put the settings in force."""
+        """Start all processes and apply the settings."""
         await asyncio.gather(self._start_platform(), self._start_upstreams())
         self.operator = _operator.Operator(
             self._scenario.team,
@@ -135,7 +138,7 @@
         self._upstreams_url = f'http://{address}'
 
     async def read_records(self) -> Records:
-        """Ask the upstreams what they did."""
+        """Return the records of all upstreams, by name."""
         async with self._session.get(
             f'{self._upstreams_url}/records'
         ) as response:
@@ -179,11 +182,11 @@
     def describe_upstream(
         self, number: int, record: standin.UpstreamRecord
     ) -> dict[str, Any]:
-        """Describe an upstream as a team's settings do.
+        """Return an upstream's entry for the team's settings.
 
-        :param number: its number within its service.
-        :param record: the running upstream.
-        :returns: its settings.
+        :param number: the upstream's number within its service.
+        :param record: the record of the running upstream.
+        :returns: the entry.
         """
         shape = self._scenario.services[record.service]
         zones = self._scenario.zones
@@ -201,10 +204,10 @@
     async def start_instance(self, number: int) -> None:
         """Start an entry instance under a new name.
 
-        It is on the platform's list before it starts, and callers reach
-        it once it is ready.
+        It is registered with the platform before it starts, and receives
+        traffic of callers once it is ready.
 
-        :param number: its number; a replacement has that of the other.
+        :param number: the number of the instance or of the one it replaces.
         """
         instance = self._build_instance(number)
         await self._register_instance(instance, leaving=False)
@@ -272,11 +275,11 @@
             return
 
     async def stop_instance(self, number: int) -> int:
-        """Stop an entry instance as planned.
+        """Stop an entry instance gracefully.
 
-        The fabric learns it a little after the instance does.
+        Callers stop sending to it a short time after it is told to stop.
 
-        :param number: its number.
+        :param number: the instance's number.
         :returns: its exit status.
         """
         instance = self._remove_instance(number)
@@ -295,9 +298,9 @@
         return instance
 
     async def kill_instance(self, number: int) -> None:
-        """Kill an entry instance unannounced.
+        """Kill an entry instance.
 
-        :param number: its number.
+        :param number: the instance's number.
         """
         instance = self._remove_instance(number)
         instance.process.send_signal(signal.SIGKILL)
@@ -307,10 +310,10 @@
         await self._deregister_instance(instance)
 
     async def pause_instance(self, number: int, for_seconds: float) -> None:
-        """Let an entry instance stand still for a while.
+        """Suspend the process of an entry instance for a while.
 
-        :param number: its number.
-        :param for_seconds: how long.
+        :param number: the instance's number.
+        :param for_seconds: the duration.
         """
         process = self.instances[number].process
         process.send_signal(signal.SIGSTOP)
@@ -320,10 +323,10 @@
     async def set_faults(
         self, faults: dict[str, float | bool | int], zone: str = ''
     ) -> None:
-        """Set the platform's switches.
+        """Set faults of the platform stand-in.
 
-        :param faults: the changed switches.
-        :param zone: the zone that sees them; empty for all.
+        :param faults: the fault settings to change.
+        :param zone: the affected zone; empty for all zones.
         """
         zone_path = f'/via/{zone}' if zone else ''
         await self._put(f'{self._platform_url}{zone_path}/faults', faults)
@@ -331,7 +334,7 @@
     async def set_behaviour(
         self, upstream: str, behaviour: dict[str, Any]
     ) -> None:
-        """Change how an upstream behaves."""
+        """Change the behaviour of an upstream stand-in."""
         await self._put(
             f'{self._upstreams_url}/behaviour/{upstream}', behaviour
         )
@@ -339,11 +342,11 @@
     async def start_upstream(
         self, service: str, upstream: str
     ) -> standin.UpstreamRecord:
-        """Start one more upstream.
+        """Start an additional upstream.
 
-        :param service: its service.
+        :param service: the upstream's service.
         :param upstream: its name.
-        :returns: where it listens.
+        :returns: its record, with its addresses.
         """
         shape = self._scenario.services[service]
         settings = standin.UpstreamSettings(
@@ -354,7 +357,7 @@
         return msgspec.json.decode(body, type=standin.UpstreamRecord)
 
     async def kill_upstream(self, service: str, upstream: str) -> None:
-        """Let an upstream die unannounced."""
+        """Stop an upstream without a drain."""
         self.steady[service].remove(upstream)
         url = f'{self._upstreams_url}/upstreams/{service}/{upstream}'
         async with self._session.delete(url) as response:
@@ -389,26 +392,26 @@
             )
 
     async def start_traffic(self) -> None:
-        """Let the caller begin."""
+        """Start the traffic of the caller."""
         await self._put(f'{self._caller_url}/start', {})
 
     async def finish_traffic(self) -> _result.CallerResults:
-        """Let the caller end.
+        """Stop the traffic of the caller.
 
-        :returns: what it saw.
+        :returns: the results.
         """
         body = await self._put(f'{self._caller_url}/finish', {})
         return msgspec.json.decode(body, type=_result.CallerResults)
 
     async def read_platform_counts(self) -> dict[str, int]:
-        """Ask the platform how often it was called."""
+        """Return the platform's call counts."""
         async with self._session.get(
             f'{self._platform_url}/counts'
         ) as response:
             return await response.json()
 
     async def read_status(self, instance: Instance) -> dict[str, Any]:
-        """Ask an instance what it says of itself."""
+        """Return the status that an instance reports."""
         address = endpoint.Endpoint(instance.host, instance.admin_port)
         async with self._session.get(f'http://{address}/status') as response:
             return await response.json()
--- a/skylarkfold/load/_fabric.py
+++ b/skylarkfold/load/_fabric.py
@@ -1,4 +1,4 @@
-"""The fabric: it hands any packet to any instance."""
+"""Stand-in for the network that spreads packets over all instances."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Fabric:
-    """Chooses an instance's host at random.
+    """Random choice of an instance for each packet or request.
 
-    :param seed: of the choices.
-    :param targets: the instances' hosts.
+    :param seed: the seed of the random choices.
+    :param targets: the hosts of the instances.
     """
 
     def __init__(self, seed: int, targets: list[str]) -> None:
@@ -17,10 +17,10 @@
         self._random = random.Random(seed)
 
     def choose(self, other_than: str = '') -> str:
-        """Choose an instance.
+        """Choose an instance at random.
 
-        :param other_than: a host to avoid where there is another.
-        :returns: a host.
+        :param other_than: a host to avoid if there is another one.
+        :returns: the host of the chosen instance.
         """
         targets = [each for each in self.targets if each != other_than]
         return self._random.choice(targets or self.targets)
--- a/skylarkfold/load/_flow_caller.py
+++ b/skylarkfold/load/_flow_caller.py
@@ -1,4 +1,4 @@
-"""Callers that hold flows of datagrams."""
+"""Caller that holds datagram flows."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 
 class Flow(asyncio.DatagramProtocol):
-    """One flow: a socket of its own whose packets go to any instance.
+    """Datagram flow with its own socket, whose packets go to any instance.
 
-    :param number: its number with this caller.
-    :param traffic: the traffic that it belongs to.
-    :param latency: where its latencies are recorded.
+    :param number: the flow's number within its caller.
+    :param traffic: the traffic that the flow belongs to.
+    :param latency: the recorder of its latencies.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Learn the flow's own address."""
+        """Record the flow's local address."""
         self.transport = transport
         host, port = transport.get_extra_info('sockname')
         self.result.caller = f'{host}:{port}'
@@ -50,7 +50,7 @@
     def send(self, target: tuple[str, int]) -> None:
         """Send the next datagram.
 
-        :param target: an instance's host and the service's port.
+        :param target: the host of an instance and the port of the service.
         """
         now = time.monotonic()
         self.result.sent += 1
@@ -64,7 +64,7 @@
         self.transport.sendto(_encoder.encode(probe), target)
 
     def datagram_received(self, data: bytes, sender: tuple) -> None:
-        """Check whether an answer is this flow's own."""
+        """Record a reply, as misdelivered if it is not for this flow."""
         now = time.monotonic()
         try:
             reply = _reply_decoder.decode(data)
@@ -97,14 +97,14 @@
             self._latency.record(self._traffic.name, now - sent)
 
     def error_received(self, error: OSError) -> None:
-        """Pass over that an instance's port was closed."""
+        """Ignore ICMP errors of instances whose port is closed."""
 
 
 class FlowCaller:
-    """Holds the flows of one kind of traffic.
+    """Holder of the datagram flows of one traffic entry.
 
-    :param traffic: what to make.
-    :param path: where they come from and go to.
+    :param traffic: the traffic to generate.
+    :param path: the network path of the flows.
     """
 
     def __init__(
@@ -116,7 +116,7 @@
         self.results: list[_result.FlowResult] = []
 
     async def run(self) -> None:
-        """Hold the flows until cancelled."""
+        """Open the flows and hold them until cancelled."""
         await asyncio.sleep(self._traffic.start_seconds)
         pause = self._traffic.ramp_seconds / max(1, self._traffic.flows)
         async with asyncio.TaskGroup() as group:
--- a/skylarkfold/load/_latency.py
+++ b/skylarkfold/load/_latency.py
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LatencySummary:
-    """Percentiles of one kind of traffic, in milliseconds."""
+    """Latency percentiles of one traffic entry, in milliseconds."""
 
     count: int
     p50_ms: float
@@ -25,7 +25,7 @@
 
 
 class LatencyRecorder:
-    """A histogram for each kind of traffic."""
+    """Recorder with a latency histogram for each traffic entry."""
 
     def __init__(self) -> None:
         self._histograms: dict[str, histogram.HdrHistogram] = {}
@@ -50,7 +50,7 @@
         )
 
     def encode(self) -> dict[str, str]:
-        """Encode all histograms, by traffic name."""
+        """Return all histograms in encoded form, by traffic name."""
         return {
             name: each.encode().decode()
             for name, each in self._histograms.items()
@@ -60,8 +60,8 @@
 def summarize(encoded: list[str]) -> LatencySummary:
     """Summarize the latencies of several callers.
 
-    :param encoded: their encoded histograms of one kind of traffic.
-    :returns: the percentiles of all together.
+    :param encoded: their encoded histograms of one traffic entry.
+    :returns: the percentiles of the combined histogram.
     """
     total = histogram.HdrHistogram.decode(encoded[0])
     for each in encoded[1:]:
--- a/skylarkfold/load/_network_path.py
+++ b/skylarkfold/load/_network_path.py
@@ -1,4 +1,4 @@
-"""The network path from callers to a service."""
+"""Network path from callers to a service."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class NetworkPath:
-    """From an address of callers to one port of every instance.
+    """Path from a caller's address to the service's port on all instances.
 
     :param port: the service's port on every instance.
-    :param host: the address that flows and streams come from.
-    :param fabric: what chooses an instance.
-    :param latency: where latencies are recorded.
+    :param host: the source address of flows and streams.
+    :param fabric: the fabric that chooses an instance.
+    :param latency: the recorder of latencies.
     """
 
     __slots__ = ('fabric', 'host', 'latency', 'port')
--- a/skylarkfold/load/_operator.py
+++ b/skylarkfold/load/_operator.py
@@ -1,4 +1,4 @@
-"""The operators' part: settings changed with the command line."""
+"""Operator that changes settings with the command line."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class Operator:
-    """Changes one team's settings.
+    """Operator of one team's settings.
 
-    :param team: the team.
-    :param url: the platform's.
-    :param folder: where files are kept.
-    :param session: the HTTP client.
+    :param team: the team's name.
+    :param url: the platform's URL.
+    :param folder: the folder for settings files.
+    :param session: the HTTP client session.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         await self._run_command('drain', service, upstream)
 
     async def undrain(self, service: str, upstream: str) -> None:
-        """Put an upstream into service again."""
+        """Return a drained upstream to service."""
         await self._run_command('undrain', service, upstream)
 
     async def _run_command(self, *arguments: str) -> None:
@@ -55,11 +55,10 @@
     async def apply(
         self, settings: dict[str, Any], version: int | None = None
     ) -> None:
-        """Put a team's settings in force.
+        """Apply settings of the team.
 
         :param settings: the settings.
-        :param version: the version that must be in force before; None
-            for any.
+        :param version: the version that must be stored before; None for any.
         """
         path = self._folder / f'{self._team}.json'
         path.write_text(json.dumps(settings, indent=2))
@@ -67,9 +66,9 @@
         await self._run_command('apply', str(path), *condition)
 
     async def change(self, change: Callable[[dict[str, Any]], None]) -> None:
-        """Change the settings that are in force.
+        """Change the stored settings, and retry if another change interferes.
 
-        :param change: changes them in place.
+        :param change: the function that changes the settings in place.
         """
         for attempt in range(APPLY_ATTEMPTS):
             settings, version = await self.read()
@@ -81,7 +80,7 @@
                     raise
 
     async def read(self) -> tuple[dict[str, Any], int]:
-        """Read the settings that are in force, and their version."""
+        """Return the stored settings and their version."""
         url = f'{self._url}/objects/teams/{self._team}/settings'
         async with self._session.get(url) as response:
             stored = await response.json()
--- a/skylarkfold/load/_ports.py
+++ b/skylarkfold/load/_ports.py
@@ -1,4 +1,4 @@
-"""Addresses of the loopback range that nobody uses yet."""
+"""Selection of unused loopback addresses and ports."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def choose_subnet() -> str:
-    """Choose a network of the loopback range for this process.
+    """Choose a /24 network of the loopback range for this process.
 
-    :returns: its first three numbers, for example ``127.23.7``.
+    :returns: its first three octets, for example ``127.23.7``.
     """
     number = os.getpid() + next(_numbers)
     return f'127.{FIRST_SUBNET + number % SUBNETS}.{number // SUBNETS % 250}'
 
 
 def find_port(hosts: Sequence[str]) -> int:
-    """Find a port that is free for datagrams and streams on all hosts.
+    """Find a port that is free for UDP and TCP on all hosts.
 
     :param hosts: the addresses.
     :returns: the port.
--- a/skylarkfold/load/_process.py
+++ b/skylarkfold/load/_process.py
@@ -1,4 +1,4 @@
-"""Child processes that announce when they are ready."""
+"""Child processes that print a line when they are ready."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class ProcessError(Exception):
-    """A child process did not start or failed."""
+    """Failure of a child process."""
 
 
 class Process:
-    """One child process of this interpreter.
+    """Child process that runs the same Python interpreter.
 
-    :param name: what messages call it.
-    :param arguments: the interpreter's arguments.
-    :param log: a file for its standard error.
+    :param name: the name for messages.
+    :param arguments: the arguments of the interpreter.
+    :param log: the file for standard error.
     """
 
     def __init__(
@@ -34,10 +34,10 @@
         self._process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> str:
-        """Start it and wait until it says that it is ready.
+        """Start the process and wait until it is ready.
 
-        :returns: the rest of the line that says so.
-        :raises ProcessError: if it ends or takes too long.
+        :returns: the rest of the line that reports readiness.
+        :raises ProcessError: if the process exits or is not ready in time.
         """
         with self._log.open('ab') as errors:
             self._process = await asyncio.create_subprocess_exec(
@@ -65,28 +65,28 @@
 
     @property
     def pid(self) -> int:
-        """Its process number."""
+        """Process ID."""
         return self._process.pid
 
     @property
     def is_running(self) -> bool:
-        """Tell whether it was started and did not end."""
+        """Whether the process was started and has not exited."""
         return self._process is not None and self._process.returncode is None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send it a signal; nothing happens if it has ended."""
+        """Send a signal to the process if it is running."""
         if self.is_running:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for its end.
+        """Wait until the process exits.
 
         :returns: its exit status.
         """
         return await self._process.wait()
 
     async def stop(self) -> None:
-        """Ask it to end, and kill it if it does not in time."""
+        """Terminate the process, and kill it if it does not exit in time."""
         if not self.is_running:
             return
         self.send_signal(signal.SIGCONT)
@@ -102,11 +102,12 @@
 async def run_command(
     arguments: list[str], timeout_seconds: float = START_TIMEOUT_SECONDS
 ) -> tuple[int, str]:
-    """Run a command of this interpreter to its end.
+    """Run the same Python interpreter with arguments until it exits.
 
-    :param arguments: the interpreter's arguments.
-    :param timeout_seconds: when to kill it.
-    :returns: its exit status, and what it wrote.
+    :param arguments: the arguments of the interpreter.
+    :param timeout_seconds: the time after which it is killed.
+    :returns: the exit status and the output.
+    :raises ProcessError: if it does not exit in time.
     """
     process = await asyncio.create_subprocess_exec(
         sys.executable,
--- a/skylarkfold/load/_promises.py
+++ b/skylarkfold/load/_promises.py
@@ -1,6 +1,7 @@
-"""Checks the promises against what callers and upstreams saw.
+"""Checks of the load balancer's promises to callers.
 
-Nothing here comes from what entry instances say of themselves.
+The checks use only what callers and upstreams observed, not what entry
+instances report.
 """
 
 from __future__ import annotations
@@ -21,12 +22,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drain:
-    """An upstream that operators took out of service.
+    """Drain of an upstream.
 
-    :param service: its service.
-    :param upstream: its name.
-    :param time: when the operator's command had ended, in seconds.
-    :param undrained: when it was put into service again, None for never.
+    :param service: the upstream's service.
+    :param upstream: the upstream's name.
+    :param time: the time in seconds at which the drain command returned.
+    :param undrained: the time in seconds at which the upstream returned to
+        service; None if it did not.
     """
 
     service: str
@@ -37,13 +39,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evidence:
-    """All that the promises are judged by.
+    """Observations of a run that the promises are checked against.
 
-    :param results: what the callers saw.
-    :param records: what the upstreams did, by name.
-    :param drains: the upstreams that were drained.
-    :param steady: by service, the upstreams that took new work all the
-        time.
+    :param results: the results of the callers.
+    :param records: the records of the upstreams, by name.
+    :param drains: the drains of upstreams.
+    :param steady: by service, the upstreams that accepted new work throughout
+        the run.
     :param stopped: hosts of instances that were stopped or killed.
     """
 
@@ -57,7 +59,7 @@
 
     @property
     def dead(self) -> set[str]:
-        """The upstreams that died during the run."""
+        """Names of the upstreams that stopped during the run."""
         return {
             name
             for name, record in self.records.items()
@@ -67,31 +69,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promises:
-    """How often each promise was broken, and the load's evenness.
+    """Counts of broken promises and of traffic.
 
-    :param flows: flows of datagrams.
-    :param broken_flows: flows that reached two live upstreams or fell
-        silent.
-    :param moved_flows: flows that left an upstream when it died.
+    :param flows: datagram flows.
+    :param broken_flows: flows that reached two live upstreams or stopped
+        receiving replies.
+    :param moved_flows: flows that moved to another upstream because theirs
+        stopped.
     :param requests: requests.
-    :param wrong_answers: answers that were not the whole answer to the
-        caller's own request.
-    :param duplicate_runs: runs beyond the first of requests that may not
-        be repeated.
-    :param false_not_run: refusals as not run of requests that ran.
-    :param misdelivered: packets that another service or flow got.
-    :param late_new_work: flows, streams and requests that a drained
-        upstream got too late after its drain.
-    :param imbalance: by service, peak over mean of flows per upstream
-        that took new work all the time.
-    :param unanswered: requests that ended without answer or verdict.
+    :param wrong_answers: answers that were incomplete or belonged to another
+        request.
+    :param duplicate_runs: repeated runs of requests that may run only once.
+    :param false_not_run: requests that ran but were rejected as not run.
+    :param misdelivered: packets delivered to another service or flow.
+    :param late_new_work: flows, streams and requests that an upstream received
+        after its drain had taken effect.
+    :param imbalance: by service, the ratio of maximum to mean flows per
+        upstream, over upstreams that accepted new work throughout.
+    :param unanswered: requests that ended without a verdict.
     :param streams: TCP streams.
-    :param broken_streams: TCP streams that ended early.
-    :param cut_streams: TCP streams whose instance or upstream ended: the
-        stream lives in their kernel and ends with them.
-    :param ran: requests that were answered whole.
-    :param not_run: requests refused in the end as not run.
-    :param may_have_run: requests whose end nobody knows.
+    :param broken_streams: TCP streams that ended early although their instance
+        and upstream were running.
+    :param cut_streams: TCP streams that ended with their instance or upstream,
+        whose kernel holds the connection.
+    :param ran: requests with a complete answer.
+    :param not_run: requests whose final verdict is not run.
+    :param may_have_run: requests whose final verdict is may have run.
     """
 
     flows: int
@@ -114,7 +117,7 @@
 
     @property
     def hold(self) -> bool:
-        """Tell whether all promises held."""
+        """Whether all promises held."""
         broken = (
             self.broken_flows,
             self.wrong_answers,
@@ -129,9 +132,9 @@
 
 
 def judge(evidence: Evidence) -> Promises:
-    """Count the broken promises.
+    """Count the broken promises of a run.
 
-    :param evidence: what callers and upstreams saw.
+    :param evidence: the observations of the run.
     :returns: the counts.
     """
     results = evidence.results
@@ -160,9 +163,9 @@
 
 
 def list_broken_flows(evidence: Evidence) -> list[_result.FlowResult]:
-    """List the flows that reached two live upstreams or fell silent.
+    """List the flows that reached two live upstreams or get no replies.
 
-    :param evidence: what callers and upstreams saw.
+    :param evidence: the observations of the run.
     :returns: the flows.
     """
     reached = _map_upstreams_by_flow(evidence)
@@ -189,9 +192,9 @@
 
 
 def list_broken_streams(evidence: Evidence) -> list[_result.StreamResult]:
-    """List the streams that ended early though both ends lived.
+    """List the streams that ended early although both ends were running.
 
-    :param evidence: what callers and upstreams saw.
+    :param evidence: the observations of the run.
     :returns: the streams.
     """
     return [
@@ -202,7 +205,7 @@
 
 
 def _map_upstreams_by_flow(evidence: Evidence) -> dict[str, set[str]]:
-    """Map each flow's address to all upstreams that it reached."""
+    """Return the names of the reached upstreams by flow address."""
     reached = collections.defaultdict(set)
     for flow in evidence.results.flows:
         reached[flow.caller].update(flow.upstreams)
@@ -233,7 +236,7 @@
 
 
 def _map_runs(records: Records) -> dict[str, list[float]]:
-    """Map each request key to when its runs began, on any upstream."""
+    """Return the start times of all runs by request key."""
     runs = collections.defaultdict(list)
     for record in records.values():
         for key, times in record.runs.items():
@@ -242,9 +245,9 @@
 
 
 def count_duplicate_runs(evidence: Evidence) -> int:
-    """Count the runs beyond the first of what may not be repeated.
+    """Count the repeated runs of requests that may run only once.
 
-    :param evidence: what callers and upstreams saw.
+    :param evidence: the observations of the run.
     :returns: the number of such runs.
     """
     runs = _map_runs(evidence.records)
@@ -259,13 +262,13 @@
 def list_false_refusals(
     evidence: Evidence,
 ) -> list[_result.AttemptResult]:
-    """List the refusals as not run of requests that did run.
+    """List the attempts that were rejected as not run but did run.
 
-    A request that a caller sends again after a refusal may run then; any
-    run before that makes the refusal false.
+    A run after the caller has retried the request does not count: the retry
+    may have caused it.
 
-    :param evidence: what callers and upstreams saw.
-    :returns: the attempts that were refused falsely.
+    :param evidence: the observations of the run.
+    :returns: the attempts.
     """
     runs = _map_runs(evidence.records)
     return [
@@ -302,10 +305,10 @@
 
 
 def list_late_work(evidence: Evidence) -> list[str]:
-    """List the new work that drained upstreams got too late.
+    """List the work that upstreams received after their drain took effect.
 
-    :param evidence: what callers and upstreams saw.
-    :returns: the keys of requests and the callers of flows and streams.
+    :param evidence: the observations of the run.
+    :returns: keys of requests and caller addresses of flows and streams.
     """
     return [
         subject
@@ -348,10 +351,10 @@
 
 
 def describe(evidence: Evidence) -> Iterator[str]:
-    """Describe broken promises, a few of each kind.
+    """Describe broken promises, at most a few of each kind.
 
-    :param evidence: what callers and upstreams saw.
-    :returns: lines for a person.
+    :param evidence: the observations of the run.
+    :returns: lines of text.
     """
     reached = _map_upstreams_by_flow(evidence)
     for flow in list_broken_flows(evidence)[:MAXIMUM_DESCRIBED]:
--- a/skylarkfold/load/_request_caller.py
+++ b/skylarkfold/load/_request_caller.py
@@ -1,4 +1,4 @@
-"""Callers that make one-off requests."""
+"""Caller that sends independent requests."""
 
 from __future__ import annotations
 
@@ -35,10 +35,11 @@
 
 
 class _RequestContent:
-    """A request's content, alike for all its attempts but for the token.
+    """Content of a request, the same for all attempts except for the token.
 
-    A request that may not be repeated keeps its key. Each attempt of any
-    other has a token of its own, so that its runs can be told apart.
+    All attempts of a request that may run only once have the same key. Each
+    attempt of a repeatable request has its own token, so that its runs can
+    be distinguished.
     """
 
     def __init__(self, traffic: _traffic.Requests, number: int) -> None:
@@ -48,11 +49,11 @@
 
     @property
     def method(self) -> str:
-        """The HTTP method."""
+        """HTTP method."""
         return 'GET' if self._traffic.repeatable else 'POST'
 
     def build_target(self, attempt: int) -> str:
-        """Make the path and query of one attempt."""
+        """Return the path and query of an attempt."""
         target = f'/{self._traffic.service}'
         token = f'{self._name}.{attempt}' if self._traffic.repeatable else ''
         target += f'?{TOKEN_PARAMETER}={token}'
@@ -61,13 +62,13 @@
         return target
 
     def get_key(self, attempt: int) -> str:
-        """Tell by what key an upstream counts one attempt."""
+        """Return the key under which upstreams count an attempt."""
         if self._traffic.repeatable:
             return self.build_target(attempt)
         return self._name
 
     def build_headers(self) -> dict[str, str]:
-        """Make the headers of an attempt."""
+        """Return the headers of an attempt."""
         timeout_ms = int(self._traffic.timeout_seconds * 1000)
         headers = {
             request_module.DEADLINE_HEADER: str(timeout_ms),
@@ -80,13 +81,13 @@
 
 
 class RequestCaller:
-    """Makes the requests of one kind of traffic.
+    """Sender of the requests of one traffic entry.
 
-    :param traffic: what to make.
+    :param traffic: the traffic to generate.
     :param port: the service's HTTP port on every instance.
-    :param fabric: what chooses an instance for each attempt.
-    :param latency: where latencies are recorded.
-    :param session: the HTTP client.
+    :param fabric: the fabric that chooses an instance for each attempt.
+    :param latency: the recorder of latencies.
+    :param session: the HTTP client session.
     """
 
     def __init__(
@@ -106,7 +107,7 @@
         self.results: list[_result.RequestResult] = []
 
     async def run(self) -> None:
-        """Begin requests at the traffic's rate until cancelled."""
+        """Start requests at the traffic's rate until cancelled."""
         await asyncio.sleep(self._traffic.start_seconds)
         next_start = time.monotonic()
         number = 0
@@ -122,7 +123,7 @@
         task.add_done_callback(self._open_tasks.discard)
 
     async def finish(self) -> None:
-        """Wait for the requests that are still open."""
+        """Wait for all open requests to end."""
         await asyncio.gather(*self._open_tasks)
 
     async def _send_with_retries(self, number: int) -> None:
--- a/skylarkfold/load/_result.py
+++ b/skylarkfold/load/_result.py
@@ -1,7 +1,6 @@
-"""What a caller process saw.
+"""Results of a caller process.
 
-Times are of the monotonic clock, which all processes of one machine
-share.
+Times are from the monotonic clock, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -11,12 +10,11 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """What a caller learned from sending a request once.
+    """Outcome of one attempt to send a request.
 
-    ``UNSENT``: no connection could be made. ``NO_ANSWER``: the connection
-    broke or no answer came. ``WRONG``: an answer that was not the whole
-    answer to this request. ``UNKNOWN_VERDICT``: an answer that says
-    neither.
+    ``UNSENT``: the connection failed. ``NO_ANSWER``: the connection broke or
+    no answer arrived in time. ``WRONG``: the answer was incomplete or belonged
+    to another request. ``UNKNOWN_VERDICT``: the response had no valid verdict.
     """
 
     RAN = 'ran'
@@ -29,7 +27,7 @@
 
     @property
     def is_verdict(self) -> bool:
-        """Tell whether it leaves the caller knowing where it stands."""
+        """Whether the load balancer reported a verdict and a valid answer."""
         return self in (
             AttemptOutcome.RAN,
             AttemptOutcome.NOT_RUN,
@@ -39,14 +37,14 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptResult:
-    """One sending of a request.
-
-    :param key: by which upstreams count it.
-    :param target: the instance's host.
-    :param sent: when, in seconds.
-    :param ended: when its outcome was known, in seconds.
-    :param outcome: what the caller learned.
-    :param code: the refusal's code, empty where there is none.
+    """One attempt to send a request.
+
+    :param key: the key under which upstreams count the attempt.
+    :param target: the host of the instance.
+    :param sent: the time of sending, in seconds.
+    :param ended: the time at which the outcome was known, in seconds.
+    :param outcome: the outcome.
+    :param code: the code of the rejection; empty if there is none.
     """
 
     key: str
@@ -59,7 +57,7 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestResult:
-    """One request with all its attempts."""
+    """Request with all its attempts."""
 
     traffic: str
     service: str
@@ -68,22 +66,22 @@
 
     @property
     def outcome(self) -> AttemptOutcome:
-        """What the caller knows in the end."""
+        """Outcome of the last attempt."""
         return self.attempts[-1].outcome
 
 
 @dataclasses.dataclass(slots=True)
 class FlowResult:
-    """One flow of datagrams.
-
-    :param caller: its address.
-    :param sent: datagrams sent.
-    :param answered: datagrams answered.
-    :param upstreams: answers by the upstream that sent them.
-    :param misdelivered: answers of another service or to another flow.
-    :param first_sent: when its first datagram was sent, in seconds.
-    :param last_sent: when its last datagram was sent, in seconds.
-    :param last_answered: when its last answer came, in seconds.
+    """Datagram flow.
+
+    :param caller: the flow's local address.
+    :param sent: the number of datagrams sent.
+    :param answered: the number of datagrams answered.
+    :param upstreams: the number of replies by upstream.
+    :param misdelivered: the number of replies for another service or flow.
+    :param first_sent: the time of the first datagram, in seconds.
+    :param last_sent: the time of the last datagram, in seconds.
+    :param last_answered: the time of the last reply, in seconds.
     """
 
     traffic: str
@@ -100,12 +98,12 @@
 
 @dataclasses.dataclass(slots=True)
 class StreamResult:
-    """One TCP stream.
+    """TCP stream.
 
-    :param target: the instance's host.
-    :param upstream: the upstream's name, empty where none greeted.
-    :param broken: why it ended early, empty where it did not.
-    :param broken_at: when, in seconds.
+    :param target: the host of the instance.
+    :param upstream: the upstream's name; empty if no greeting arrived.
+    :param broken: the error that ended the stream early; empty if none did.
+    :param broken_at: the time of that error, in seconds.
     """
 
     traffic: str
@@ -119,10 +117,11 @@
 
 @dataclasses.dataclass(slots=True)
 class CallerResults:
-    """All that a caller process saw.
+    """All results of a caller process.
 
-    :param latencies: by traffic name, an encoded HdrHistogram of
-        microseconds from a datagram or the first attempt to its answer.
+    :param latencies: by traffic name, an encoded HdrHistogram of latencies
+        in microseconds, from sending a datagram or the first attempt of a
+        request to the reply.
     """
 
     flows: list[FlowResult] = dataclasses.field(default_factory=list)
--- a/skylarkfold/load/_run.py
+++ b/skylarkfold/load/_run.py
@@ -1,4 +1,4 @@
-"""Running a scenario to its judgement."""
+"""Runs of a scenario, with the checks of its results."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of a scenario.
-
-    :param scenario: its name.
-    :param promises: how often each promise was broken.
-    :param latencies: by traffic name.
-    :param failures: actions that could not be carried out.
-    :param details: lines about each broken promise, at most a few.
-    :param platform_calls: what the platform counted.
-    :param seconds: how long the whole run took.
+    """Result of a scenario's run.
+
+    :param scenario: the scenario's name.
+    :param promises: counts of broken promises.
+    :param latencies: latency summaries by traffic name.
+    :param failures: messages of the actions that failed.
+    :param details: descriptions of some of the broken promises.
+    :param platform_calls: the platform's call counts.
+    :param seconds: the duration of the whole run.
     """
 
     scenario: str
@@ -44,7 +44,7 @@
 
     @property
     def passed(self) -> bool:
-        """Tell whether all promises held and all actions were done."""
+        """Whether all promises held and no action failed."""
         return self.promises.hold and not self.failures
 
 
@@ -53,12 +53,12 @@
     folder: pathlib.Path,
     report: Callable[[str], None],
 ) -> RunResult:
-    """Run a scenario with processes of its own.
+    """Run a scenario in a deployment of its own.
 
-    :param scenario: what to run.
-    :param folder: where settings and logs are kept.
-    :param report: takes lines about the progress.
-    :returns: what came of it.
+    :param scenario: the scenario to run.
+    :param folder: the folder for settings and logs.
+    :param report: the function that is called with progress lines.
+    :returns: the result.
     :raises ProcessError: if a process can't be started.
     """
     started = time.monotonic()
--- a/skylarkfold/load/_scenario.py
+++ b/skylarkfold/load/_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: a deployment, its traffic and what happens to it."""
+"""Scenarios: a deployment with its traffic, actions and faults."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 class ServiceShape(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """A service and its upstreams.
+    """Service and its upstreams.
 
-    :param upstreams: how many it has at first.
-    :param slots: requests that each runs at the same time.
-    :param connections: flows that each holds at the same time.
+    :param upstreams: the initial number of upstreams.
+    :param slots: the number of concurrent requests per upstream.
+    :param connections: the number of concurrent flows per upstream.
     :param preference: ``continuity`` or ``balance``.
-    :param flow_idle_seconds: after which a flow counts as ended.
-    :param is_marked: whether the service is told how the datagram that
-        begins a flow starts.
-    :param behaviour: how the upstreams behave.
+    :param flow_idle_seconds: the idle time after which a flow has ended.
+    :param is_marked: whether the service's settings contain the prefix of the
+        first datagram of a flow.
+    :param behaviour: the behaviour of the upstreams.
     """
 
     upstreams: int
@@ -45,30 +45,30 @@
 
     @property
     def first_datagram(self) -> str:
-        """The mark as settings have it, in hexadecimal digits."""
+        """Prefix of a flow's first datagram in hexadecimal; empty for none."""
         return standin.FIRST_DATAGRAM.hex() if self.is_marked else ''
 
 
 class Scenario(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """All that a run of the load tool is told.
+    """Input of a run of the load tool.
 
-    :param name: what reports call it.
+    :param name: the name in reports.
     :param region: the region's name.
     :param zones: the availability zones; instances and upstreams are
-        spread over them in turn.
-    :param instances: how many entry instances.
-    :param team: the team whose subtree holds the services.
-    :param services: by name.
-    :param traffic: what callers do.
-    :param actions: what operators do and what fails, and when.
-    :param faults: further actions by name, of which a run adds the ones
-        that it is asked for.
-    :param duration_seconds: how long the traffic lasts.
-    :param settle_seconds: from the traffic's end to the judging.
-    :param seed: of all random choices.
-    :param entry: further settings of every entry instance.
+        assigned to them round-robin.
+    :param instances: the number of entry instances.
+    :param team: the team that owns the services.
+    :param services: the services by name.
+    :param traffic: the traffic that callers generate.
+    :param actions: the operations and faults of every run.
+    :param faults: optional actions by name; a run adds those that are
+        selected.
+    :param duration_seconds: the duration of the traffic.
+    :param settle_seconds: the time from the end of the traffic to the checks.
+    :param seed: the seed of all random choices.
+    :param entry: additional settings of every entry instance.
     """
 
     name: str
@@ -89,10 +89,10 @@
 def read_scenario(path: str) -> Scenario:
     """Read a scenario from a file in JSON with comments.
 
-    :param path: the file.
+    :param path: the path of the file.
     :returns: the scenario.
-    :raises SettingsError: if it can't be read, is invalid or asks for
-        more than the bounds of the load tool.
+    :raises SettingsError: if the file can't be read, is invalid or exceeds
+        the limits of the load tool.
     """
     try:
         fields = json5.loads(pathlib.Path(path).read_text())
@@ -104,18 +104,18 @@
 
 
 def add_faults(scenario: Scenario, names: tuple[str, ...]) -> Scenario:
-    """Add faults to what happens in a scenario.
+    """Add named faults to the actions of a scenario.
 
     :param scenario: the scenario.
-    :param names: which of its faults.
-    :returns: the changed scenario, named after them.
-    :raises SettingsError: if it has no such fault.
+    :param names: the names of the faults to add.
+    :returns: the changed scenario, with the faults in its name.
+    :raises SettingsError: if the scenario has no such fault.
     """
     actions = list(scenario.actions)
     for name in names:
         if name not in scenario.faults:
             known = ', '.join(sorted(scenario.faults)) or 'none'
-            reason = f'no fault {name!r}; there are {known}'
+            reason = f'unknown fault {name!r}; known faults: {known}'
             raise errors.SettingsError(reason, scenario.name, '$.faults')
         actions += scenario.faults[name]
     return msgspec.structs.replace(
@@ -124,7 +124,7 @@
 
 
 def list_combinations(scenario: Scenario) -> list[tuple[str, ...]]:
-    """List no fault, each alone, and all pairs."""
+    """List all combinations of at most two faults."""
     names = sorted(scenario.faults)
     return [
         combination
@@ -134,11 +134,11 @@
 
 
 def check_limits(scenario: Scenario, source: str) -> None:
-    """Refuse a scenario that asks for too much or names what is not there.
+    """Check a scenario's limits and the services of its traffic.
 
     :param scenario: the scenario.
-    :param source: where it comes from, for messages.
-    :raises SettingsError: if it is out of bounds.
+    :param source: the source of the scenario, for messages.
+    :raises SettingsError: if a limit is exceeded or a service is unknown.
     """
     checks = (
         (scenario.duration_seconds, MAXIMUM_SECONDS, 'duration_seconds'),
@@ -148,12 +148,12 @@
     )
     for value, limit, field in checks:
         if value > limit:
-            reason = f'{value:g} is over the bound of {limit:g}'
+            reason = f'{value:g} exceeds the limit of {limit:g}'
             raise errors.SettingsError(reason, source, f'$.{field}')
     for index, traffic in enumerate(scenario.traffic):
         if traffic.service not in scenario.services:
             path = f'$.traffic[{index}].service'
-            reason = f'no service {traffic.service}'
+            reason = f'unknown service {traffic.service}'
             raise errors.SettingsError(reason, source, path)
 
 
--- a/skylarkfold/load/_stream_caller.py
+++ b/skylarkfold/load/_stream_caller.py
@@ -1,4 +1,4 @@
-"""Callers that hold TCP streams."""
+"""Caller that holds TCP streams."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class StreamCaller:
-    """Holds the streams of one kind of traffic.
+    """Holder of the TCP streams of one traffic entry.
 
-    :param traffic: what to make.
-    :param path: where they come from and go to.
+    :param traffic: the traffic to generate.
+    :param path: the network path of the streams.
     """
 
     def __init__(
@@ -27,7 +27,7 @@
         self.results: list[_result.StreamResult] = []
 
     async def run(self) -> None:
-        """Hold the streams until cancelled."""
+        """Open the streams and hold them until cancelled."""
         await asyncio.sleep(self._traffic.start_seconds)
         async with asyncio.TaskGroup() as group:
             for _ in range(self._traffic.streams):
@@ -78,7 +78,7 @@
         sent = time.monotonic()
         line = f'{id(result)} {result.messages}\n'.encode()
         if writer.is_closing():
-            # uvloop's write would end in an error that is no OSError.
+            # On a closed stream uvloop raises an error that is no OSError.
             raise ConnectionResetError('closed by the other side')
         writer.write(line)
         await writer.drain()
--- a/skylarkfold/load/_table.py
+++ b/skylarkfold/load/_table.py
@@ -1,4 +1,4 @@
-"""What came of a run, as a table for people."""
+"""Result of a run as a text table."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 def format_table(result: _run.RunResult) -> Iterator[str]:
-    """Format what came of a run.
+    """Format the result of a run.
 
-    :param result: the run's result.
-    :returns: lines.
+    :param result: the result.
+    :returns: the lines of the table.
     """
     counts = dataclasses.asdict(result.promises)
     for field, meaning in _ROWS:
--- a/skylarkfold/load/_traffic.py
+++ b/skylarkfold/load/_traffic.py
@@ -1,4 +1,4 @@
-"""The kinds of traffic that callers make."""
+"""Traffic that callers generate, and the plan of a caller process."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     forbid_unknown_fields=True,
     tag_field='kind',
 ):
-    """Traffic of one kind to one service.
+    """Traffic entry of a scenario, for one service.
 
-    :param name: what reports call it.
+    :param name: the name in reports.
     :param service: the service's name.
-    :param start_seconds: when it begins, after the run's beginning.
+    :param start_seconds: the delay after the start of all traffic.
     """
 
     name: str
@@ -25,13 +25,13 @@
 
 
 class Datagrams(Traffic, tag='datagrams', frozen=True, kw_only=True):
-    """Flows of datagrams that are held for the whole run.
+    """Datagram flows that are held for the whole run.
 
-    :param flows: how many.
-    :param interval_seconds: between two datagrams of a flow.
-    :param ramp_seconds: the flows begin spread over this time.
-    :param lifetime_seconds: after which a flow ends and a new one begins
-        in its place; 0 for never.
+    :param flows: the number of concurrent flows.
+    :param interval_seconds: the interval between datagrams of a flow.
+    :param ramp_seconds: the time over which the flows are started.
+    :param lifetime_seconds: the time after which a flow is replaced by a new
+        one; 0 for never.
     """
 
     flows: int
@@ -43,8 +43,8 @@
 class Streams(Traffic, tag='streams', frozen=True, kw_only=True):
     """TCP streams that are held for the whole run.
 
-    :param streams: how many.
-    :param interval_seconds: between two messages on a stream.
+    :param streams: the number of streams.
+    :param interval_seconds: the pause between messages on a stream.
     """
 
     streams: int
@@ -52,16 +52,17 @@
 
 
 class Requests(Traffic, tag='requests', frozen=True, kw_only=True):
-    """One-off requests.
-
-    :param rate_per_second: how many begin, whatever became of the last.
-    :param repeatable: whether one may run twice; else it has a key, and
-        is sent again under it only.
-    :param timeout_seconds: a caller's deadline for one attempt.
-    :param attempts: how often a caller sends a request at most.
-    :param urgency: of RFC 9218, 0 for the most urgent to 7.
-    :param body_bytes: the body's size.
-    :param answer_bytes: how much an answer is filled up.
+    """Independent requests at a constant rate.
+
+    :param rate_per_second: the rate at which requests start, regardless of
+        open requests.
+    :param repeatable: whether a request may run more than once; otherwise all
+        its attempts have the same key.
+    :param timeout_seconds: the deadline of an attempt.
+    :param attempts: the maximum number of attempts of a request.
+    :param urgency: the urgency of RFC 9218, from 0 (most urgent) to 7.
+    :param body_bytes: the size of the body.
+    :param answer_bytes: the size of the padding in the answer.
     """
 
     rate_per_second: float
@@ -77,10 +78,10 @@
 
 
 class ServicePorts(msgspec.Struct, frozen=True):
-    """Where callers reach a service, on every instance's host.
+    """Ports of a service on every instance.
 
-    :param port: for datagrams and streams.
-    :param request_port: for requests.
+    :param port: the port for datagrams and streams.
+    :param request_port: the port for requests.
     """
 
     port: int
@@ -88,13 +89,13 @@
 
 
 class CallerPlan(msgspec.Struct, frozen=True):
-    """All that a caller process is told.
+    """Input of a caller process.
 
-    :param seed: of its random choices.
-    :param host: the address that its flows come from.
-    :param services: by name.
-    :param targets: the instances' hosts.
-    :param traffic: what to make.
+    :param seed: the seed of its random choices.
+    :param host: the source address of flows and streams.
+    :param services: the ports of the services, by name.
+    :param targets: the hosts of the instances.
+    :param traffic: the traffic to generate.
     """
 
     seed: int
--- a/skylarkfold/load/caller.py
+++ b/skylarkfold/load/caller.py
@@ -1,4 +1,4 @@
-"""Runs a caller process: ``python -m skylarkfold.load.caller PLAN``."""
+"""Entry point of ``python -m skylarkfold.load.caller PLAN``."""
 
 import sys
 
--- a/skylarkfold/soak/_plan.py
+++ b/skylarkfold/soak/_plan.py
@@ -4,7 +4,7 @@
 
 import random
 
-# Faults; the other steps are planned operations.
+# Unplanned faults; they suspend invariants while they last and shortly after.
 UNPLANNED = (
     'kill',
     'freeze',
--- a/skylarkfold/tests/load/_forwarder.py
+++ b/skylarkfold/tests/load/_forwarder.py
@@ -1,4 +1,4 @@
-"""A poor balancer for tests of the caller: it may break any promise."""
+"""Simple forwarder that can break promises, for tests of the caller."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class _CallerProtocol(asyncio.DatagramProtocol):
-    """Sends each datagram to the next of some upstreams."""
+    """Protocol that forwards datagrams to upstreams round-robin."""
 
     def __init__(self, addresses):
         self._addresses = addresses
@@ -90,7 +90,7 @@
 
 @contextlib.asynccontextmanager
 async def forward(records, repeats=1):
-    """Forward to upstreams: datagrams to all in turn, requests to one."""
+    """Forward datagrams round-robin and requests to the first upstream."""
     loop = asyncio.get_running_loop()
     addresses = [
         endpoint.parse_endpoint(each.address) for each in records.values()
--- a/skylarkfold/tests/load/test_caller.py
+++ b/skylarkfold/tests/load/test_caller.py
@@ -1,4 +1,4 @@
-"""Tests of the caller against a balancer that breaks promises."""
+"""Tests of the caller against a forwarder that breaks promises."""
 
 import asyncio
 
@@ -49,7 +49,7 @@
 
 class CallerTest(testtools.TestCase):
     @_servers.run_test
-    async def test_a_single_upstream_keeps_all_promises(self):
+    async def test_a_single_upstream_breaks_no_promise(self):
         promises = await _run([ALERTS, SETTINGS, DOWNLOADS])
         self.assertTrue(promises.hold)
         self.assertEqual(3, promises.flows)
@@ -62,14 +62,16 @@
         self.assertEqual(3, promises.broken_flows)
 
     @_servers.run_test
-    async def test_a_balancer_that_repeats_runs_duplicates(self):
-        # After a pause of the machine the caller sends at once what it
-        # has missed: an upstream that shed any of it would run it once.
+    async def test_a_forwarder_that_repeats_requests_causes_duplicate_runs(
+        self,
+    ):
+        # The queue is large, so that no upstream rejects a burst that the
+        # caller sends after a pause of the machine.
         promises = await _run([SETTINGS], repeats=2, queue_limit=1000)
         self.assertEqual(promises.requests, promises.duplicate_runs)
 
     @_servers.run_test
-    async def test_another_services_upstream_is_seen(self):
+    async def test_an_upstream_of_another_service_is_detected(self):
         traffic = [
             load.Datagrams(
                 name='alerts', service='vault', flows=1, interval_seconds=0.01
@@ -83,7 +85,7 @@
         self.assertEqual(promises.requests, promises.wrong_answers)
 
     @_servers.run_test
-    async def test_what_is_shed_is_sent_again(self):
+    async def test_rejected_requests_are_retried(self):
         promises = await _run([SETTINGS], queue_limit=0)
         self.assertTrue(promises.hold)
         self.assertEqual(promises.requests, promises.ran + promises.not_run)
--- a/skylarkfold/tests/load/test_promises.py
+++ b/skylarkfold/tests/load/test_promises.py
@@ -1,4 +1,4 @@
-"""Tests of the judge: each broken promise is seen, and nothing else."""
+"""Tests of the checks: they count exactly the broken promises."""
 
 import dataclasses
 
@@ -49,7 +49,7 @@
 
 
 class FlowTest(testtools.TestCase):
-    def test_a_healthy_flow_is_whole(self):
+    def test_a_healthy_flow_breaks_no_promise(self):
         flow = standin.FlowRecord(1.0, 10.0)
         records = {'desk-1': _make_record(flows={CALLER: flow})}
         promises = _judge_results([_make_flow()], records=records)
@@ -68,7 +68,7 @@
         promises = _judge_results([_make_flow()], records=records)
         self.assertEqual(1, promises.broken_flows)
 
-    def test_a_flow_whose_upstream_died_moved(self):
+    def test_a_flow_whose_upstream_stopped_has_moved(self):
         flow = _make_flow(upstreams={'desk-1': 5, 'desk-2': 5})
         records = {
             'desk-1': _make_record(stopped=5.0),
@@ -127,7 +127,7 @@
         records = {'desk-1': _make_record(runs={'key': times})}
         return _judge_results(requests=[request], records=records)
 
-    def test_one_run_and_its_answer_are_as_promised(self):
+    def test_one_run_with_its_answer_breaks_no_promise(self):
         promises = self._judge_runs([0.2], RAN)
         self.assertTrue(promises.hold)
         self.assertEqual(1, promises.ran)
@@ -146,18 +146,18 @@
         )
         self.assertEqual(1, promises.duplicate_runs)
 
-    def test_what_is_repeatable_may_run_twice(self):
+    def test_repeatable_requests_may_run_twice(self):
         promises = self._judge_runs([0.2, 0.3], RAN, repeatable=True)
         self.assertEqual(0, promises.duplicate_runs)
 
-    def test_a_refusal_after_a_run_is_false(self):
+    def test_a_rejection_after_a_run_is_false(self):
         promises = self._judge_runs([0.2], NO_ANSWER, NOT_RUN)
         self.assertEqual(1, promises.false_not_run)
 
-    def test_a_refusal_before_an_unasked_run_is_false(self):
+    def test_a_rejection_before_a_run_without_a_retry_is_false(self):
         self.assertEqual(1, self._judge_runs([0.8], NOT_RUN).false_not_run)
 
-    def test_a_refusal_before_the_run_of_a_later_attempt_is_true(self):
+    def test_a_rejection_before_the_run_of_a_retry_is_true(self):
         promises = self._judge_runs([1.2], NOT_RUN, RAN)
         self.assertTrue(promises.hold)
 
@@ -166,12 +166,12 @@
         self.assertEqual(1, promises.unanswered)
         self.assertFalse(promises.hold)
 
-    def test_not_knowing_is_a_verdict(self):
+    def test_may_have_run_is_a_verdict(self):
         promises = self._judge_runs([0.2], MAY_HAVE_RUN)
         self.assertTrue(promises.hold)
         self.assertEqual(1, promises.may_have_run)
 
-    def test_a_wrong_answer_is_counted(self):
+    def test_wrong_answers_are_counted(self):
         wrong = _result.AttemptOutcome.WRONG
         promises = self._judge_runs([0.2], wrong)
         self.assertEqual(1, promises.wrong_answers)
--- a/skylarkfold/tests/load/test_scenario.py
+++ b/skylarkfold/tests/load/test_scenario.py
@@ -32,7 +32,7 @@
         self.assertIsInstance(scenario.traffic[0], load.Datagrams)
         self.assertIsInstance(scenario.actions[0], load.KillInstance)
 
-    def test_what_is_wrong_gets_a_coded_error(self):
+    def test_invalid_files_raise_settings_errors(self):
         wrong = [
             SMALL % '"many"',
             SMALL % '1000000',
@@ -59,7 +59,7 @@
             errors.SettingsError, _scenario.add_faults, scenario, ('c',)
         )
 
-    def test_the_ready_files_are_valid(self):
+    def test_the_example_files_are_valid(self):
         folder = pathlib.Path(__file__).parents[3] / 'examples' / 'load'
         for name in ('co-operative', 'association'):
             scenario = load.read_scenario(str(folder / f'{name}.json'))
