--- a/skylarkfold/load/__init__.py
+++ b/skylarkfold/load/__init__.py
@@ -1,7 +1,8 @@
-"""The load tool: real processes, traffic, faults, and the promises kept.
+"""Load test tool that runs real processes with traffic and faults.
 
-It serves benches only and starts processes, which production code must
-not.
+It checks the load balancer's promises to callers against what callers and
+upstreams observe. Production code must not import it, because it starts
+processes.
 """
 
 from skylarkfold.load._action import AddUpstream
@@ -18,10 +19,6 @@
 from skylarkfold.load._action import UndrainUpstream
 from skylarkfold.load._command import print_progress
 from skylarkfold.load._command import run
-from skylarkfold.load._judge import Drain
-from skylarkfold.load._judge import Evidence
-from skylarkfold.load._judge import judge
-from skylarkfold.load._judge import Promises
 from skylarkfold.load._latency import LatencySummary
 from skylarkfold.load._operator import Operator
 from skylarkfold.load._ports import choose_subnet
@@ -29,6 +26,10 @@
 from skylarkfold.load._process import Process
 from skylarkfold.load._process import ProcessError
 from skylarkfold.load._process import run_command
+from skylarkfold.load._promises import Drain
+from skylarkfold.load._promises import Evidence
+from skylarkfold.load._promises import judge
+from skylarkfold.load._promises import Promises
 from skylarkfold.load._run import run_scenario
 from skylarkfold.load._run import RunResult
 from skylarkfold.load._scenario import read_scenario
--- a/skylarkfold/load/_latency.py
+++ b/skylarkfold/load/_latency.py
@@ -9,13 +9,13 @@
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 120_000_000
 SIGNIFICANT_DIGITS = 3
-MICROSECONDS = 1_000_000
-MILLISECOND = 1000
+MICROSECONDS_PER_SECOND = 1_000_000
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LatencySummary:
-    """Percentiles of one kind of traffic, in milliseconds."""
+    """Latency percentiles of one traffic entry, in milliseconds."""
 
     count: int
     p50_ms: float
@@ -25,7 +25,7 @@
 
 
 class LatencyRecorder:
-    """A histogram for each kind of traffic."""
+    """Recorder with a latency histogram for each traffic entry."""
 
     def __init__(self) -> None:
         self._histograms: dict[str, histogram.HdrHistogram] = {}
@@ -36,15 +36,21 @@
         :param traffic: the traffic's name.
         :param seconds: the latency.
         """
-        found = self._histograms.get(traffic)
-        if found is None:
-            found = self._histograms[traffic] = histogram.HdrHistogram(
-                LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
+        traffic_histogram = self._histograms.get(traffic)
+        if traffic_histogram is None:
+            traffic_histogram = self._histograms[traffic] = (
+                histogram.HdrHistogram(
+                    LOWEST_MICROSECONDS,
+                    HIGHEST_MICROSECONDS,
+                    SIGNIFICANT_DIGITS,
+                )
             )
-        found.record_value(max(1, int(seconds * MICROSECONDS)))
+        traffic_histogram.record_value(
+            max(1, int(seconds * MICROSECONDS_PER_SECOND))
+        )
 
     def encode(self) -> dict[str, str]:
-        """Encode all histograms, by traffic name."""
+        """Return all histograms in encoded form, by traffic name."""
         return {
             name: each.encode().decode()
             for name, each in self._histograms.items()
@@ -54,8 +60,8 @@
 def summarize(encoded: list[str]) -> LatencySummary:
     """Summarize the latencies of several callers.
 
-    :param encoded: their encoded histograms of one kind of traffic.
-    :returns: the percentiles of all together.
+    :param encoded: their encoded histograms of one traffic entry.
+    :returns: the percentiles of the combined histogram.
     """
     total = histogram.HdrHistogram.decode(encoded[0])
     for each in encoded[1:]:
@@ -63,12 +69,14 @@
 
     def get_percentile(percentile: float) -> float:
         value = total.get_value_at_percentile(percentile)
-        return round(value / MILLISECOND, 3)
+        return round(value / MICROSECONDS_PER_MILLISECOND, 3)
 
     return LatencySummary(
         count=total.get_total_count(),
         p50_ms=get_percentile(50),
         p90_ms=get_percentile(90),
         p99_ms=get_percentile(99),
-        maximum_ms=round(total.get_max_value() / MILLISECOND, 3),
+        maximum_ms=round(
+            total.get_max_value() / MICROSECONDS_PER_MILLISECOND, 3
+        ),
     )
--- a/skylarkfold/load/_ports.py
+++ b/skylarkfold/load/_ports.py
@@ -1,4 +1,4 @@
-"""Addresses of the loopback range that nobody uses yet."""
+"""Selection of unused loopback addresses and ports."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import os
 import socket
 
-TRIES = 200
+MAX_ATTEMPTS = 200
 FIRST_SUBNET = 20
 SUBNETS = 200
 
@@ -16,22 +16,22 @@
 
 
 def choose_subnet() -> str:
-    """Choose a network of the loopback range for this process.
+    """Choose a /24 network of the loopback range for this process.
 
-    :returns: its first three numbers, for example ``127.23.7``.
+    :returns: its first three octets, for example ``127.23.7``.
     """
     number = os.getpid() + next(_numbers)
     return f'127.{FIRST_SUBNET + number % SUBNETS}.{number // SUBNETS % 250}'
 
 
 def find_port(hosts: Sequence[str]) -> int:
-    """Find a port that is free for datagrams and streams on all hosts.
+    """Find a port that is free for UDP and TCP on all hosts.
 
     :param hosts: the addresses.
     :returns: the port.
     :raises OSError: if none was found.
     """
-    for _ in range(TRIES):
+    for _ in range(MAX_ATTEMPTS):
         with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as probe:
             probe.bind((hosts[0], 0))
             port = probe.getsockname()[1]
@@ -42,9 +42,9 @@
 
 def _is_free(host: str, port: int) -> bool:
     kinds = (socket.SOCK_STREAM, socket.SOCK_DGRAM)
-    with contextlib.ExitStack() as opened:
+    with contextlib.ExitStack() as stack:
         for kind in kinds:
-            probe = opened.enter_context(socket.socket(socket.AF_INET, kind))
+            probe = stack.enter_context(socket.socket(socket.AF_INET, kind))
             try:
                 probe.bind((host, port))
             except OSError:
--- a/skylarkfold/load/_run.py
+++ b/skylarkfold/load/_run.py
@@ -1,4 +1,4 @@
-"""Running a scenario to its judgement."""
+"""Runs of a scenario, with the checks of its results."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 import pathlib
 import time
 
-from skylarkfold.load import _director
-from skylarkfold.load import _fleet
-from skylarkfold.load import _judge
+from skylarkfold.load import _action_executor
+from skylarkfold.load import _deployment
 from skylarkfold.load import _latency
+from skylarkfold.load import _promises
 from skylarkfold.load import _result
 from skylarkfold.load import _scenario
 
-PROGRESS_SECONDS = 5.0
+PROGRESS_INTERVAL_SECONDS = 5.0
 MAXIMUM_DETAILS = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunResult:
-    """What came of a scenario.
-
-    :param scenario: its name.
-    :param promises: how often each promise was broken.
-    :param latencies: by traffic name.
-    :param failures: actions that could not be carried out.
-    :param details: lines about each broken promise, at most a few.
-    :param platform_calls: what the platform counted.
-    :param seconds: how long the whole run took.
+    """Result of a scenario's run.
+
+    :param scenario: the scenario's name.
+    :param promises: counts of broken promises.
+    :param latencies: latency summaries by traffic name.
+    :param failures: messages of the actions that failed.
+    :param details: descriptions of some of the broken promises.
+    :param platform_calls: the platform's call counts.
+    :param seconds: the duration of the whole run.
     """
 
     scenario: str
-    promises: _judge.Promises
+    promises: _promises.Promises
     latencies: dict[str, _latency.LatencySummary]
     failures: tuple[str, ...]
     details: tuple[str, ...]
@@ -44,7 +44,7 @@
 
     @property
     def passed(self) -> bool:
-        """Tell whether all promises held and all actions were done."""
+        """Whether all promises held and no action failed."""
         return self.promises.hold and not self.failures
 
 
@@ -53,69 +53,69 @@
     folder: pathlib.Path,
     report: Callable[[str], None],
 ) -> RunResult:
-    """Run a scenario with processes of its own.
+    """Run a scenario in a deployment of its own.
 
-    :param scenario: what to run.
-    :param folder: where settings and logs are kept.
-    :param report: takes lines about the progress.
-    :returns: what came of it.
+    :param scenario: the scenario to run.
+    :param folder: the folder for settings and logs.
+    :param report: the function that is called with progress lines.
+    :returns: the result.
     :raises ProcessError: if a process can't be started.
     """
-    began = time.monotonic()
-    async with _fleet.Fleet(scenario, folder) as fleet:
-        await fleet.start()
+    started = time.monotonic()
+    async with _deployment.Deployment(scenario, folder) as deployment:
+        await deployment.start()
         report(
-            f'{scenario.name}: ready after {time.monotonic() - began:.1f} s'
+            f'{scenario.name}: ready after {time.monotonic() - started:.1f} s'
         )
-        director = _director.Director(fleet, report)
-        results = await _drive(scenario, fleet, director, report)
-        records = await fleet.read_records()
-        counts = await fleet.read_platform_counts()
-    steady = {name: tuple(each) for name, each in fleet.steady.items()}
-    evidence = _judge.Evidence(
+        executor = _action_executor.ActionExecutor(deployment, report)
+        results = await _run_traffic(scenario, deployment, executor, report)
+        records = await deployment.read_records()
+        counts = await deployment.read_platform_counts()
+    steady = {name: tuple(each) for name, each in deployment.steady.items()}
+    evidence = _promises.Evidence(
         results,
         records,
-        tuple(director.drains),
+        tuple(executor.drains),
         steady,
-        frozenset(fleet.stopped),
+        frozenset(deployment.stopped_hosts),
     )
     return RunResult(
         scenario=scenario.name,
-        promises=_judge.judge(evidence),
+        promises=_promises.judge(evidence),
         latencies=_summarize(results),
-        failures=tuple(director.failures),
+        failures=tuple(executor.failures),
         details=tuple(
-            itertools.islice(_judge.describe(evidence), MAXIMUM_DETAILS)
+            itertools.islice(_promises.describe(evidence), MAXIMUM_DETAILS)
         ),
         platform_calls=counts,
-        seconds=round(time.monotonic() - began, 1),
+        seconds=round(time.monotonic() - started, 1),
     )
 
 
-async def _drive(
+async def _run_traffic(
     scenario: _scenario.Scenario,
-    fleet: _fleet.Fleet,
-    director: _director.Director,
+    deployment: _deployment.Deployment,
+    executor: _action_executor.ActionExecutor,
     report: Callable[[str], None],
 ) -> _result.CallerResults:
-    await fleet.start_traffic()
-    progress = asyncio.create_task(_show_progress(scenario, report))
-    acting = asyncio.create_task(director.carry_out(scenario.actions))
+    await deployment.start_traffic()
+    progress = asyncio.create_task(_report_progress(scenario, report))
+    actions = asyncio.create_task(executor.run_actions(scenario.actions))
     await asyncio.sleep(scenario.duration_seconds)
-    await acting
+    await actions
     progress.cancel()
-    results = await fleet.finish_traffic()
+    results = await deployment.finish_traffic()
     await asyncio.sleep(scenario.settle_seconds)
     return results
 
 
-async def _show_progress(
+async def _report_progress(
     scenario: _scenario.Scenario, report: Callable[[str], None]
 ) -> None:
     elapsed = 0.0
     while True:
-        await asyncio.sleep(PROGRESS_SECONDS)
-        elapsed += PROGRESS_SECONDS
+        await asyncio.sleep(PROGRESS_INTERVAL_SECONDS)
+        elapsed += PROGRESS_INTERVAL_SECONDS
         report(f'{elapsed:5.1f} s of {scenario.duration_seconds:g} s')
 
 
--- a/skylarkfold/soak/_instance.py
+++ b/skylarkfold/soak/_instance.py
@@ -1,4 +1,4 @@
-"""One instance as a process."""
+"""Instance that runs as a child process."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 from skylarkfold.standin import packets
 
 _RESTART_SECONDS = 0.3
-_LOOK_SECONDS = 0.05
-# The port of the metrics, from the first one that instances use.
+_POLL_SECONDS = 0.05
+# Offset of the metrics port from the base port.
 _METRICS_OFFSET = 9
 
 
 class Instance:
-    """A process that is started again whenever it ends.
+    """Instance process that is restarted whenever it exits.
 
     :param loop: the event loop.
-    :param folder: where its settings and its log lie.
-    :param name: its name.
+    :param folder: the folder of its settings and its log.
+    :param name: the instance's name.
     :param zone: its availability zone.
-    :param host: its address.
-    :ivar own_ends: exit statuses of ends that nobody asked for.
-    :ivar output: where its lines go; its log file where left out.
+    :param host: its IP address.
+    :ivar unexpected_exits: exit statuses of exits that no signal caused.
+    :ivar is_restarted: whether the process is restarted when it exits.
+    :ivar output: the file descriptor for standard output; None for the log
+        file.
     """
 
     def __init__(
@@ -41,15 +43,15 @@
         self.name = name
         self.zone = zone
         self.host = host
-        self.own_ends: list[int] = []
-        self.is_wanted = True
+        self.unexpected_exits: list[int] = []
+        self.is_restarted = True
         self.output: int | None = None
         self._loop = loop
         self._path = folder / f'{name}.settings'
-        self._own_path = folder / f'{name}.json'
+        self._process_settings_path = folder / f'{name}.json'
         self._log_path = folder / f'{name}.log'
         self._process: subprocess.Popen | None = None
-        self._is_ending = False
+        self._is_exit_expected = False
         self._settings: tuple = ()
 
     def configure(
@@ -59,10 +61,10 @@
         store: tuple[str, int],
         zones: list[str],
     ) -> None:
-        """Write its settings file.
+        """Write the settings files.
 
-        :param base_port: the first port that all instances use.
-        :param seeds: hosts of others.
+        :param base_port: the first of the ports, the same on every instance.
+        :param seeds: hosts of the first peers to contact.
         :param store: the store's address.
         :param zones: all availability zones.
         """
@@ -75,19 +77,19 @@
             *self._settings,
             terms=(packets.SHARES_TERM,),
         )
-        own = {'metrics_port': self.metrics_address[1]}
-        self._own_path.write_text(json.dumps(own))
+        process_settings = {'metrics_port': self.metrics_address[1]}
+        self._process_settings_path.write_text(json.dumps(process_settings))
 
     @property
     def metrics_address(self) -> tuple[str, int]:
-        """Where it shows its metrics."""
+        """Host and port of the metrics endpoint."""
         return self.host, self._settings[0] + _METRICS_OFFSET
 
     def start(self) -> None:
-        """Start the process and watch it."""
+        """Start the process and poll for its exit."""
         environment = dict(os.environ, SKYLARKFOLD_CONFIG=str(self._path))
         command = [sys.executable, '-m', 'skylarkfold.platform']
-        command.append(str(self._own_path))
+        command.append(str(self._process_settings_path))
         with open(self._log_path, 'ab') as log:
             self._process = subprocess.Popen(
                 command,
@@ -95,53 +97,53 @@
                 stdout=log if self.output is None else self.output,
                 stderr=log,
             )
-        self._is_ending = False
-        self._loop.call_later(_LOOK_SECONDS, self._look)
+        self._is_exit_expected = False
+        self._loop.call_later(_POLL_SECONDS, self._check_process)
 
     def send(self, number: int) -> None:
-        """Send a signal.
+        """Send a signal to the process if it is running.
 
-        :param number: the signal.
+        :param number: the signal's number.
         """
         if self._process is None or self._process.poll() is not None:
             return
         if number in (signal.SIGTERM, signal.SIGKILL):
-            self._is_ending = True
+            self._is_exit_expected = True
         self._process.send_signal(number)
 
-    def tear_settings(self, seconds: float) -> None:
-        """Leave half of the settings file for a while.
+    def truncate_settings(self, seconds: float) -> None:
+        """Truncate the settings file to half, then write it back.
 
-        :param seconds: how long.
+        :param seconds: the time until it is written back.
         """
-        whole = self._path.read_text()
-        self._path.write_text(whole[: len(whole) // 2])
-        self._loop.call_later(seconds, lambda: self._path.write_text(whole))
+        contents = self._path.read_text()
+        self._path.write_text(contents[: len(contents) // 2])
+        self._loop.call_later(seconds, lambda: self._path.write_text(contents))
 
     def end(self) -> None:
-        """End the process for good."""
-        self.is_wanted = False
+        """Kill the process and do not restart it."""
+        self.is_restarted = False
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
 
     def read_log(self) -> str:
-        """Read what all its processes have logged."""
+        """Return the log of all processes of this instance."""
         if not self._log_path.exists():
             return ''
         return self._log_path.read_text(errors='replace')
 
-    def _look(self) -> None:
+    def _check_process(self) -> None:
         status = self._process.poll()
         if status is None:
-            self._loop.call_later(_LOOK_SECONDS, self._look)
+            self._loop.call_later(_POLL_SECONDS, self._check_process)
             return
-        if not self._is_ending:
-            self.own_ends.append(status)
-        if self.is_wanted:
-            self._loop.call_later(_RESTART_SECONDS, self._start_again)
+        if not self._is_exit_expected:
+            self.unexpected_exits.append(status)
+        if self.is_restarted:
+            self._loop.call_later(_RESTART_SECONDS, self._restart)
 
-    def _start_again(self) -> None:
-        if self.is_wanted:
+    def _restart(self) -> None:
+        if self.is_restarted:
             self.start()
--- a/skylarkfold/soak/_plan.py
+++ b/skylarkfold/soak/_plan.py
@@ -1,10 +1,10 @@
-"""What a seed draws."""
+"""Random plans: the steps of a run, determined by its seed."""
 
 from __future__ import annotations
 
 import random
 
-# The faults that are no planned work.
+# Unplanned faults; they suspend invariants while they last and shortly after.
 UNPLANNED = (
     'kill',
     'freeze',
@@ -34,40 +34,39 @@
     'remove-route',
     'storm',
 )
-# Drawn apart from the others, so that older seeds stay as they were. No
-# promise is suspended by them.
+# The kinds below have random generators of their own, so that adding them does
+# not change the plans of existing seeds. They suspend no invariant, except for
+# restores of the store.
 RESTARTS = (
     'upstream-restarted',
     'upstream-restarted-late',
     'entries-foreign',
 )
 
-# Drawn apart as well. Zones are emptied and taken back; other writers leave
-# entries of that kind.
+# Evacuations of zones that end again, and invalid evacuation entries.
 EVACUATIONS = (
     'zone-evacuated',
     'evacuations-foreign',
 )
 
-# Drawn apart as well: the store comes back from an older copy.
-RETURNS = ('store-returns',)
+# The store has an outage and is restored from an older copy.
+STORE_RESTORES = ('store-returns',)
 
-# Drawn apart as well: hard load. Callers' packets to some instances get lost,
-# as on a link that is full, and one caller asks for more than all others. No
-# promise is suspended by them.
-PRESSES = (
+# Overload: one caller sends more requests than all others, and packets from
+# callers to some instances are lost, as on a saturated link.
+OVERLOADS = (
     'caller-presses',
     'link-loses',
 )
 
 
 class Step:
-    """One event.
+    """Fault or operation of a plan.
 
-    :param at: seconds from the start of traffic.
-    :param kind: one of this module's words.
-    :param seconds: how long it lasts, where it does.
-    :param share: which part of the things that fit.
+    :param at: the time in seconds from the start of traffic.
+    :param kind: one of the kinds in this module.
+    :param seconds: the duration, for kinds that have one.
+    :param share: the share of the eligible targets that are affected.
     """
 
     __slots__ = ('at', 'kind', 'seconds', 'share')
@@ -88,80 +87,82 @@
 
 
 def draw_restarts(seed: int, seconds: float) -> list[Step]:
-    """Draw new starts of upstreams, and entries of other writers.
+    """Draw restarts of upstreams and invalid store entries.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     return _draw_steps(
         random.Random(f'{seed}/restarts'),
         RESTARTS,
-        counts=(2, 5),
-        begins=(1.0, 0.6 * seconds),
-        lengths=(0.5, 3.0),
+        count_range=(2, 5),
+        start_range=(1.0, 0.6 * seconds),
+        duration_range=(0.5, 3.0),
     )
 
 
 def draw_evacuations(seed: int, seconds: float) -> list[Step]:
-    """Draw evacuations, several of which may overlap.
+    """Draw evacuations of zones, which may overlap.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     return _draw_steps(
         random.Random(f'{seed}/evacuations'),
         EVACUATIONS,
-        counts=(1, 3),
-        begins=(0.5, 0.3 * seconds),
-        lengths=(0.2 * seconds, 0.5 * seconds),
-        shares=(0.4, 0.7),
+        count_range=(1, 3),
+        start_range=(0.5, 0.3 * seconds),
+        duration_range=(0.2 * seconds, 0.5 * seconds),
+        share_choices=(0.4, 0.7),
     )
 
 
-def draw_returns(seed: int, seconds: float) -> list[Step]:
-    """Draw returns of the store from older copies; two may be close.
+def draw_store_restores(seed: int, seconds: float) -> list[Step]:
+    """Draw restores of the store from older copies, some in quick succession.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     generator = random.Random(f'{seed}/returns')
     steps = []
     for _ in range(generator.randint(1, 3)):
         at = generator.uniform(2.0, 0.6 * seconds)
-        away = generator.uniform(0.3, 2.5)
-        steps.append(Step(at, RETURNS[0], away, 1.0))
+        outage_seconds = generator.uniform(0.3, 2.5)
+        steps.append(Step(at, STORE_RESTORES[0], outage_seconds, 1.0))
         if generator.random() < 0.3:
-            steps.append(Step(at + away + 0.7, RETURNS[0], 0.3, 1.0))
+            steps.append(
+                Step(at + outage_seconds + 0.7, STORE_RESTORES[0], 0.3, 1.0)
+            )
     return sorted(steps, key=lambda step: step.at)
 
 
-def draw_presses(seed: int, seconds: float) -> list[Step]:
-    """Draw hard load, several kinds of which may overlap.
+def draw_overloads(seed: int, seconds: float) -> list[Step]:
+    """Draw steps that overload instances and may overlap.
 
-    :param seed: the seed; the same one draws the same steps.
-    :param seconds: how long traffic lasts.
-    :returns: steps in order.
+    :param seed: the seed, which determines the steps.
+    :param seconds: the duration of the traffic.
+    :returns: the steps in order of time.
     """
     return _draw_steps(
         random.Random(f'{seed}/presses'),
-        PRESSES,
-        counts=(1, 3),
-        begins=(1.0, 0.5 * seconds),
-        lengths=(1.0, 0.25 * seconds),
-        shares=(0.2, 0.4, 0.7),
+        OVERLOADS,
+        count_range=(1, 3),
+        start_range=(1.0, 0.5 * seconds),
+        duration_range=(1.0, 0.25 * seconds),
+        share_choices=(0.2, 0.4, 0.7),
     )
 
 
 def draw_plan(seed: int, seconds: float, planned_only: bool) -> list[Step]:
-    """Draw a plan.
+    """Draw the planned operations and faults of a plan.
 
-    :param seed: the seed; the same one draws the same plan.
-    :param seconds: how long traffic lasts; the last quarter is calm.
-    :param planned_only: whether to leave unplanned faults out.
-    :returns: steps in order.
+    :param seed: the seed, which determines the plan.
+    :param seconds: the duration of the traffic; the last quarter is calm.
+    :param planned_only: whether to omit unplanned faults.
+    :returns: the steps in order of time.
     """
     generator = random.Random(seed)
     kinds = PLANNED if planned_only else PLANNED + UNPLANNED
@@ -169,37 +170,37 @@
     for _ in range(generator.randint(3, 8)):
         at = generator.uniform(1.0, 0.7 * seconds)
         kind = generator.choice(kinds)
-        longest = 0.75 * seconds - at + 0.5
+        max_seconds = 0.75 * seconds - at + 0.5
         step = Step(
             at,
             kind,
-            min(generator.uniform(0.3, 4.0), longest),
+            min(generator.uniform(0.3, 4.0), max_seconds),
             generator.choice((0.2, 0.4, 0.7, 1.0)),
         )
         steps.append(step)
         if generator.random() < 0.3:
-            # The same again, while the first one lasts or soon after.
-            again = min(at + generator.uniform(0.1, 3.0), 0.7 * seconds)
-            steps.append(Step(again, kind, step.seconds, step.share))
+            # Repeat the step during the first one or shortly after it.
+            repeated_at = min(at + generator.uniform(0.1, 3.0), 0.7 * seconds)
+            steps.append(Step(repeated_at, kind, step.seconds, step.share))
     return sorted(steps, key=lambda step: step.at)
 
 
 def _draw_steps(
     generator: random.Random,
     kinds: tuple[str, ...],
-    counts: tuple[int, int],
-    begins: tuple[float, float],
-    lengths: tuple[float, float],
-    shares: tuple[float, ...] = (),
+    count_range: tuple[int, int],
+    start_range: tuple[float, float],
+    duration_range: tuple[float, float],
+    share_choices: tuple[float, ...] = (),
 ) -> list[Step]:
-    """Draw steps within bounds; without shares each takes all that fits."""
+    """Draw steps within ranges; without share choices the share is 1."""
     steps = [
         Step(
-            generator.uniform(*begins),
+            generator.uniform(*start_range),
             generator.choice(kinds),
-            generator.uniform(*lengths),
-            generator.choice(shares) if shares else 1.0,
+            generator.uniform(*duration_range),
+            generator.choice(share_choices) if share_choices else 1.0,
         )
-        for _ in range(generator.randint(*counts))
+        for _ in range(generator.randint(*count_range))
     ]
     return sorted(steps, key=lambda step: step.at)
--- a/skylarkfold/soak/_run.py
+++ b/skylarkfold/soak/_run.py
@@ -1,34 +1,34 @@
-"""Runs one seed."""
+"""Runs of one seed or plan."""
 
 from __future__ import annotations
 
 import pathlib
 
 from skylarkfold import explain
-from skylarkfold.soak import _director
+from skylarkfold.soak import _environment
 from skylarkfold.soak import _plan
+from skylarkfold.soak import _plan_executor
 from skylarkfold.soak import _session
-from skylarkfold.soak import _world
 
 _ZONES = ('a', 'b', 'c')
 INSTANCES = 5
 _SESSIONS = 8
-# Instances take so long to start at most before traffic begins.
-_START_SECONDS = 3.0
-# The end of the run must be served again.
-_LEAST_SERVED = 0.98
-# A change of the configuration is in force everywhere after so long; the
+# Time for instances to start before traffic begins.
+_STARTUP_SECONDS = 3.0
+# Minimum share of requests answered in the calm phase.
+_MIN_ANSWERED_SHARE = 0.98
+# Every instance must apply a configuration change within this time; the
 # platform allows 3 s.
-_KNOWN_SECONDS = 2.5
+_CONFIGURATION_LIMIT_SECONDS = 2.5
 
 
 class Result:
-    """What a run showed.
+    """Result of a run.
 
     :param seed: the seed.
-    :param plan: its steps.
-    :param broken: broken promises, one line each.
-    :param outcomes: how requests ended, by outcome.
+    :param plan: the executed steps.
+    :param broken: violated invariants, one line each.
+    :param outcomes: the number of requests by outcome.
     """
 
     __slots__ = ('broken', 'outcomes', 'plan', 'seed')
@@ -57,20 +57,20 @@
     has_presses: bool = False,
     instances: int = INSTANCES,
 ) -> Result:
-    """Run one seed.
+    """Draw the plan of a seed and run it.
 
     :param seed: the seed.
-    :param folder: where settings and logs lie.
-    :param seconds: how long traffic lasts.
-    :param planned_only: whether only planned work is done; every request
-        must be answered then.
-    :param has_restarts: whether upstreams also start again under their
-        names, and other writers leave entries.
-    :param has_evacuations: whether zones are emptied and taken back.
-    :param has_returns: whether the store comes back from older copies.
-    :param has_presses: whether callers press and links lose packets.
-    :param instances: how many there are, over three zones.
-    :returns: what it showed.
+    :param folder: the folder for settings and logs.
+    :param seconds: the duration of the traffic.
+    :param planned_only: whether to run only planned operations, so that
+        every request must be answered.
+    :param has_restarts: whether to restart upstreams under their names and
+        to write invalid entries to the store.
+    :param has_evacuations: whether to evacuate zones.
+    :param has_returns: whether to restore the store from older copies.
+    :param has_presses: whether to overload instances and drop packets.
+    :param instances: the number of instances, spread over three zones.
+    :returns: the result.
     """
     plan = _plan.draw_plan(seed, seconds, planned_only)
     if has_restarts:
@@ -78,9 +78,9 @@
     if has_evacuations:
         plan += _plan.draw_evacuations(seed, seconds)
     if has_returns:
-        plan += _plan.draw_returns(seed, seconds)
+        plan += _plan.draw_store_restores(seed, seconds)
     if has_presses:
-        plan += _plan.draw_presses(seed, seconds)
+        plan += _plan.draw_overloads(seed, seconds)
     return run_plan(plan, seed, folder, seconds, planned_only, instances)
 
 
@@ -94,79 +94,89 @@
 ) -> Result:
     """Run a plan.
 
-    :param plan: its steps.
-    :param seed: draws who is hit by each.
-    :param folder: where settings and logs lie.
-    :param seconds: how long traffic lasts.
+    :param plan: the steps.
+    :param seed: the seed that determines the targets of each step.
+    :param folder: the folder for settings and logs.
+    :param seconds: the duration of the traffic.
     :param planned_only: whether every request must be answered.
-    :param instances: how many there are, over three zones.
-    :returns: what it showed.
+    :param instances: the number of instances, spread over three zones.
+    :returns: the result.
     """
-    world = _world.Environment(folder, seed, _share_out(instances))
-    director = _director.Director(world)
+    environment = _environment.Environment(
+        folder, seed, _distribute_instances(instances)
+    )
+    executor = _plan_executor.PlanExecutor(environment)
     try:
-        world.start()
-        world.loop.call_later(
-            _START_SECONDS, lambda: _begin(world, director, plan)
+        environment.start()
+        environment.loop.call_later(
+            _STARTUP_SECONDS,
+            lambda: _begin_traffic(environment, executor, plan),
         )
-        calm = _START_SECONDS + 0.85 * seconds
-        world.loop.call_later(
-            0.0 if planned_only else calm, world.judge.begin_calm
+        calm_start = _STARTUP_SECONDS + 0.85 * seconds
+        environment.loop.call_later(
+            0.0 if planned_only else calm_start, environment.judge.begin_calm
         )
-        world.loop.call_later(calm, world.configure)
-        if 0.15 * seconds >= _KNOWN_SECONDS:
-            world.loop.call_later(calm + _KNOWN_SECONDS, director.ask_versions)
-        world.loop.call_later(_START_SECONDS + seconds, world.finish)
-        world.loop.run()
+        environment.loop.call_later(calm_start, environment.configure)
+        if 0.15 * seconds >= _CONFIGURATION_LIMIT_SECONDS:
+            environment.loop.call_later(
+                calm_start + _CONFIGURATION_LIMIT_SECONDS,
+                executor.request_versions,
+            )
+        environment.loop.call_later(
+            _STARTUP_SECONDS + seconds, environment.finish
+        )
+        environment.loop.run()
     finally:
-        world.end()
-    broken = [*world.judge.broken, *_list_broken(world)]
-    broken += world.judge.judge_calm(1.0 if planned_only else _LEAST_SERVED)
-    return Result(seed, plan, broken, dict(world.judge.outcomes))
+        environment.end()
+    broken = [*environment.judge.broken, *_list_violations(environment)]
+    broken += environment.judge.judge_calm(
+        1.0 if planned_only else _MIN_ANSWERED_SHARE
+    )
+    return Result(seed, plan, broken, dict(environment.judge.outcomes))
 
 
-def _share_out(instances: int) -> dict[str, int]:
-    """Divide instances over the zones, the first ones get the rest."""
+def _distribute_instances(instances: int) -> dict[str, int]:
+    """Return the number of instances by zone; the first get the remainder."""
     count = len(_ZONES)
     return {
-        zone: (instances + count - 1 - place) // count
-        for place, zone in enumerate(_ZONES)
+        zone: (instances + count - 1 - index) // count
+        for index, zone in enumerate(_ZONES)
     }
 
 
-def _begin(
-    world: _world.Environment,
-    director: _director.Director,
+def _begin_traffic(
+    environment: _environment.Environment,
+    executor: _plan_executor.PlanExecutor,
     plan: list[_plan.Step],
 ) -> None:
-    for caller in world.callers:
+    for caller in environment.callers:
         for _ in range(_SESSIONS):
-            _session.Session(world, caller).begin()
+            _session.Session(environment, caller).begin()
     for step in plan:
-        world.loop.call_later(
-            step.at, lambda step=step: director.perform(step)
+        environment.loop.call_later(
+            step.at, lambda step=step: executor.perform(step)
         )
 
 
-def _list_broken(world: _world.Environment) -> list[str]:
+def _list_violations(environment: _environment.Environment) -> list[str]:
     broken = []
-    for instance in world.instances:
+    for instance in environment.instances:
         broken += [
             f'{instance.name} ended by itself with {status}'
-            for status in instance.own_ends
+            for status in instance.unexpected_exits
         ]
         log = instance.read_log()
         if 'Traceback' in log:
             broken.append(f'{instance.name} logged a failure')
-        broken += _list_falls(instance.name, log)
-    for each in (*world.callers, *world.upstreams):
+        broken += _list_version_rollbacks(instance.name, log)
+    for each in (*environment.callers, *environment.upstreams):
         if each.forged:
             broken.append(f'{each.forged} packets were not as written')
     return broken
 
 
-def _list_falls(name: str, log: str) -> list[str]:
-    """List where a process went back to an older version of the routes."""
+def _list_version_rollbacks(name: str, log: str) -> list[str]:
+    """List the log lines that return to an older version of the routes."""
     broken = []
     version = -1
     for line in explain.read_lines(log.splitlines()):
@@ -174,8 +184,8 @@
             version = -1
         if line.message != 'routes':
             continue
-        later = int(line.get('version'))
-        if later < version:
-            broken.append(f'{name} went back from {version} to {later}')
-        version = later
+        new_version = int(line.get('version'))
+        if new_version < version:
+            broken.append(f'{name} went back from {version} to {new_version}')
+        version = new_version
     return broken
--- a/skylarkfold/tests/platform/test_processes.py
+++ b/skylarkfold/tests/platform/test_processes.py
@@ -11,7 +11,7 @@
 
 from skylarkfold import explain
 from skylarkfold import reactor
-from skylarkfold.soak import _world
+from skylarkfold.soak import _environment
 from skylarkfold.standin import packets
 
 # Limits a run that hangs.
@@ -23,7 +23,7 @@
         super().setUp()
         scratch = tempfile.TemporaryDirectory()
         self.addCleanup(scratch.cleanup)
-        self.world = _world.Environment(
+        self.world = _environment.Environment(
             pathlib.Path(scratch.name), 1, {'a': 2, 'b': 1}, upstreams=1
         )
         self.addCleanup(self.world.end)
@@ -65,7 +65,7 @@
         return exchange
 
     def open(self):
-        address, _, _ = _world.ROUTES[0]
+        address, _, _ = _environment.ROUTES[0]
         return self.caller.open(address)
 
     def test_flow_survives_a_restart_of_all_instances(self):
@@ -120,16 +120,16 @@
         for _ in range(4):
             for flow in flows:
                 self.assertEqual(packets.ANSWERED, self.ask(flow).outcome)
-        self.assertEqual([], self.world.instances[0].own_ends)
+        self.assertEqual([], self.world.instances[0].unexpected_exits)
 
     def test_truncated_settings_file_keeps_the_previous_settings(self):
         self.wait_for_rotation()
         instance = self.world.instances[0]
-        instance.tear_settings(30.0)
+        instance.truncate_settings(30.0)
         instance.send(signal.SIGHUP)
         self.run_until(lambda: '"reason":"kept"' in instance.read_log())
         self.assertEqual(packets.ANSWERED, self.ask(self.open()).outcome)
-        self.assertEqual([], instance.own_ends)
+        self.assertEqual([], instance.unexpected_exits)
 
     def fetch(self, address):
         """Fetch the metrics of an instance."""
@@ -169,21 +169,25 @@
         self.run_until(lambda: '"reason":"reloaded"' in instance.read_log())
         self.assertIn('skylarkfold_services_short 0', self.fetch(address))
         # Invalid settings are logged and change nothing.
-        forwarder_settings = json.loads(instance._own_path.read_text())
+        forwarder_settings = json.loads(
+            instance._process_settings_path.read_text()
+        )
         forwarder_settings['shares'] = {'weights': {'192.0.2.0/24': 0}}
-        instance._own_path.write_text(json.dumps(forwarder_settings))
+        instance._process_settings_path.write_text(
+            json.dumps(forwarder_settings)
+        )
         instance.send(signal.SIGHUP)
         place = '$.shares.weights.192.0.2.0/24'
         self.run_until(lambda: place in instance.read_log())
         self.assertIn('skylarkfold_services_short 0', self.fetch(address))
         for _ in range(5):
             self.assertEqual(packets.ANSWERED, self.ask(self.open()).outcome)
-        self.assertEqual([], instance.own_ends)
+        self.assertEqual([], instance.unexpected_exits)
 
     def test_unread_log_does_not_block_the_instance(self):
         self.wait_for_rotation()
         (caller,) = [each for each in self.world.callers if each.zone == 'b']
-        address, _, _ = _world.ROUTES[0]
+        address, _, _ = _environment.ROUTES[0]
         # A few hundred lines fill the pipe.
         for _ in range(600):
             caller.open(address).finish()
