--- a/skylarkfold/measure/_overload_earlier.py
+++ b/skylarkfold/measure/_overload_earlier.py
@@ -20,6 +20,10 @@
 _ROOT = pathlib.Path(__file__).parent.parent.parent
 _MODEL = 'skylarkfold/measure'
 _FILES = 'overload.py', '_overload_*.py'
+# Trees without this module have other names for the decisions that the model
+# calls; the model of the last revision with those names is laid over them.
+_MODULE_SINCE_RENAMES = 'skylarkfold/light_imports.py'
+_LAST_REVISION_BEFORE_RENAMES = '27ad149'
 _PLAY = """
 import dataclasses, json, sys
 from skylarkfold.measure import overload
@@ -42,7 +46,7 @@
     """
     with tempfile.TemporaryDirectory() as scratch:
         folder = pathlib.Path(scratch)
-        _export(revision, folder)
+        _export(revision, 'skylarkfold', folder)
         _lay_over(folder)
         found = [path for path in sys.path if path and path != str(_ROOT)]
         paths = os.pathsep.join([scratch, *found])
@@ -56,9 +60,9 @@
     return json.loads(played.stdout)
 
 
-def _export(revision: str, folder: pathlib.Path) -> None:
+def _export(revision: str, paths: str, folder: pathlib.Path) -> None:
     packed = folder / 'earlier.tar'
-    command = ['git', 'archive', '-o', str(packed), revision, 'skylarkfold']
+    command = ['git', 'archive', '-o', str(packed), revision, paths]
     try:
         subprocess.run(command, cwd=_ROOT, check=True, capture_output=True)
     except (OSError, subprocess.CalledProcessError) as error:
@@ -67,6 +71,11 @@
 
 
 def _lay_over(folder: pathlib.Path) -> None:
+    if not (folder / _MODULE_SINCE_RENAMES).exists():
+        for pattern in _FILES:
+            paths = f'{_MODEL}/{pattern}'
+            _export(_LAST_REVISION_BEFORE_RENAMES, paths, folder)
+        return
     for pattern in _FILES:
         for path in (_ROOT / _MODEL).glob(pattern):
             shutil.copy(path, folder / _MODEL / path.name)
